--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,14 +1,14 @@
-//! The byte budget of a daemon's control traffic: a token bucket.
+//! Byte budget of a daemon's control traffic, as a token bucket.
 
 use wharfquay_core::time::Timestamp;
 
 /// Bytes that the network layers add to a datagram: IPv4 and UDP headers.
 pub const DATAGRAM_OVERHEAD: usize = 28;
 
-/// A token bucket over sent bytes.
+/// Token bucket over sent bytes.
 ///
-/// Probes and urgent messages are always sent and may overdraw it; routine messages wait until it
-/// is positive.
+/// Probes and urgent messages are always sent and may overdraw the bucket. Routine messages are
+/// only sent while its balance is positive.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
     bytes_per_second: f64,
@@ -18,7 +18,7 @@
 }
 
 impl ByteBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub fn new(bytes_per_second: u32, burst_bytes: u32, now: Timestamp) -> Self {
         Self {
@@ -29,14 +29,15 @@
         }
     }
 
-    /// Whether a routine message may be sent.
+    /// Returns true if a routine message may be sent now.
     pub fn allows_routine(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         self.available > 0.0
     }
 
-    /// Takes the bytes of a sent message. The debt never exceeds what a second brings, so that large
-    /// configuration changes don't silence the gossip by which members find each other.
+    /// Withdraws the bytes of a sent message. The debt is limited to what one second refills, so
+    /// large configuration changes can't suppress the gossip that members need to discover each
+    /// other.
     pub fn spend(&mut self, now: Timestamp, bytes: usize) {
         self.refill(now);
         #[expect(clippy::cast_precision_loss, reason = "message sizes are small")]
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,14 +1,18 @@
-//! When a member looks into the platform's directory for others, and when it enters itself there.
+//! Decides when a member reads the platform's directory to discover others, and when it registers
+//! itself there.
 //!
-//! Every call to the platform has a price, and the directory is read by those that know nobody: a few addresses are
-//! enough, since gossip tells the rest. So the directory holds a bounded number of entries, whatever the size of the
-//! deployment, and nobody has to agree on whose they are:
+//! Each call to the platform is costly, and only members that know no others read the directory. A
+//! few addresses are enough for them, since gossip provides the rest. The directory therefore holds
+//! a bounded number of entries, independent of the size of the deployment. Members decide without
+//! coordination who registers:
 //!
-//! - A member that knows nobody and finds nobody enters itself with a chance that grows with each look. Of any number
-//!   that start together, a few do so first, and the others find these.
-//! - A member that knows the others enters itself if it is among the first of them by rendezvous, once its table has
-//!   stopped growing. So an entry whose member is gone is replaced by another.
-//! - After the platform's store was restored from a copy, the members that have an entry write it again.
+//! - A member that knows no others and finds none registers with a probability that grows with each
+//!   draw. Of many members that start together, a few register first and the others discover these.
+//! - A member that knows others registers if it is among the first members in rendezvous order and
+//!   its table has stopped growing. The entry of a departed member is thereby replaced by another
+//!   one.
+//! - After the platform's store has been restored from a backup, the members that have an entry
+//!   write it again.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -20,31 +24,34 @@
 use crate::member::{Member, MemberId, rendezvous_score};
 use crate::table::MemberTable;
 
-/// Entries that are kept, where the deployment has as many members. Starting members spread their first contacts over
-/// them, and most may be gone before a start is hard.
+/// Number of directory entries that are maintained if the deployment has at least as many members.
+/// Starting members spread their first contacts over the entries. The number leaves enough of them
+/// if most of the registered members have departed.
 pub const ENTRIES: usize = 80;
 
-/// Which members enter themselves, and how often they look.
+/// Number of entries, registration probabilities and poll intervals.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectorySettings {
-    /// Entries that are kept, where the deployment has as many members.
+    /// Number of entries that are maintained if the deployment has at least as many members.
     pub entries: usize,
-    /// How members that find nobody enter themselves at the first start of the whole deployment.
-    pub first_start: EntryPace,
-    /// The same at a later start, when the directory mostly shows others: only a restored store shows nobody.
-    pub later_start: EntryPace,
-    /// Looks that may show an older state, at a fraction of the price, before fresh ones are asked for.
-    pub stale_looks: u32,
-    /// Longest wait of a starting member before its first look.
-    pub first_look: Duration,
-    /// Pause after the first call that failed; each further one is twice as long.
-    pub first_retry: Duration,
-    /// Longest pause between two calls.
-    pub longest_pause: Duration,
-    /// The same where listings have shown others, who have to answer first.
-    pub stale_looks_at_others: u32,
-    /// Time between two reviews whether a member that knows others should have an entry. It enters itself when two
-    /// reviews in a row say so.
+    /// Registration of members that find no others, at the first start of the whole deployment.
+    pub first_start: RegistrationSchedule,
+    /// Registration of members that find no others, at a later start. The directory then usually
+    /// lists others; it is empty only if the store was restored.
+    pub later_start: RegistrationSchedule,
+    /// Number of polls, from the first on, that accept a stale listing at a fraction of the cost of
+    /// a fresh one. Applies while no listing has shown others.
+    pub stale_polls: u32,
+    /// Maximum delay of a starting member's first poll.
+    pub max_first_poll_delay: Duration,
+    /// Delay after the first failed call. Each further failure doubles it, up to `max_call_interval`.
+    pub initial_retry_delay: Duration,
+    /// Maximum time between two calls.
+    pub max_call_interval: Duration,
+    /// Replaces `stale_polls` once a listing has shown others, who need time to reply.
+    pub stale_polls_after_listing: u32,
+    /// Time between two reviews of whether a member that knows others should have an entry. It
+    /// registers when two consecutive reviews select it.
     pub review_interval: Duration,
 }
 
@@ -52,122 +59,127 @@
     fn default() -> Self {
         Self {
             entries: ENTRIES,
-            first_start: EntryPace {
-                chances: vec![1.0 / 16.0, 1.0 / 16.0, 1.0 / 8.0, 0.5, 1.0],
-                look_pause: Duration::from_secs(1),
+            first_start: RegistrationSchedule {
+                probabilities: vec![1.0 / 16.0, 1.0 / 16.0, 1.0 / 8.0, 0.5, 1.0],
+                poll_interval: Duration::from_secs(1),
             },
-            later_start: EntryPace {
-                chances: vec![1.0 / 16.0, 0.5, 1.0],
-                look_pause: Duration::from_millis(400),
+            later_start: RegistrationSchedule {
+                probabilities: vec![1.0 / 16.0, 0.5, 1.0],
+                poll_interval: Duration::from_millis(400),
             },
-            stale_looks: 2,
-            first_look: Duration::from_millis(125),
-            first_retry: Duration::from_millis(250),
-            longest_pause: Duration::from_secs(2),
-            stale_looks_at_others: 6,
+            stale_polls: 2,
+            max_first_poll_delay: Duration::from_millis(125),
+            initial_retry_delay: Duration::from_millis(250),
+            max_call_interval: Duration::from_secs(2),
+            stale_polls_after_listing: 6,
             review_interval: Duration::from_secs(2),
         }
     }
 }
 
 impl DirectorySettings {
-    /// Every member enters itself at once.
+    /// Settings under which every member registers immediately.
     #[must_use]
     pub fn of_all_members() -> Self {
-        let at_once = EntryPace {
-            chances: vec![1.0],
-            look_pause: Duration::from_millis(250),
+        let immediate = RegistrationSchedule {
+            probabilities: vec![1.0],
+            poll_interval: Duration::from_millis(250),
         };
         Self {
             entries: usize::MAX,
-            first_start: at_once.clone(),
-            later_start: at_once,
+            first_start: immediate.clone(),
+            later_start: immediate,
             ..Self::default()
         }
     }
 }
 
-/// How members that find nobody enter themselves, so that a few of many do so first and the others find these.
+/// Registration of members that find no others. Of many such members a few register first, and the
+/// others discover these.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EntryPace {
-    /// Chance of an entry, by the number of earlier draws; the last one holds for all further ones.
-    pub chances: Vec<f64>,
-    /// Pause after a look: time in which those who were seen answer, and in which the entry of one that looked at the
-    /// same time shows in listings that may be stale.
-    pub look_pause: Duration,
+pub struct RegistrationSchedule {
+    /// Probability of registering at each draw, in order; the last one applies to all further
+    /// draws.
+    pub probabilities: Vec<f64>,
+    /// Time between polls and after registering. In this time listed members reply, and a
+    /// registration made at the same time becomes visible in stale listings.
+    pub poll_interval: Duration,
 }
 
-impl EntryPace {
-    fn chance(&self, draw: u32) -> f64 {
+impl RegistrationSchedule {
+    fn probability(&self, draw: u32) -> f64 {
         let draw = usize::try_from(draw).unwrap_or(usize::MAX);
-        let last = self.chances.last().copied();
-        let chance = self.chances.get(draw).copied().or(last);
-        chance.unwrap_or(1.0)
+        let last = self.probabilities.last().copied();
+        let probability = self.probabilities.get(draw).copied().or(last);
+        probability.unwrap_or(1.0)
     }
 }
 
-/// How new a listing has to be.
+/// Required freshness of a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListingAge {
-    /// It may be seconds old.
+    /// The listing may be seconds old.
     MayBeStale,
-    /// It shows everything that was acknowledged before the question.
+    /// The listing includes every write acknowledged before the request.
     Latest,
 }
 
-/// What the driver does next.
+/// The next action for the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectoryStep {
-    /// List the directory, and hand the result to [`Enrolment::listed`] or [`Enrolment::look_failed`].
+    /// List the directory and pass the result to [`Enrolment::listed`] or
+    /// [`Enrolment::look_failed`].
     Look(ListingAge),
-    /// Write the own entry, and hand the result to [`Enrolment::entered`].
+    /// Write this member's entry and pass the result to [`Enrolment::entered`].
     Enter,
-    /// Ask again at this time, or when the store was restored.
+    /// Call [`Enrolment::next`] again at this time, or when the store has been restored.
     WaitUntil(Timestamp),
 }
 
-/// How the own entry stands in a listing.
+/// State of this member's entry in a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnEntry {
-    /// It is not there.
+    /// The listing has no such entry.
     Missing,
-    /// It says what it should.
+    /// The entry has the expected content.
     Current,
-    /// It says something else: another address, or what another writer left there.
+    /// The entry has other content: an old address, or what another writer has put there.
     Different,
 }
 
-/// One member's part in the directory.
+/// Registration state of one member in the directory.
 #[derive(Clone, Debug)]
 pub struct Enrolment {
     settings: DirectorySettings,
-    pace: EntryPace,
+    schedule: RegistrationSchedule,
     id: MemberId,
     next_at: Timestamp,
-    retry: Duration,
-    looks: u32,
-    /// Times that the chance to enter was drawn.
+    retry_delay: Duration,
+    polls: u32,
+    /// Number of draws made so far for registering.
     draws: u32,
-    /// How new the listing was that was last asked for.
-    asked: ListingAge,
-    /// Whether the directory is to be looked at even where others have made contact first: the entry of an earlier
-    /// process may stand, and all that start together go by the same listing in some matters.
-    owes_look: bool,
-    /// Whether others were known at the last look.
-    knows_others: bool,
-    /// Whether an earlier look showed others, who did not answer since.
-    has_seen_others: bool,
-    /// Whether the own entry is known to stand.
+    /// Freshness of the listing requested last.
+    requested_age: ListingAge,
+    /// True if the directory must be polled even though others have already made contact: the entry
+    /// of an earlier instance may still be there, and members that start together base some
+    /// decisions on the same listing.
+    must_poll: bool,
+    /// True if other members were known at the last poll.
+    knows_other_members: bool,
+    /// True if an earlier listing showed others. As long as this member knows no others, those have
+    /// not replied.
+    has_listed_others: bool,
+    /// True if this member's entry is known to be in the directory.
     has_entry: bool,
-    /// Whether the entry is to be written now.
-    wants_entry: bool,
-    /// Live members at the last review that found this member among the first.
-    chosen_among: Option<usize>,
+    /// True if the entry has to be written now.
+    entry_due: bool,
+    /// Number of live members at the last review that selected this member.
+    members_at_last_selection: Option<usize>,
 }
 
 impl Enrolment {
-    /// A member that starts now. `is_first_start`: whether the whole deployment starts for the first time, so that no
-    /// entries of earlier processes can be there.
+    /// Creates the state of a member that starts now. `is_first_start` is true if the whole
+    /// deployment starts for the first time, which rules out entries of earlier instances.
     pub fn new(
         settings: DirectorySettings,
         id: MemberId,
@@ -175,166 +187,169 @@
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Self {
-        let pace = match is_first_start {
+        let schedule = match is_first_start {
             true => settings.first_start.clone(),
             false => settings.later_start.clone(),
         };
         let mut enrolment = Self {
-            pace,
-            next_at: now + jitter(settings.first_look, rng),
-            retry: settings.first_retry,
+            schedule,
+            next_at: now + jitter(settings.max_first_poll_delay, rng),
+            retry_delay: settings.initial_retry_delay,
             id,
-            looks: 0,
+            polls: 0,
             draws: 0,
-            asked: ListingAge::MayBeStale,
-            owes_look: !is_first_start,
-            knows_others: false,
-            has_seen_others: false,
+            requested_age: ListingAge::MayBeStale,
+            must_poll: !is_first_start,
+            knows_other_members: false,
+            has_listed_others: false,
             has_entry: false,
-            wants_entry: false,
-            chosen_among: None,
+            entry_due: false,
+            members_at_last_selection: None,
             settings,
         };
         if is_first_start {
-            // There is nothing to see yet.
-            enrolment.wants_entry = enrolment.draws_entry(rng);
-            if !enrolment.wants_entry {
-                enrolment.wait_for_others(now, rng);
+            // The directory is still empty, so the first poll is skipped.
+            enrolment.entry_due = enrolment.draw_registration(rng);
+            if !enrolment.entry_due {
+                enrolment.schedule_next_poll(now, rng);
             }
         }
         enrolment
     }
 
-    /// What to do now.
+    /// Returns the next action at `now`.
     pub fn next(&mut self, now: Timestamp, table: &MemberTable) -> DirectoryStep {
         if now < self.next_at {
             return DirectoryStep::WaitUntil(self.next_at);
         }
-        if self.wants_entry {
+        if self.entry_due {
             return DirectoryStep::Enter;
         }
         let members = table.live_count();
-        if members <= 1 || self.owes_look {
-            self.owes_look = false;
-            self.knows_others = members > 1;
-            self.asked = self.listing_age();
-            return DirectoryStep::Look(self.asked);
+        if members <= 1 || self.must_poll {
+            self.must_poll = false;
+            self.knows_other_members = members > 1;
+            self.requested_age = self.listing_age();
+            return DirectoryStep::Look(self.requested_age);
         }
         self.review(now, table, members);
-        if self.wants_entry {
+        if self.entry_due {
             return DirectoryStep::Enter;
         }
         self.next_at = now + self.settings.review_interval;
         DirectoryStep::WaitUntil(self.next_at)
     }
 
-    /// Takes in a listing: the own entry, and the number of others.
+    /// Processes a listing: the state of this member's entry, and the number of other entries.
     pub fn listed(&mut self, now: Timestamp, own: OwnEntry, others: usize, rng: &mut impl Rng) {
-        let is_alone = !self.knows_others && (others == 0 || self.has_seen_others);
-        self.has_seen_others |= others > 0;
+        let is_alone = !self.knows_other_members && (others == 0 || self.has_listed_others);
+        self.has_listed_others |= others > 0;
         match own {
             OwnEntry::Current => self.has_entry = true,
-            OwnEntry::Different => self.wants_entry = true,
-            // It may have been written since the listing was made.
-            OwnEntry::Missing if self.has_entry && self.asked == ListingAge::MayBeStale => {}
+            OwnEntry::Different => self.entry_due = true,
+            // The entry may have been written after the stale listing was made.
+            OwnEntry::Missing if self.has_entry && self.requested_age == ListingAge::MayBeStale => {
+            }
             OwnEntry::Missing => {
                 self.has_entry = false;
-                self.wants_entry = is_alone && self.draws_entry(rng);
+                self.entry_due = is_alone && self.draw_registration(rng);
             }
         }
-        self.looks += 1;
-        self.wait_for_others(now, rng);
-        if self.wants_entry {
+        self.polls += 1;
+        self.schedule_next_poll(now, rng);
+        if self.entry_due {
             self.next_at = now;
         }
     }
 
-    /// The platform gave no listing.
+    /// Records that the platform returned no listing.
     pub fn look_failed(&mut self, now: Timestamp, rng: &mut impl Rng) {
-        self.after_failure(now, rng);
+        self.schedule_retry(now, rng);
     }
 
-    /// The own entry was written, or the platform did not take it.
+    /// Records whether the platform accepted this member's entry.
     pub fn entered(&mut self, now: Timestamp, is_written: bool, rng: &mut impl Rng) {
         self.has_entry |= is_written;
-        self.wants_entry = !is_written;
+        self.entry_due = !is_written;
         if is_written {
-            self.retry = self.settings.first_retry;
-            self.next_at = now + self.pace.look_pause;
+            self.retry_delay = self.settings.initial_retry_delay;
+            self.next_at = now + self.schedule.poll_interval;
         } else {
-            self.after_failure(now, rng);
+            self.schedule_retry(now, rng);
         }
     }
 
-    /// The platform's store was restored from a copy, which may lack the own entry.
+    /// Records that the platform's store was restored from a backup, which may lack this member's
+    /// entry.
     pub fn store_restored(&mut self, now: Timestamp, rng: &mut impl Rng) {
         if self.has_entry {
             self.has_entry = false;
-            self.wants_entry = true;
-            self.retry = self.settings.first_retry;
-            self.next_at = now + jitter(self.pace.look_pause, rng);
+            self.entry_due = true;
+            self.retry_delay = self.settings.initial_retry_delay;
+            self.next_at = now + jitter(self.schedule.poll_interval, rng);
         }
     }
 
-    /// Where others were seen, a fresh listing would show little more: they have to answer.
+    /// Returns the freshness to request. Once others are listed, a fresh listing would add little,
+    /// since they still have to reply.
     fn listing_age(&self) -> ListingAge {
-        let stale_looks = match self.has_seen_others {
-            true => self.settings.stale_looks_at_others,
-            false => self.settings.stale_looks,
+        let stale_polls = match self.has_listed_others {
+            true => self.settings.stale_polls_after_listing,
+            false => self.settings.stale_polls,
         };
-        if self.looks < stale_looks {
+        if self.polls < stale_polls {
             ListingAge::MayBeStale
         } else {
             ListingAge::Latest
         }
     }
 
-    fn draws_entry(&mut self, rng: &mut impl Rng) -> bool {
-        let chance = self.pace.chance(self.draws);
+    fn draw_registration(&mut self, rng: &mut impl Rng) -> bool {
+        let probability = self.schedule.probability(self.draws);
         self.draws += 1;
-        rng.random_bool(chance)
+        rng.random_bool(probability)
     }
 
-    fn wait_for_others(&mut self, now: Timestamp, rng: &mut impl Rng) {
+    fn schedule_next_poll(&mut self, now: Timestamp, rng: &mut impl Rng) {
         let draws = usize::try_from(self.draws).unwrap_or(usize::MAX);
-        let pause = match draws < self.pace.chances.len() {
-            true => self.pace.look_pause,
-            false => self.settings.longest_pause,
+        let delay = match draws < self.schedule.probabilities.len() {
+            true => self.schedule.poll_interval,
+            false => self.settings.max_call_interval,
         };
-        self.retry = self.settings.first_retry;
-        self.next_at = now + pause.mul_f64(0.75) + jitter(pause.mul_f64(0.25), rng);
+        self.retry_delay = self.settings.initial_retry_delay;
+        self.next_at = now + delay.mul_f64(0.75) + jitter(delay.mul_f64(0.25), rng);
     }
 
-    /// Waits before the next call, spread so that members which start together do not call together.
-    fn after_failure(&mut self, now: Timestamp, rng: &mut impl Rng) {
-        let pause = self.retry;
-        self.retry = (pause * 2).min(self.settings.longest_pause);
-        self.next_at = now + pause.mul_f64(0.5) + jitter(pause.mul_f64(0.5), rng);
+    /// Schedules the next call after a failure, with jitter to spread members that start together.
+    fn schedule_retry(&mut self, now: Timestamp, rng: &mut impl Rng) {
+        let delay = self.retry_delay;
+        self.retry_delay = (delay * 2).min(self.settings.max_call_interval);
+        self.next_at = now + delay.mul_f64(0.5) + jitter(delay.mul_f64(0.5), rng);
     }
 
-    /// Finds out whether this member should have an entry: two reviews in a row, between which the table has not
-    /// grown, find it among the first.
+    /// Decides whether this member should have an entry: two consecutive reviews have to select it,
+    /// and the table must not have grown between them.
     fn review(&mut self, now: Timestamp, table: &MemberTable, members: usize) {
         if self.has_entry {
             return;
         }
-        let before = self.chosen_among.take();
-        if !self.is_among_first(table) {
+        let previous = self.members_at_last_selection.take();
+        if !self.is_selected(table) {
             return;
         }
-        self.wants_entry = before.is_some_and(|before| members <= before);
-        self.chosen_among = Some(members);
+        self.entry_due = previous.is_some_and(|previous| members <= previous);
+        self.members_at_last_selection = Some(members);
         self.next_at = now;
     }
 
-    fn is_among_first(&self, table: &MemberTable) -> bool {
+    fn is_selected(&self, table: &MemberTable) -> bool {
         if table.live_count() <= self.settings.entries {
             return true;
         }
         let rank = |id: &MemberId| Reverse(rendezvous_score(id));
         let own = rank(&self.id);
-        let stays = |member: &&Member| member.is_live() && !member.leaving;
-        let candidates = table.members().filter(stays);
+        let is_candidate = |member: &&Member| member.is_live() && !member.leaving;
+        let candidates = table.members().filter(is_candidate);
         let better = candidates.filter(|member| rank(&member.profile.id) < own);
         better.take(self.settings.entries).count() < self.settings.entries
     }
--- a/crates/membership/src/gossip/sync.rs
+++ b/crates/membership/src/gossip/anti_entropy.rs
@@ -1,9 +1,10 @@
 //! Anti-entropy: two daemons compare digests and exchange the records in which they differ.
 //!
-//! The one that opens sends a hash of its table, and the other answers with a digest per zone when
-//! it differs; a joining daemon opens with the digests. Whoever gets digests answers with the
-//! digests of the buckets of zones that differ, then the other sends what it knows of the differing
-//! buckets, and gets newer records and the ids of those that are wanted.
+//! The initiator sends a hash of its table. The receiver replies with a digest per zone, or with
+//! none if its own table has the same hash; a joining daemon starts with its zone digests instead.
+//! The receiver of zone digests replies with the bucket digests of the zones that differ. The other
+//! daemon then sends a summary of the differing buckets, and receives newer records and the ids of
+//! the records to send in return.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,34 +15,34 @@
 use wharfquay_core::time::Timestamp;
 
 use crate::counters::Counters;
-use crate::member::{Claim, Liveness, Member, MemberId, ZoneName};
+use crate::member::{Liveness, Member, MemberId, VersionedState, ZoneName};
 use crate::message::{Body, Header, SummaryEntry, Update, ZoneDigest};
 use crate::table::{BUCKETS, ZoneTable, bucket_of};
 
 use super::{Gossip, Outgoing, jitter};
 
-/// Longest time that a starting daemon spends on filling its table before it acts as joined.
+/// Maximum time that a starting daemon spends on filling its table before it counts as joined.
 pub(super) const JOIN_LIMIT: Duration = Duration::from_secs(10);
 /// Time between two exchanges of a joining daemon.
 const JOIN_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two exchanges of a daemon whose table has not agreed with another's yet, after the
-/// limit for joining.
+/// Time between two exchanges of a daemon that has joined by timeout while its table has not yet
+/// agreed with another daemon's.
 const FILL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two contacts to a seed or to a member that is held to be dead.
+/// Mean time between two contacts to a seed and to a member that is considered dead.
 pub(super) const REJOIN_INTERVAL: Duration = Duration::from_secs(30);
-/// Contacts with each seed before agreement among starting daemons counts.
+/// Contacts per seed that are required before agreement with daemons that are not ready counts.
 const SEED_ROUNDS: usize = 1;
-/// Seeds that a daemon which knows nobody contacts at a time.
-const SEEDS_AT_ONCE: usize = 3;
-/// Contacts with seeds that are enough, however many there are.
+/// Number of seeds that a daemon without known members contacts concurrently.
+const CONCURRENT_SEEDS: usize = 3;
+/// Maximum number of seed contacts required, regardless of the number of seeds.
 const MAX_SEED_CONTACTS: usize = 8;
-/// Zones that one answer to a digest takes up.
+/// Maximum number of zones covered by one reply to zone digests.
 const ZONES_PER_EXCHANGE: usize = 3;
-/// Buckets that one exchange takes up in a running daemon.
+/// Maximum number of buckets covered by one exchange of a daemon whose table is filled.
 const BUCKETS_PER_EXCHANGE: usize = 4;
 
 impl Gossip {
-    /// Opens an exchange inside the zone, or with a seed while this daemon joins.
+    /// Opens an exchange within the zone, or with a seed while this daemon is joining.
     pub(super) fn run_table_sync(
         &mut self,
         now: Timestamp,
@@ -51,11 +52,11 @@
         if now < self.next_table_sync {
             return;
         }
-        let waited = now >= self.join_deadline && self.table.live_count() > 1;
-        if self.seeds.is_empty() || waited {
+        let join_timed_out = now >= self.join_deadline && self.table.live_count() > 1;
+        if self.seeds.is_empty() || join_timed_out {
             self.joined = true;
         }
-        let interval = if self.joined && !self.filled && self.table.live_count() > 1 {
+        let interval = if self.joined && !self.table_filled && self.table.live_count() > 1 {
             FILL_INTERVAL
         } else if self.joined {
             self.settings.table_sync_interval.mul_f64(0.75)
@@ -64,14 +65,14 @@
             JOIN_INTERVAL
         };
         self.next_table_sync = now + interval;
-        self.seed_turn = !self.seed_turn;
+        self.contact_seed_next = !self.contact_seed_next;
         if !self.joined && self.table.live_count() <= 1 {
-            for _ in 0..self.seeds.len().min(SEEDS_AT_ONCE) {
+            for _ in 0..self.seeds.len().min(CONCURRENT_SEEDS) {
                 self.contact_seed(out);
             }
             return;
         }
-        if !self.joined && self.seed_turn && !self.seeds.is_empty() {
+        if !self.joined && self.contact_seed_next && !self.seeds.is_empty() {
             self.contact_seed(out);
             return;
         }
@@ -85,16 +86,16 @@
         let peer = self
             .random_peer(rng)
             .map(|member| member.profile.control_address);
-        if self.filled {
+        if self.table_filled {
             return peer;
         }
-        let elsewhere = self.random_elsewhere(rng);
-        elsewhere.or(peer).or_else(|| self.random_seed(rng))
+        let any_member = self.random_address_in_any_zone(rng);
+        any_member.or(peer).or_else(|| self.random_seed(rng))
     }
 
-    /// Any member of a zone by chance: who fills its table asks everywhere, so that nobody bears the
-    /// return of a whole zone alone.
-    fn random_elsewhere(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
+    /// Returns the address of a random member of a random zone. A daemon that fills its table
+    /// queries all zones, which spreads the load when a whole zone restarts.
+    fn random_address_in_any_zone(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
         let zones: Vec<&ZoneName> = self.table.zones().map(|(zone, _)| zone).collect();
         let zone = zones.choose(rng)?;
         let member = self.random_member(zone, rng, Member::is_live)?;
@@ -113,9 +114,9 @@
         }
     }
 
-    /// Whether the seeds have had their chance to answer: daemons that start together and find only
-    /// each other must not take themselves for the whole deployment.
-    fn seeds_tried(&self) -> bool {
+    /// Returns true once the seeds have had a chance to reply. Daemons that start together and find
+    /// only each other must not conclude that they are the whole deployment.
+    fn seeds_contacted(&self) -> bool {
         let enough = (self.seeds.len() * SEED_ROUNDS).min(MAX_SEED_CONTACTS);
         self.seed_contacts >= enough
     }
@@ -131,7 +132,7 @@
         others.choose(rng).copied()
     }
 
-    /// A delegate opens an exchange with another zone.
+    /// Opens an exchange with another zone if this daemon is a delegate.
     pub(super) fn run_zone_sync(
         &mut self,
         now: Timestamp,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The other zones in turn.
+    /// Returns the other zones in turn.
     fn next_zone(&mut self) -> Option<ZoneName> {
         self.zone_turn = self.zone_turn.wrapping_add(1);
         let zones = self.other_zones();
@@ -161,8 +162,8 @@
         Some(zones[turn].clone())
     }
 
-    /// Contacts a seed and a member that is held to be dead, so that the two sides of a healed cut
-    /// find each other.
+    /// Contacts a seed and a member that is considered dead, which rejoins the two sides of a
+    /// healed network partition.
     pub(super) fn run_rejoin(
         &mut self,
         now: Timestamp,
@@ -181,7 +182,8 @@
         }
     }
 
-    /// Opens an exchange. A daemon that joins, or may have been forgotten, introduces itself.
+    /// Builds the opening message of an exchange. It includes this daemon's own record while
+    /// joining, or if `introduce` is set because the receiver may not know this daemon any more.
     fn open_exchange(&self, to: SocketAddr, introduce: bool) -> Outgoing {
         let body = if self.joined {
             Body::TableHash(self.table.digest())
@@ -206,7 +208,7 @@
         zones.collect()
     }
 
-    /// Answers a table hash with the digests of the zones, or with none when the tables agree.
+    /// Replies to a table hash with the zone digests, or with none if the tables agree.
     pub(crate) fn on_table_hash(&self, hash: u64, reply_to: SocketAddr, out: &mut Vec<Outgoing>) {
         let digests = if hash == self.table.digest() {
             Vec::new()
@@ -216,7 +218,7 @@
         out.push(Outgoing::routine(reply_to, Body::TableDigest(digests)));
     }
 
-    /// Answers a digest with the bucket digests of zones that differ.
+    /// Replies to zone digests with the bucket digests of zones that differ.
     pub(crate) fn on_table_digest(
         &mut self,
         header: &Header,
@@ -226,9 +228,9 @@
         out: &mut Vec<Outgoing>,
     ) {
         if digests.is_empty() {
-            if header.ready || self.seeds_tried() {
+            if header.ready || self.seeds_contacted() {
                 self.joined = true;
-                self.filled = true;
+                self.table_filled = true;
             }
             return;
         }
@@ -272,7 +274,7 @@
             .map_or([0; BUCKETS], |table| *table.bucket_digests())
     }
 
-    /// Answers bucket digests with what this daemon knows of the buckets that differ.
+    /// Replies to bucket digests with a summary of the buckets that differ.
     pub(crate) fn on_bucket_digests(
         &mut self,
         zone: &ZoneName,
@@ -288,7 +290,7 @@
             .map(|(bucket, _)| bucket)
             .collect();
         differing.shuffle(rng);
-        if self.filled {
+        if self.table_filled {
             differing.truncate(BUCKETS_PER_EXCHANGE);
         }
         if differing.is_empty() {
@@ -307,7 +309,8 @@
         out.push(Outgoing::routine(reply_to, body));
     }
 
-    /// Answers a summary with newer records, and names the records that this daemon wants.
+    /// Replies to a summary with newer records and the ids of the records that this daemon
+    /// requests.
     pub(crate) fn on_bucket_summary(
         &mut self,
         zone: &ZoneName,
@@ -316,9 +319,9 @@
         reply_to: SocketAddr,
         out: &mut Vec<Outgoing>,
     ) {
-        let theirs: BTreeMap<&MemberId, Claim> = entries
+        let theirs: BTreeMap<&MemberId, VersionedState> = entries
             .iter()
-            .map(|entry| (&entry.id, claim_of(entry)))
+            .map(|entry| (&entry.id, versioned_state_of(entry)))
             .collect();
         let records = self.records_newer_than(zone, buckets, &theirs);
         let wanted = self.wanted(zone, &theirs);
@@ -337,7 +340,7 @@
         &self,
         zone: &ZoneName,
         buckets: &[u8],
-        theirs: &BTreeMap<&MemberId, Claim>,
+        theirs: &BTreeMap<&MemberId, VersionedState>,
     ) -> Vec<Update> {
         let Some(table) = self.table.zone(zone) else {
             return Vec::new();
@@ -351,25 +354,32 @@
             .iter()
             .filter(in_buckets)
             .filter(|member| match theirs.get(&member.profile.id) {
-                Some(claim) => differs(claim.merge(member.claim()), *claim),
+                Some(state) => states_differ(state.merge(member.versioned_state()), *state),
                 None => member.is_live(),
             })
             .map(Update::of)
             .collect()
     }
 
-    fn wanted(&self, zone: &ZoneName, theirs: &BTreeMap<&MemberId, Claim>) -> Vec<MemberId> {
+    fn wanted(
+        &self,
+        zone: &ZoneName,
+        theirs: &BTreeMap<&MemberId, VersionedState>,
+    ) -> Vec<MemberId> {
         theirs
             .iter()
-            .filter(|(id, claim)| match self.table.get(zone, id) {
-                Some(member) => differs(member.claim().merge(**claim), member.claim()),
+            .filter(|(id, state)| match self.table.get(zone, id) {
+                Some(member) => states_differ(
+                    member.versioned_state().merge(**state),
+                    member.versioned_state(),
+                ),
                 None => true,
             })
             .map(|(id, _)| (*id).clone())
             .collect()
     }
 
-    /// Merges records, and answers with the wanted ones and those that are newer here.
+    /// Merges records, and replies with the requested ones and those that are newer here.
     #[expect(clippy::too_many_arguments, reason = "one message with its context")]
     pub(crate) fn on_records(
         &mut self,
@@ -382,57 +392,65 @@
         counters: &mut Counters,
         out: &mut Vec<Outgoing>,
     ) {
-        self.zone_known |= header.ready && *zone == self.me.profile.zone;
-        let mut answer: Vec<Update> = wanted
+        self.local_zone_known |= header.ready && *zone == self.me.profile.zone;
+        let mut reply: Vec<Update> = wanted
             .iter()
             .filter_map(|id| self.table.get(zone, id))
             .map(Update::of)
             .collect();
         for record in records {
-            self.learn(now, header, record, counters);
+            self.merge_record(now, header, record, counters);
             let known = self.table.get(&record.zone, &record.id);
-            if let Some(member) = known.filter(|member| differs(member.claim(), record.claim())) {
-                answer.push(Update::of(member));
+            if let Some(member) = known
+                .filter(|member| states_differ(member.versioned_state(), record.versioned_state()))
+            {
+                reply.push(Update::of(member));
             }
         }
-        if answer.is_empty() {
+        if reply.is_empty() {
             return;
         }
         let body = Body::Records {
             zone: zone.clone(),
-            records: answer,
+            records: reply,
             wanted: Vec::new(),
         };
         out.push(Outgoing::routine(reply_to, body));
     }
 
-    /// Merges a record. What is news to a daemon whose table was full is passed on; a daemon that
-    /// fills its table only takes what the others know.
-    fn learn(&mut self, now: Timestamp, header: &Header, record: &Update, counters: &mut Counters) {
-        let about_me = record.id == self.me.profile.id;
-        if about_me || self.filled {
+    /// Merges a record. A daemon whose table is filled gossips a changed record. One that is
+    /// filling its table does not, because the other daemons already have it.
+    fn merge_record(
+        &mut self,
+        now: Timestamp,
+        header: &Header,
+        record: &Update,
+        counters: &mut Counters,
+    ) {
+        let about_self = record.id == self.me.profile.id;
+        if about_self || self.table_filled {
             self.apply(now, record, &header.zone, counters);
             return;
         }
         if matches!(
             self.table.merge(record),
-            crate::table::Merge::Changed { .. }
+            crate::table::MergeOutcome::Changed { .. }
         ) {
-            self.after_change(now, &record.zone, &record.id);
+            self.update_timers(now, &record.zone, &record.id);
         }
     }
 }
 
-const fn claim_of(entry: &SummaryEntry) -> Claim {
-    Claim {
+const fn versioned_state_of(entry: &SummaryEntry) -> VersionedState {
+    VersionedState {
         incarnation: entry.incarnation,
         liveness: Liveness::Alive,
         leaving: entry.leaving,
     }
 }
 
-/// Whether two claims differ in what the digests cover, or in death.
-const fn differs(one: Claim, other: Claim) -> bool {
+/// Returns true if two states differ in the fields that the digests cover, or in death.
+const fn states_differ(one: VersionedState, other: VersionedState) -> bool {
     let dead = matches!(one.liveness, Liveness::Dead) != matches!(other.liveness, Liveness::Dead);
     let process = one.incarnation.process() != other.incarnation.process();
     dead || process || one.leaving != other.leaving
--- a/crates/membership/src/gossip/spread.rs
+++ b/crates/membership/src/gossip/dissemination.rs
@@ -1,4 +1,4 @@
-//! Gossip rounds: reports go to a few members by chance, and from delegates to every other zone.
+//! Gossip rounds: updates go to a few random members, and from delegates to every other zone.
 
 use rand::Rng;
 use wharfquay_core::time::Timestamp;
@@ -7,13 +7,13 @@
 
 use super::{Gossip, Outgoing, TrafficClass};
 
-/// Bytes of reports in one gossip message, so that it fits a datagram with its header.
+/// Maximum size of the updates in one gossip message, in bytes. It fits a datagram with the header.
 const ROUND_BYTES: usize = 1_000;
-/// Bytes of reports that ride on a probe or an answer.
+/// Maximum size of the updates piggybacked on a probe or its reply, in bytes.
 const PIGGYBACK_BYTES: usize = 400;
 
 impl Gossip {
-    /// Reports that ride on a message which is sent anyway.
+    /// Takes queued updates to piggyback on a message that is sent anyway.
     pub(crate) fn piggyback(&mut self) -> Vec<Update> {
         if self.queue.is_empty() {
             return Vec::new();
@@ -21,14 +21,14 @@
         self.queue.take(PIGGYBACK_BYTES, 1, false)
     }
 
-    /// Sends the waiting reports when a round is due.
+    /// Sends the queued updates if a round is due.
     pub(super) fn run_round(
         &mut self,
         now: Timestamp,
         rng: &mut impl Rng,
         out: &mut Vec<Outgoing>,
     ) {
-        if now < self.next_round || !self.has_news() {
+        if now < self.next_round || !self.has_queued_updates() {
             return;
         }
         let urgent = self.queue.has_urgent();
@@ -40,16 +40,16 @@
         self.gossip_in_zone(class, rng, out);
         self.gossip_to_zones(class, rng, out);
         let wait = if self.queue.has_urgent() {
-            self.settings.urgent_round
+            self.settings.urgent_gossip_interval
         } else {
-            self.settings.routine_round
+            self.settings.routine_gossip_interval
         };
         self.next_round = now + wait;
     }
 
     fn gossip_in_zone(&mut self, class: TrafficClass, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
-        let mut targets = Vec::with_capacity(self.settings.fanout);
-        for _ in 0..self.settings.fanout {
+        let mut targets = Vec::with_capacity(self.settings.gossip_fanout);
+        for _ in 0..self.settings.gossip_fanout {
             let Some(peer) = self.random_peer(rng) else {
                 break;
             };
@@ -77,15 +77,15 @@
         rng: &mut impl Rng,
         out: &mut Vec<Outgoing>,
     ) {
-        let mut left = ROUND_BYTES;
+        let mut remaining = ROUND_BYTES;
         let mut updates = Vec::new();
         while let Some((id, update)) = self.zone_outbox.pop_first() {
             let length = crate::queue::encoded_length(&update);
-            let Some(rest) = left.checked_sub(length) else {
+            let Some(rest) = remaining.checked_sub(length) else {
                 self.zone_outbox.insert(id, update);
                 break;
             };
-            left = rest;
+            remaining = rest;
             updates.push(update);
         }
         if updates.is_empty() {
--- a/crates/membership/src/gossip/mod.rs
+++ b/crates/membership/src/gossip/mod.rs
@@ -1,9 +1,12 @@
-//! SWIM-style membership inside a zone, with delegates that exchange with other zones.
+//! SWIM-style membership within a zone, with delegates that exchange updates with other zones.
+//!
+//! Delegates are the members of a zone with the highest rendezvous scores. Each daemon derives them
+//! from its own table, without an election.
 
-mod choose;
+mod anti_entropy;
+mod dissemination;
 mod probe;
-mod spread;
-mod sync;
+mod selection;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,38 +20,38 @@
 use crate::message::{Body, Header, Update};
 use crate::queue::UpdateQueue;
 use crate::settings::Settings;
-use crate::table::{MemberTable, Merge};
+use crate::table::{MemberTable, MergeOutcome};
 
 use probe::{DirectProbe, RelayedProbe};
 
-/// Lateness of a wake-up from which a daemon concludes that it was itself paused.
+/// Delay of a wakeup from which a daemon concludes that its own process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Transmissions of a report beyond the logarithm of the zone's size.
+/// Transmissions of an update in addition to the logarithm of the zone's size.
 const EXTRA_TRANSMISSIONS: u32 = 4;
-/// Cycles through all zones after which one that was not heard of counts as unreachable.
+/// Cycles through all zones without contact after which a zone counts as unreachable.
 const SILENT_CYCLES: f64 = 1.25;
-/// Bound of the random zone with which a delegate's exchanges begin.
+/// Upper bound of the random index of the zone with which a delegate starts its exchanges.
 const MAX_FIRST_TURN: usize = 1_024;
 
-/// Which messages give way to which under the byte budget.
+/// Priority of a message under the byte budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficClass {
-    /// Probes, answers and changes: always sent.
+    /// Probes, replies and changes. Always sent, even if this overdraws the budget.
     Urgent,
-    /// Waits for the byte budget.
+    /// Sent only while the budget is positive, otherwise dropped.
     Routine,
 }
 
-/// A message that a machine wants sent.
+/// A message to be sent.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
     /// Control address of the receiver.
     pub to: SocketAddr,
-    /// Reports that ride along.
+    /// Updates to piggyback.
     pub updates: Vec<Update>,
-    /// The matter.
+    /// Content of the message.
     pub body: Body,
-    /// How it is treated under the byte budget.
+    /// Priority under the byte budget.
     pub class: TrafficClass,
 }
 
@@ -75,11 +78,11 @@
 /// A daemon to contact before any member is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seed {
-    /// Its control address.
+    /// Control address of the seed.
     pub control_address: SocketAddr,
 }
 
-/// The membership machine of one daemon.
+/// Membership of one daemon, a state machine.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     settings: Settings,
@@ -92,18 +95,18 @@
     relayed: Vec<RelayedProbe>,
     suspicions: BTreeMap<MemberId, Timestamp>,
     tombstones: VecDeque<(Timestamp, ZoneName, MemberId)>,
-    zone_heard: BTreeMap<ZoneName, Timestamp>,
+    last_zone_contact: BTreeMap<ZoneName, Timestamp>,
     zone_turn: usize,
     sequence: u32,
     failed_probes: u32,
     declared_dead: Vec<MemberId>,
     joined: bool,
-    /// The own zone's records have arrived from a daemon that is ready.
-    zone_known: bool,
+    /// True once the records of the local zone have arrived from a daemon that is ready.
+    local_zone_known: bool,
     seed_contacts: usize,
-    seed_turn: bool,
-    /// The table has once agreed with another daemon's.
-    filled: bool,
+    contact_seed_next: bool,
+    /// True once the table has agreed with another daemon's table.
+    table_filled: bool,
     changed: bool,
     join_deadline: Timestamp,
     next_probe: Timestamp,
@@ -114,7 +117,7 @@
 }
 
 impl Gossip {
-    /// A machine that knows nobody but itself and its seeds.
+    /// Creates a state machine that knows only itself and its seeds.
     pub fn new(
         settings: Settings,
         me: Member,
@@ -134,23 +137,23 @@
             relayed: Vec::new(),
             suspicions: BTreeMap::new(),
             tombstones: VecDeque::new(),
-            zone_heard: BTreeMap::new(),
+            last_zone_contact: BTreeMap::new(),
             zone_turn: rng.random_range(0..MAX_FIRST_TURN),
             sequence: 0,
             failed_probes: 0,
             declared_dead: Vec::new(),
             joined: false,
-            zone_known: false,
+            local_zone_known: false,
             seed_contacts: 0,
-            seed_turn: false,
-            filled: false,
+            contact_seed_next: false,
+            table_filled: false,
             changed: true,
-            join_deadline: now + sync::JOIN_LIMIT,
+            join_deadline: now + anti_entropy::JOIN_LIMIT,
             next_probe: now + jitter(settings.probe_interval, rng),
             next_round: now,
             next_table_sync: now,
             next_zone_sync: now + jitter(settings.zone_sync_interval, rng),
-            next_rejoin: now + jitter(sync::REJOIN_INTERVAL, rng),
+            next_rejoin: now + jitter(anti_entropy::REJOIN_INTERVAL, rng),
             settings,
         };
         gossip.announce_self(false);
@@ -162,68 +165,71 @@
         self.table = table;
         self.table.extend([self.me.clone()]);
         self.joined = true;
-        self.zone_known = true;
-        self.filled = true;
+        self.local_zone_known = true;
+        self.table_filled = true;
         self.queue = UpdateQueue::default();
         self.next_table_sync = now + jitter(self.settings.table_sync_interval, rng);
         for (zone, _) in self.table.zones() {
-            self.zone_heard.insert(zone.clone(), now);
+            self.last_zone_contact.insert(zone.clone(), now);
         }
     }
 
-    /// The member that this machine speaks for.
+    /// Returns this daemon's own member record.
     #[must_use]
     pub const fn me(&self) -> &Member {
         &self.me
     }
 
-    /// What is known of all members.
+    /// Returns the known members of all zones.
     #[must_use]
     pub const fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// Whether the table has been filled from another member, or the wait for one is over.
+    /// Returns true once the table has been filled from another member, or the wait for one has
+    /// expired.
     #[must_use]
     pub const fn is_joined(&self) -> bool {
         self.joined
     }
 
-    /// Whether the members of the own zone are known, or the wait for them is over.
+    /// Returns true once the members of the local zone are known, or the wait for them has expired.
     #[must_use]
-    pub const fn is_zone_known(&self) -> bool {
-        self.zone_known || self.joined
+    pub const fn is_local_zone_known(&self) -> bool {
+        self.local_zone_known || self.joined
     }
 
-    /// Whether this daemon is a delegate of its zone, and which: zero is the first.
+    /// Returns this daemon's rank among the delegates of its zone, 0 for the first, or `None` if it
+    /// is not a delegate.
     #[must_use]
     pub fn delegate_rank(&self) -> Option<usize> {
         let delegates = self.table.zone(&self.me.profile.zone)?.delegates();
         delegates.iter().position(|id| *id == self.me.profile.id)
     }
 
-    /// Whether a zone was heard of within the limit of silence, which grows with the number of zones;
-    /// the own zone always is.
+    /// Returns true if the last contact with a zone is recent enough. The limit grows with the
+    /// number of zones. The local zone is always reachable.
     #[must_use]
     pub fn is_zone_reachable(&self, now: Timestamp, zone: &ZoneName) -> bool {
-        let zones = u32::try_from(self.zone_heard.len()).unwrap_or(u32::MAX);
+        let zones = u32::try_from(self.last_zone_contact.len()).unwrap_or(u32::MAX);
         let cycle = self.settings.zone_sync_interval.mul_f64(SILENT_CYCLES) * zones;
-        let limit = self.settings.zone_silence.max(cycle);
+        let limit = self.settings.min_zone_timeout.max(cycle);
         *zone == self.me.profile.zone
             || self
-                .zone_heard
+                .last_zone_contact
                 .get(zone)
-                .is_some_and(|&heard| now.saturating_since(heard) < limit)
+                .is_some_and(|&last_contact| now.saturating_since(last_contact) < limit)
     }
 
-    /// Notes that another daemon of the own zone heard of a zone at `at`.
-    pub(crate) fn heard_of_zone(&mut self, zone: &ZoneName, at: Timestamp) {
-        let heard = self.zone_heard.entry(zone.clone()).or_insert(at);
-        *heard = at.max(*heard);
+    /// Records that another daemon of the local zone had contact with a zone at `at`.
+    pub(crate) fn record_zone_contact(&mut self, zone: &ZoneName, at: Timestamp) {
+        let last_contact = self.last_zone_contact.entry(zone.clone()).or_insert(at);
+        *last_contact = at.max(*last_contact);
     }
 
-    /// Puts other seeds in place: the settings file's and the machine list's. A daemon that knows nobody
-    /// begins to join anew: it may have taken itself for the whole deployment for lack of seeds.
+    /// Replaces the seeds, which come from the settings file and the machine list. A daemon that
+    /// knows no other member restarts joining, since without seeds it may have concluded that it is
+    /// the only member.
     pub fn set_seeds(&mut self, seeds: Vec<Seed>) {
         self.seeds = seeds;
         if !self.seeds.is_empty() && self.table.live_count() <= 1 {
@@ -233,7 +239,7 @@
         }
     }
 
-    /// Marks this daemon as leaving. The mark spreads before anything else and is never taken back.
+    /// Marks this daemon as leaving. The mark is gossiped with priority and is never withdrawn.
     pub fn leave(&mut self, now: Timestamp) {
         if self.me.leaving {
             return;
@@ -243,68 +249,71 @@
         self.next_round = now;
     }
 
-    /// Whether the table changed since the last call.
+    /// Returns true if the table changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Members that this daemon declared dead since the last call.
+    /// Returns the members that this daemon declared dead since the last call.
     pub fn take_declared_dead(&mut self) -> Vec<MemberId> {
         std::mem::take(&mut self.declared_dead)
     }
 
-    /// Takes notice of a message's sender. Returns whether its updates may be believed: a sender
-    /// that is held to be dead is only told so, since it may be the one that hears nothing.
-    pub fn heard(&mut self, now: Timestamp, header: &Header, out: &mut Vec<Outgoing>) -> bool {
-        self.zone_heard.insert(header.zone.clone(), now);
+    /// Records contact with a message's sender. Returns true if the sender's updates may be
+    /// applied. A sender that counts as dead receives only the update about its death, because it
+    /// may itself be the one that receives no messages.
+    pub fn on_header(&mut self, now: Timestamp, header: &Header, out: &mut Vec<Outgoing>) -> bool {
+        self.last_zone_contact.insert(header.zone.clone(), now);
         let Some(member) = self.table.get(&header.zone, &header.from) else {
             return true;
         };
         if member.is_live() || header.incarnation > member.incarnation {
             return true;
         }
-        let mut answer = Outgoing::urgent(member.profile.control_address, Body::Gossip);
-        answer.updates.push(Update::of(member));
-        out.push(answer);
+        let mut reply = Outgoing::urgent(member.profile.control_address, Body::Gossip);
+        reply.updates.push(Update::of(member));
+        out.push(reply);
         false
     }
 
-    /// Merges a report; `from_zone` is the zone of the daemon that sent it.
+    /// Applies an update; `from_zone` is the zone of the daemon that sent it.
     pub fn apply(
         &mut self,
         now: Timestamp,
         update: &Update,
         from_zone: &ZoneName,
         counters: &mut Counters,
-    ) -> Merge {
+    ) -> MergeOutcome {
         if update.id == self.me.profile.id {
             self.apply_to_self(now, update, counters);
-            return Merge::Known;
+            return MergeOutcome::Unchanged;
         }
         let merge = self.table.merge(update);
-        if matches!(merge, Merge::Changed { .. }) {
-            self.after_change(now, &update.zone, &update.id);
-            self.pass_on(now, &update.zone, &update.id, from_zone);
+        if matches!(merge, MergeOutcome::Changed { .. }) {
+            self.update_timers(now, &update.zone, &update.id);
+            self.enqueue_update(now, &update.zone, &update.id, from_zone);
         }
         merge
     }
 
-    /// Refutes a report that this daemon is suspect or dead, or that an earlier process of its id
-    /// is the latest.
+    /// Refutes an update that declares this daemon suspect or dead, or that attributes a later
+    /// process start to its id. The latter is left by an earlier process whose clock was ahead.
     fn apply_to_self(&mut self, now: Timestamp, update: &Update, counters: &mut Counters) {
-        let claimed = update.incarnation;
-        let other_process = claimed.process() > self.me.incarnation.process();
-        let doubted = claimed >= self.me.incarnation && update.liveness != Liveness::Alive;
-        if other_process {
-            self.me.incarnation = crate::member::Incarnation::started_at(claimed.process() + 1);
-        } else if doubted {
-            self.me.incarnation = claimed.refuted();
+        let reported = update.incarnation;
+        let later_process = reported.process() > self.me.incarnation.process();
+        let is_suspected = reported >= self.me.incarnation && update.liveness != Liveness::Alive;
+        if later_process {
+            self.me.incarnation = crate::member::Incarnation::started_at(reported.process() + 1);
+        } else if is_suspected {
+            self.me.incarnation = reported.refuted();
         } else {
             return;
         }
         counters.refutations += 1;
         self.announce_self(true);
-        self.next_round = self.next_round.min(now + self.settings.urgent_round);
+        self.next_round = self
+            .next_round
+            .min(now + self.settings.urgent_gossip_interval);
     }
 
     fn announce_self(&mut self, urgent: bool) {
@@ -318,8 +327,8 @@
         }
     }
 
-    /// Keeps timers and marks in step with a changed record.
-    fn after_change(&mut self, now: Timestamp, zone: &ZoneName, id: &MemberId) {
+    /// Updates suspicion and tombstone timers after a record has changed.
+    fn update_timers(&mut self, now: Timestamp, zone: &ZoneName, id: &MemberId) {
         self.changed = true;
         let Some(member) = self.table.get(zone, id) else {
             return;
@@ -339,19 +348,25 @@
         }
     }
 
-    /// Queues a changed record for the own zone, and for the other zones where this is due.
-    fn pass_on(&mut self, now: Timestamp, zone: &ZoneName, id: &MemberId, from_zone: &ZoneName) {
+    /// Queues a changed record for the local zone and, if required, for the other zones.
+    fn enqueue_update(
+        &mut self,
+        now: Timestamp,
+        zone: &ZoneName,
+        id: &MemberId,
+        from_zone: &ZoneName,
+    ) {
         let Some(member) = self.table.get(zone, id) else {
             return;
         };
         let update = Update::of(member);
         let urgent = member.leaving && member.is_live();
-        let own_zone = *zone == self.me.profile.zone;
-        let local_news = *from_zone == self.me.profile.zone;
-        if own_zone && update.liveness != Liveness::Suspect && self.delegate_rank().is_some() {
+        let is_local_zone = *zone == self.me.profile.zone;
+        let from_local_zone = *from_zone == self.me.profile.zone;
+        if is_local_zone && update.liveness != Liveness::Suspect && self.delegate_rank().is_some() {
             self.zone_outbox.insert(id.clone(), update.clone());
         }
-        if self.joined || (own_zone && local_news) {
+        if self.joined || (is_local_zone && from_local_zone) {
             let transmissions = self.transmissions();
             self.queue.push(update, transmissions, urgent);
         }
@@ -360,9 +375,9 @@
 
     fn schedule_round(&mut self, now: Timestamp, urgent: bool) {
         let wait = if urgent {
-            self.settings.urgent_round
+            self.settings.urgent_gossip_interval
         } else {
-            self.settings.routine_round
+            self.settings.routine_gossip_interval
         };
         let due = now + wait;
         if self.next_round <= now || self.next_round > due {
@@ -370,7 +385,8 @@
         }
     }
 
-    /// How often a report is passed on: the logarithm of the zone's size and a few.
+    /// Returns the number of times an update is transmitted: the logarithm of the zone's size plus
+    /// a constant.
     fn transmissions(&self) -> u32 {
         let members = self.zone_size();
         usize::BITS - members.leading_zeros() + EXTRA_TRANSMISSIONS
@@ -381,7 +397,7 @@
         zone.map_or(1, crate::table::ZoneTable::live_count)
     }
 
-    /// Runs everything that is due.
+    /// Runs all timers that are due.
     pub fn advance(
         &mut self,
         now: Timestamp,
@@ -389,7 +405,7 @@
         counters: &mut Counters,
         out: &mut Vec<Outgoing>,
     ) {
-        self.forgive_own_pause(now);
+        self.handle_own_pause(now);
         self.expire_probes(now, rng, out);
         self.expire_suspicions(now, counters);
         self.expire_tombstones(now);
@@ -400,13 +416,13 @@
         self.run_rejoin(now, rng, out);
     }
 
-    /// When [`Self::advance`] has something to do next.
+    /// Returns the time at which [`Self::advance`] has to be called next.
     #[must_use]
     pub fn next_wakeup(&self) -> Timestamp {
         let timers = [self.next_probe, self.next_table_sync, self.next_rejoin];
         let mut next = timers.into_iter().min().unwrap_or(self.next_probe);
         next = next.min(self.next_zone_sync);
-        if self.has_news() {
+        if self.has_queued_updates() {
             next = next.min(self.next_round);
         }
         if let Some(due) = self.probe_due() {
@@ -418,20 +434,21 @@
         next
     }
 
-    fn has_news(&self) -> bool {
+    fn has_queued_updates(&self) -> bool {
         !self.queue.is_empty() || !self.zone_outbox.is_empty()
     }
 
-    /// After a pause of this process the silence of others proves nothing.
-    fn forgive_own_pause(&mut self, now: Timestamp) {
-        let late = now.saturating_since(self.next_wakeup());
-        if late < PAUSE_THRESHOLD {
+    /// Discards probes and extends suspicions after a pause of this process, during which it could
+    /// not receive the replies of others.
+    fn handle_own_pause(&mut self, now: Timestamp) {
+        let delay = now.saturating_since(self.next_wakeup());
+        if delay < PAUSE_THRESHOLD {
             return;
         }
         self.probe = None;
         self.relayed.clear();
         for deadline in self.suspicions.values_mut() {
-            *deadline = *deadline + late;
+            *deadline = *deadline + delay;
         }
     }
 
@@ -446,7 +463,7 @@
     }
 }
 
-/// A time from zero to `interval` by chance, so that daemons do not act in step.
+/// Returns a random duration from 0 to `interval`, which keeps daemons from acting in step.
 pub(crate) fn jitter(interval: Duration, rng: &mut impl Rng) -> Duration {
     interval.mul_f64(rng.random::<f64>())
 }
--- a/crates/membership/src/gossip/probe.rs
+++ b/crates/membership/src/gossip/probe.rs
@@ -1,4 +1,4 @@
-//! Failure detection: direct probes, indirect probes, suspicion.
+//! Failure detection: direct probes, indirect probes and suspicion.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,37 +9,37 @@
 use crate::counters::Counters;
 use crate::member::{Incarnation, Liveness, Member, MemberId};
 use crate::message::{Body, Update};
-use crate::table::Merge;
+use crate::table::MergeOutcome;
 
 use super::{Gossip, Outgoing};
 
-/// Most steps by which a daemon whose own probes fail stretches its timeouts.
-const MAX_STRETCH: u32 = 8;
-/// Probes that one daemon carries out for others at a time.
-const MAX_RELAYED: usize = 64;
+/// Maximum number of failed probes that extend the timeouts.
+const MAX_COUNTED_FAILURES: u32 = 8;
+/// Maximum number of concurrent probes made for other members.
+const MAX_RELAYED_PROBES: usize = 64;
 
-/// The probe that a daemon waits for.
+/// The direct probe in flight.
 #[derive(Clone, Debug)]
 pub(super) struct DirectProbe {
     target: MemberId,
     incarnation: Incarnation,
     sequence: u32,
-    ask_others_at: Timestamp,
-    asked_others: bool,
-    ends_at: Timestamp,
+    indirect_at: Timestamp,
+    indirect_sent: bool,
+    expires_at: Timestamp,
 }
 
-/// A probe carried out for another member.
+/// A probe made for another member.
 #[derive(Clone, Debug)]
 pub(super) struct RelayedProbe {
     requester: SocketAddr,
     requested_sequence: u32,
     own_sequence: u32,
-    ends_at: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl Gossip {
-    /// Answers a probe.
+    /// Acknowledges a probe.
     pub(crate) fn on_probe(
         &mut self,
         sequence: u32,
@@ -49,7 +49,7 @@
         out.push(Outgoing::urgent(reply_to, Body::Acknowledge(sequence)));
     }
 
-    /// Probes a member on behalf of another.
+    /// Probes a member for another member.
     pub(crate) fn on_probe_request(
         &mut self,
         now: Timestamp,
@@ -58,8 +58,8 @@
         reply_to: SocketAddr,
         out: &mut Vec<Outgoing>,
     ) {
-        self.relayed.retain(|probe| probe.ends_at > now);
-        if self.relayed.len() >= MAX_RELAYED {
+        self.relayed.retain(|probe| probe.expires_at > now);
+        if self.relayed.len() >= MAX_RELAYED_PROBES {
             return;
         }
         let own_sequence = self.next_sequence();
@@ -67,12 +67,12 @@
             requester: reply_to,
             requested_sequence,
             own_sequence,
-            ends_at: now + self.settings.probe_interval,
+            expires_at: now + self.settings.probe_interval,
         });
         out.push(Outgoing::urgent(target, Body::Probe(own_sequence)));
     }
 
-    /// Ends the probe that an acknowledgement answers.
+    /// Completes the probe that an acknowledgement belongs to.
     pub(crate) fn on_acknowledge(&mut self, sequence: u32, out: &mut Vec<Outgoing>) {
         if self
             .probe
@@ -96,14 +96,14 @@
 
     pub(super) fn probe_due(&self) -> Option<Timestamp> {
         let probe = self.probe.as_ref()?;
-        Some(if probe.asked_others {
-            probe.ends_at
+        Some(if probe.indirect_sent {
+            probe.expires_at
         } else {
-            probe.ask_others_at
+            probe.indirect_at
         })
     }
 
-    /// Starts the next probe when it is due and none is under way.
+    /// Starts the next probe if it is due and none is in flight.
     pub(super) fn start_probe(
         &mut self,
         now: Timestamp,
@@ -121,19 +121,20 @@
             return;
         };
         let sequence = self.next_sequence();
-        let timeout = self.settings.probe_timeout * self.stretch();
+        let timeout = self.settings.probe_timeout * self.timeout_factor();
         self.probe = Some(DirectProbe {
             target: target.profile.id.clone(),
             incarnation: target.incarnation,
             sequence,
-            ask_others_at: now + timeout,
-            asked_others: false,
-            ends_at: now + timeout + timeout + timeout,
+            indirect_at: now + timeout,
+            indirect_sent: false,
+            expires_at: now + timeout + timeout + timeout,
         });
-        out.push(probe_of(&target, sequence));
+        out.push(build_probe(&target, sequence));
     }
 
-    /// Goes on to indirect probes, and to suspicion when these are not answered either.
+    /// Sends indirect probes when the direct probe times out, and suspects the target when these
+    /// time out too.
     pub(super) fn expire_probes(
         &mut self,
         now: Timestamp,
@@ -143,19 +144,24 @@
         let Some(mut probe) = self.probe.take() else {
             return;
         };
-        if now >= probe.ends_at {
-            self.failed_probes = (self.failed_probes + 1).min(MAX_STRETCH);
+        if now >= probe.expires_at {
+            self.failed_probes = (self.failed_probes + 1).min(MAX_COUNTED_FAILURES);
             self.suspect(now, &probe);
             return;
         }
-        if now >= probe.ask_others_at && !probe.asked_others {
-            probe.asked_others = true;
-            self.ask_others(&probe, rng, out);
+        if now >= probe.indirect_at && !probe.indirect_sent {
+            probe.indirect_sent = true;
+            self.send_indirect_probes(&probe, rng, out);
         }
         self.probe = Some(probe);
     }
 
-    fn ask_others(&self, probe: &DirectProbe, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
+    fn send_indirect_probes(
+        &self,
+        probe: &DirectProbe,
+        rng: &mut impl Rng,
+        out: &mut Vec<Outgoing>,
+    ) {
         let zone = &self.me.profile.zone;
         let Some(target) = self.table.get(zone, &probe.target) else {
             return;
@@ -177,7 +183,7 @@
     }
 
     fn suspect(&mut self, now: Timestamp, probe: &DirectProbe) {
-        self.claim(now, &probe.target, probe.incarnation, Liveness::Suspect);
+        self.apply_local_state(now, &probe.target, probe.incarnation, Liveness::Suspect);
     }
 
     /// Declares the suspects dead that have not refuted in time.
@@ -196,13 +202,13 @@
                 continue;
             };
             counters.declared_dead += 1;
-            self.claim(now, &id, incarnation, Liveness::Dead);
+            self.apply_local_state(now, &id, incarnation, Liveness::Dead);
             self.declared_dead.push(id);
         }
     }
 
-    /// Merges a claim of this daemon about a member of its zone and passes it on.
-    fn claim(
+    /// Applies and gossips a state that this daemon assigns to a member of its zone.
+    fn apply_local_state(
         &mut self,
         now: Timestamp,
         id: &MemberId,
@@ -218,19 +224,20 @@
             leaving: false,
             profile: None,
         };
-        if matches!(self.table.merge(&update), Merge::Changed { .. }) {
-            self.after_change(now, &zone, id);
-            self.pass_on(now, &zone, id, &zone);
+        if matches!(self.table.merge(&update), MergeOutcome::Changed { .. }) {
+            self.update_timers(now, &zone, id);
+            self.enqueue_update(now, &zone, id, &zone);
         }
     }
 
-    /// Timeouts grow while this daemon's own probes fail: then it is likely the one cut off.
-    fn stretch(&self) -> u32 {
-        1 + self.failed_probes.min(MAX_STRETCH)
+    /// Returns the factor for timeouts. It grows while this daemon's own probes fail, since then
+    /// this daemon is probably the one that is cut off.
+    fn timeout_factor(&self) -> u32 {
+        1 + self.failed_probes.min(MAX_COUNTED_FAILURES)
     }
 
     pub(super) fn suspicion_timeout(&self) -> Duration {
-        self.settings.suspicion_timeout * self.stretch()
+        self.settings.suspicion_timeout * self.timeout_factor()
     }
 
     fn next_sequence(&mut self) -> u32 {
@@ -239,8 +246,9 @@
     }
 }
 
-/// A probe; a suspect is told of the suspicion, so that it can refute.
-fn probe_of(target: &Member, sequence: u32) -> Outgoing {
+/// Builds a probe. If the target is suspect, the probe carries the suspicion, which the target can
+/// refute.
+fn build_probe(target: &Member, sequence: u32) -> Outgoing {
     let mut outgoing = Outgoing::urgent(target.profile.control_address, Body::Probe(sequence));
     if target.liveness == Liveness::Suspect {
         outgoing.updates.push(Update::of(target));
--- a/crates/membership/src/gossip/choose.rs
+++ b/crates/membership/src/gossip/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of members and zones by chance.
+//! Random selection of members and zones.
 
 use rand::{Rng, RngExt};
 
@@ -6,16 +6,16 @@
 
 use super::Gossip;
 
-/// Tries to find an eligible member by chance before a round goes without one.
-const PICK_TRIES: usize = 16;
+/// Random picks made to find an eligible member before a round is skipped.
+const PICK_ATTEMPTS: usize = 16;
 
 impl Gossip {
-    /// A live member of the own zone by chance, other than this one.
+    /// Returns a random live member of the local zone other than this one.
     pub(crate) fn random_peer(&self, rng: &mut impl Rng) -> Option<&Member> {
         self.random_member(&self.me.profile.zone, rng, Member::is_live)
     }
 
-    /// A member of a zone by chance that meets a condition.
+    /// Returns a random member of a zone that satisfies a condition, never this member itself.
     pub(super) fn random_member(
         &self,
         zone: &ZoneName,
@@ -26,12 +26,12 @@
         if members.is_empty() {
             return None;
         }
-        (0..PICK_TRIES)
+        (0..PICK_ATTEMPTS)
             .map(|_| &members[rng.random_range(0..members.len())])
             .find(|member| member.profile.id != self.me.profile.id && eligible(member))
     }
 
-    /// Another zone by chance.
+    /// Returns a random other zone.
     pub(crate) fn random_zone(&self, rng: &mut impl Rng) -> Option<&ZoneName> {
         let others = self.other_zones();
         if others.is_empty() {
@@ -40,7 +40,7 @@
         Some(others[rng.random_range(0..others.len())])
     }
 
-    /// The other zones, in order of name.
+    /// Returns the other zones that have live members, in order of name.
     pub(crate) fn other_zones(&self) -> Vec<&ZoneName> {
         self.table
             .zones()
@@ -49,7 +49,8 @@
             .collect()
     }
 
-    /// A delegate of a zone by chance; now and then any member, in case every delegate is gone.
+    /// Returns a random delegate of a zone, or with a small probability any live member, in case
+    /// all its delegates have failed.
     pub(crate) fn contact_in(&self, zone: &ZoneName, rng: &mut impl Rng) -> Option<&Member> {
         const ANY_MEMBER_CHANCE: f64 = 0.1;
         let table = self.table.zone(zone)?;
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -1,11 +1,12 @@
-//! A small stable hash: FNV-1a over the bytes, then a finalizer that spreads the bits.
+//! Small stable hash: FNV-1a over the bytes, then a finalizer that spreads the bits.
 //!
-//! Every process must compute the same value, so the standard library's seeded hasher is no use.
+//! Every process has to compute the same value, which rules out the randomly seeded hasher of the
+//! standard library.
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Hashes bytes.
+/// Returns the hash of the bytes, equal in every process.
 #[must_use]
 pub fn hash_bytes(bytes: &[u8]) -> u64 {
     let folded = bytes.iter().fold(FNV_OFFSET, |hash, &byte| {
@@ -14,7 +15,7 @@
     mix(folded)
 }
 
-/// The finalizer of SplitMix64: a bijection without visible structure.
+/// Finalizer of SplitMix64, a bijection that spreads the bits of its input.
 pub(crate) const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,10 @@
 //! Gossip membership and configuration relay, sans-I/O.
 //!
-//! [`node::Node`] joins the two machines: [`gossip::Gossip`] keeps the member table (SWIM inside a
-//! zone, delegates between zones, anti-entropy by digest), [`relay::Relay`] brings each accepted
-//! configuration revision to every member and never goes back to an older one. The driver hands in
-//! the time, received bytes and what the store reports; it sends the bytes and applies the changes
-//! that come out.
+//! [`node::Node`] combines two state machines: [`gossip::Gossip`] maintains the member table (SWIM
+//! within a zone, delegates between zones, anti-entropy by digest), and [`relay::Relay`]
+//! distributes each accepted configuration revision to every member and never reverts to an older
+//! one. The driver passes in the current time, received bytes and store reports; it sends the
+//! resulting bytes and applies the resulting changes.
 
 pub mod budget;
 pub mod counters;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! Members: identity, incarnation, state and the rule by which two reports about one member merge.
+//! Members: identity, incarnation, state and the rule for merging two states of one member.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 
 use crate::hash::{hash_bytes, mix};
 
-macro_rules! shared_text {
+macro_rules! text_newtype {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The text.
+            /// Returns the text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -48,22 +48,22 @@
     };
 }
 
-shared_text! {
-    /// Identity of a daemon, unique in the deployment and kept across its restarts.
+text_newtype! {
+    /// Id of a daemon, unique in the deployment and kept across its restarts.
     MemberId
 }
-shared_text! {
+text_newtype! {
     /// Name of a zone.
     ZoneName
 }
 
-/// Bits of an [`Incarnation`] that count refutations.
+/// Number of low bits of an [`Incarnation`] that count refutations.
 const REFUTATION_BITS: u32 = 16;
 
-/// Orders what is said about one member: the process start, then the number of refutations.
+/// Version of a member's state, ordered by process start, then by number of refutations.
 ///
-/// The start is the wall clock of the member's machine in milliseconds since the Unix epoch; a
-/// member that learns of a later start under its own id takes the next higher one.
+/// The start is the wall clock of the member's machine in milliseconds since the Unix epoch. A
+/// member that learns of a later start under its own id uses that start plus one instead.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -71,33 +71,35 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// The incarnation of a process that started at this time, in milliseconds.
+    /// Creates the incarnation of a process that started at this time, in milliseconds since the
+    /// Unix epoch.
     #[must_use]
     pub const fn started_at(millis: u64) -> Self {
         Self(millis << REFUTATION_BITS)
     }
 
-    /// The start of the process, in milliseconds: what tells two processes of one member apart.
+    /// Returns the start of the process, in milliseconds since the Unix epoch. It distinguishes the
+    /// processes that a member has had.
     #[must_use]
     pub const fn process(self) -> u64 {
         self.0 >> REFUTATION_BITS
     }
 
-    /// The incarnation with which the same process refutes a report about this one.
+    /// Returns the incarnation with which the same process refutes an update about this one.
     #[must_use]
     pub const fn refuted(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 }
 
-/// Whether a member answers probes.
+/// Result of failure detection for a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Liveness {
-    /// It answers.
+    /// The member responds to probes.
     Alive,
-    /// It did not answer, and has time to refute.
+    /// The member did not respond to a probe and has time to refute.
     Suspect,
-    /// It neither answered nor refuted.
+    /// The member neither responded nor refuted in time.
     Dead,
 }
 
@@ -120,53 +122,53 @@
     }
 }
 
-/// The state of a member as routers and operators see it.
+/// State of a member for routers and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// It takes work.
+    /// The member accepts new work.
     Alive,
-    /// It did not answer a probe yet; it still takes work.
+    /// The member has not responded to a probe yet. It still accepts new work.
     Suspect,
-    /// It ends what it has and takes nothing new.
+    /// The member completes its work in flight and accepts no new work.
     Leaving,
-    /// It is gone.
+    /// The member is considered dead.
     Dead,
 }
 
-/// What stays the same for the life of a member's process.
+/// Part of a member record that is fixed while its process runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProfile {
-    /// Identity.
+    /// Id of the member.
     pub id: MemberId,
-    /// Zone that it runs in.
+    /// Zone in which the member runs.
     pub zone: ZoneName,
-    /// Service of its back end; absent at an edge.
+    /// Service of its backend; absent at an edge.
     pub service: Option<String>,
-    /// Address for calls of other daemons.
+    /// Address for calls from other daemons.
     pub call_address: SocketAddr,
-    /// Address for control messages, datagrams and streams.
+    /// Address for control messages, for datagrams and streams.
     pub control_address: SocketAddr,
-    /// Requests that its back end executes at a time.
+    /// Number of requests that its backend executes concurrently; 0 if it is not announced.
     pub slots: u32,
-    /// Connections that its back end accepts.
+    /// Number of connections that its backend accepts; 0 if it is not announced.
     pub connections: u32,
 }
 
-/// What one daemon knows of a member.
+/// Record of a member as known to one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The fixed part; shared between the copies of the table.
+    /// Immutable part; shared between copies of the table.
     pub profile: Arc<MemberProfile>,
-    /// The incarnation that the rest is about.
+    /// Incarnation to which `liveness` and `leaving` belong.
     pub incarnation: Incarnation,
-    /// Whether it answers probes.
+    /// Result of failure detection for this incarnation.
     pub liveness: Liveness,
-    /// Whether the process has said that it leaves; never taken back by the same process.
+    /// True if the process has announced that it is leaving; never withdrawn by the same process.
     pub leaving: bool,
 }
 
 impl Member {
-    /// The state in one word.
+    /// Returns the combined state; death takes precedence over leaving, and leaving over suspicion.
     #[must_use]
     pub const fn state(&self) -> MemberState {
         match (self.liveness, self.leaving) {
@@ -177,16 +179,16 @@
         }
     }
 
-    /// Whether the member is not known to be gone.
+    /// Returns true unless the member is considered dead.
     #[must_use]
     pub const fn is_live(&self) -> bool {
         !matches!(self.liveness, Liveness::Dead)
     }
 
-    /// What this record claims.
+    /// Returns the mutable part of the record.
     #[must_use]
-    pub const fn claim(&self) -> Claim {
-        Claim {
+    pub const fn versioned_state(&self) -> VersionedState {
+        VersionedState {
             incarnation: self.incarnation,
             liveness: self.liveness,
             leaving: self.leaving,
@@ -194,22 +196,22 @@
     }
 }
 
-/// The part of a report about a member that changes.
+/// Mutable part of a member record or update, versioned by its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Claim {
-    /// The incarnation that the claim is about.
+pub struct VersionedState {
+    /// Incarnation to which the rest belongs.
     pub incarnation: Incarnation,
-    /// Whether the member answers probes.
+    /// Result of failure detection for this incarnation.
     pub liveness: Liveness,
-    /// Whether the process leaves.
+    /// True if the process is leaving.
     pub leaving: bool,
 }
 
-impl Claim {
-    /// The claim that holds after both were heard, whatever their order.
+impl VersionedState {
+    /// Merges two states of one member; the result does not depend on their order.
     ///
-    /// The later process wins. Inside one process the later incarnation wins, then the worse
-    /// liveness; a leaving mark stays.
+    /// The later process wins. Within one process the later incarnation wins, then the worse
+    /// liveness. A leaving mark is kept within one process.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         let newer = if self.rank() >= other.rank() {
@@ -229,13 +231,15 @@
     }
 }
 
-/// The rendezvous score of a member for a key: the members with the highest scores are the ones chosen for it.
+/// Returns the rendezvous score of a member for a key; the members with the highest scores are
+/// selected for the key.
 #[must_use]
 pub fn rendezvous_score_for(id: &MemberId, key: &str) -> u64 {
     mix(rendezvous_score(id) ^ hash_bytes(key.as_bytes()))
 }
 
-/// The rendezvous score of a member: the highest scores of a zone make its delegates.
+/// Returns the rendezvous score of a member; the members of a zone with the highest scores are its
+/// delegates.
 pub(crate) fn rendezvous_score(id: &MemberId) -> u64 {
     hash_bytes(id.as_str().as_bytes())
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,7 +1,7 @@
 //! Control messages between daemons.
 //!
-//! One message is one CBOR document in [`wharfquay_protocol::envelope`]. Field names are one letter
-//! long, since control traffic has a budget.
+//! Each message is one CBOR document in a [`wharfquay_protocol::envelope`]. Field names on the wire
+//! are one letter long because control traffic has a byte budget.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,123 +9,125 @@
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::member::{Claim, Incarnation, Liveness, Member, MemberId, MemberProfile, ZoneName};
+use crate::member::{
+    Incarnation, Liveness, Member, MemberId, MemberProfile, VersionedState, ZoneName,
+};
 
 /// One control message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// Sender and its configuration state.
     #[serde(rename = "h")]
     pub header: Header,
-    /// Reports about members that ride along.
+    /// Member updates piggybacked on this message.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub updates: Vec<Update>,
-    /// What is said.
+    /// Content of the message.
     #[serde(rename = "b")]
     pub body: Body,
 }
 
-/// Who speaks, and which configuration it holds.
+/// Identity of the sender and the configuration that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Number of the deployment; a message of another one is foreign and is dropped.
+    /// Deployment number. Messages of another deployment are foreign and are dropped.
     #[serde(rename = "d")]
     pub deployment: u32,
-    /// The sender.
+    /// Id of the sender.
     #[serde(rename = "f")]
     pub from: MemberId,
-    /// The sender's zone.
+    /// Zone of the sender.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     #[serde(rename = "n")]
     pub incarnation: Incarnation,
-    /// Configuration revision in force at the sender; zero when it holds none.
+    /// Configuration revision in force at the sender; 0 when it holds none.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// Whether the sender has reported ready.
+    /// True once the sender has reported ready.
     #[serde(rename = "y")]
     pub ready: bool,
 }
 
-/// The matter of a message.
+/// Content of a control message, by kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Nothing beyond the updates and the header.
+    /// Carries only the header and the updates.
     #[serde(rename = "g")]
     Gossip,
-    /// Asks for an [`Body::Acknowledge`] with the same number.
+    /// Direct probe. Requests a [`Body::Acknowledge`] with the same sequence number.
     #[serde(rename = "p")]
     Probe(u32),
-    /// Asks the receiver to probe another member on the sender's behalf.
+    /// Indirect probe: requests that the receiver probes another member for the sender.
     #[serde(rename = "q")]
     ProbeRequest {
-        /// Number that the answer repeats.
+        /// Sequence number that the acknowledgement repeats.
         #[serde(rename = "s")]
         sequence: u32,
         /// Control address of the member to probe.
         #[serde(rename = "a")]
         target: SocketAddr,
     },
-    /// Answers a probe.
+    /// Reply to a probe, with the probe's sequence number.
     #[serde(rename = "k")]
     Acknowledge(u32),
-    /// Digest of the sender's whole member table; opens an anti-entropy exchange.
+    /// Digest of the sender's whole member table. Opens an anti-entropy exchange.
     #[serde(rename = "t")]
     TableHash(u64),
-    /// Digest per zone of the sender's member table: what a table hash is answered with when it
-    /// differs. Empty when it does not.
+    /// Digest of each zone in the sender's member table: the reply to a differing table hash, or
+    /// the opening of an exchange by a joining daemon. Empty if the two tables agree.
     #[serde(rename = "d")]
     TableDigest(Vec<ZoneDigest>),
-    /// Digests of the buckets of one zone in which sender and receiver differ.
+    /// Bucket digests of one zone whose digest differs between sender and receiver.
     #[serde(rename = "e")]
     BucketDigests {
-        /// The zone.
+        /// Zone that the digests cover.
         #[serde(rename = "z")]
         zone: ZoneName,
-        /// One digest for each bucket.
+        /// One digest per bucket, in bucket order.
         #[serde(rename = "b")]
         buckets: Vec<u64>,
     },
-    /// What the sender knows of the members in some buckets of a zone, without their profiles.
+    /// Members known to the sender in some buckets of a zone, without their profiles.
     #[serde(rename = "s")]
     BucketSummary {
-        /// The zone.
+        /// Zone of the members.
         #[serde(rename = "z")]
         zone: ZoneName,
-        /// The buckets.
+        /// Indices of the buckets that are covered.
         #[serde(rename = "b")]
         buckets: Vec<u8>,
-        /// The members.
+        /// Live members in these buckets.
         #[serde(rename = "m")]
         entries: Vec<SummaryEntry>,
     },
-    /// Whole records, and the ids of members of which the sender wants a record.
+    /// Complete member records, and ids of members whose records the sender requests.
     #[serde(rename = "r")]
     Records {
-        /// Zone of the wanted members.
+        /// Zone of the requested members.
         #[serde(rename = "z")]
         zone: ZoneName,
-        /// The records.
+        /// Complete records; they may belong to any zone.
         #[serde(rename = "u")]
         records: Vec<Update>,
-        /// The wanted members.
+        /// Ids of the requested members.
         #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
         wanted: Vec<MemberId>,
     },
-    /// Configuration changes, pushed or asked for.
+    /// Configuration changes, either pushed or sent as the reply to a pull.
     #[serde(rename = "c")]
     Changes(Changes),
-    /// Asks for all changes after this revision.
+    /// Requests all configuration changes after this revision.
     #[serde(rename = "l")]
     Pull(u64),
-    /// Asks which revision the receiver holds; any message answers by its header.
+    /// Requests the receiver's revision. Any message serves as the reply, by its header.
     #[serde(rename = "a")]
-    Ask,
-    /// Tells the revision that the header names.
+    RevisionRequest,
+    /// Announces the sender's revision, which the header carries.
     #[serde(rename = "o")]
-    Holding,
-    /// What delegates know of the revisions in force in zones.
+    RevisionAnnouncement,
+    /// Configuration revisions in force per zone, as counted by delegates.
     #[serde(rename = "v")]
     ZoneReports(Vec<ZoneReport>),
 }
@@ -133,87 +135,88 @@
 /// Digest of one zone's members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDigest {
-    /// The zone.
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// Digest over its live members.
+    /// Digest over the zone's live members.
     #[serde(rename = "d")]
     pub digest: u64,
 }
 
-/// A member's claim without its profile.
+/// State of a live member without its profile.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SummaryEntry {
-    /// The member.
+    /// Id of the member.
     #[serde(rename = "i")]
     pub id: MemberId,
-    /// Its incarnation.
+    /// Incarnation of the member.
     #[serde(rename = "n")]
     pub incarnation: Incarnation,
-    /// Whether its process leaves.
+    /// True if the member's process is leaving.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
     pub leaving: bool,
 }
 
-/// The revision in force in one zone, as counted by its delegates.
+/// Configuration revisions in force in one zone, as counted by its delegates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneReport {
-    /// The zone.
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// The delegate that counted.
+    /// Id of the delegate that counted.
     #[serde(rename = "c")]
     pub counted_by: MemberId,
-    /// Whether the counts cover the whole zone or only the members that report to `counted_by`.
+    /// True if the counts cover the whole zone, false if only the members that report to
+    /// `counted_by`.
     #[serde(rename = "w")]
-    pub whole: bool,
+    pub complete: bool,
     /// Time since the count, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u64,
-    /// Members that reported.
+    /// Number of members that reported.
     #[serde(rename = "m")]
     pub members: u32,
-    /// Members among them that are ready.
+    /// Number of those members that are ready.
     #[serde(rename = "y")]
     pub ready: u32,
-    /// Lowest revision in force among the ready ones; zero when none is ready.
+    /// Lowest revision in force among the ready members; 0 when none is ready.
     #[serde(rename = "l")]
     pub lowest: u64,
-    /// Highest revision in force among the ready ones.
+    /// Highest revision in force among the ready members; 0 when none is ready.
     #[serde(rename = "h")]
     pub highest: u64,
-    /// Contact of the zone's reader with the store: nothing when no reader has tried.
+    /// True if a reader of the zone is in contact with the store; absent when none has tried yet.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub store_contact: Option<bool>,
 }
 
-/// A report about one member.
+/// Update about one member, as gossip and anti-entropy carry it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The member.
+    /// Id of the member.
     #[serde(rename = "i")]
     pub id: MemberId,
-    /// Its zone.
+    /// Zone of the member.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// The incarnation that the report is about.
+    /// Incarnation that the update is about.
     #[serde(rename = "n")]
     pub incarnation: Incarnation,
-    /// Whether it answers.
+    /// Result of failure detection for this incarnation.
     #[serde(rename = "s")]
     pub liveness: Liveness,
-    /// Whether its process leaves.
+    /// True if the member's process is leaving.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
     pub leaving: bool,
-    /// The fixed part; absent in reports of death.
+    /// Immutable part of the record; absent if the member is dead.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub profile: Option<UpdateProfile>,
 }
 
-/// The fixed part of a member in a report.
+/// Immutable part of a member record, without the id and zone that the update already carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpdateProfile {
-    /// Service of its back end.
+    /// Service of the member's backend; absent at an edge.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
     /// Address for calls.
@@ -222,10 +225,10 @@
     /// Address for control messages.
     #[serde(rename = "c")]
     pub control_address: SocketAddr,
-    /// Requests that its back end executes at a time.
+    /// Number of requests that the backend executes concurrently; 0 if it is not announced.
     #[serde(rename = "n")]
     pub slots: u32,
-    /// Connections that its back end accepts.
+    /// Number of connections that the backend accepts; 0 if it is not announced.
     #[serde(rename = "m")]
     pub connections: u32,
 }
@@ -239,7 +242,7 @@
 }
 
 impl Update {
-    /// The report of a member as it stands in a table.
+    /// Creates the update that describes a member record.
     #[must_use]
     pub fn of(member: &Member) -> Self {
         let profile = &member.profile;
@@ -260,17 +263,17 @@
         }
     }
 
-    /// The part that changes.
+    /// Returns the mutable part of the update.
     #[must_use]
-    pub const fn claim(&self) -> Claim {
-        Claim {
+    pub const fn versioned_state(&self) -> VersionedState {
+        VersionedState {
             incarnation: self.incarnation,
             liveness: self.liveness,
             leaving: self.leaving,
         }
     }
 
-    /// The fixed part as a member's profile, where the report has one.
+    /// Returns the member's full profile, or `None` if the update carries none.
     #[must_use]
     pub fn member_profile(&self) -> Option<MemberProfile> {
         let fixed = self.profile.as_ref()?;
@@ -289,10 +292,10 @@
 /// Configuration changes: a snapshot where the receiver needs one, then deltas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// A whole configuration.
+    /// Whole configuration; absent when the deltas alone suffice.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub snapshot: Option<Snapshot>,
-    /// Changes in order of revision.
+    /// Deltas in order of revision.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub deltas: Vec<Delta>,
 }
@@ -300,18 +303,19 @@
 /// A whole accepted configuration at one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision.
+    /// Revision of the configuration.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// The configuration, opaque to this crate.
+    /// Encoded configuration, opaque to this crate.
     #[serde(rename = "p")]
     pub payload: Payload,
 }
 
-/// What changed between two revisions.
+/// Difference between two configuration revisions.
 ///
-/// The payload holds the new form of every object that changed after `previous`, up to `revision`,
-/// so it may be applied to any configuration from `previous` up to, but not including, `revision`.
+/// The payload holds the new form of every object that changed after `previous`, up to and
+/// including `revision`. It can therefore be applied to any configuration from `previous` up to,
+/// but not including, `revision`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Revision before the change.
@@ -320,7 +324,7 @@
     /// Revision after the change.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// The change, opaque to this crate.
+    /// Encoded change, opaque to this crate.
     #[serde(rename = "p")]
     pub payload: Payload,
 }
@@ -330,7 +334,7 @@
 pub struct Payload(Arc<[u8]>);
 
 impl Payload {
-    /// The bytes.
+    /// Returns the bytes.
     #[must_use]
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
--- a/crates/membership/src/node/upkeep.rs
+++ b/crates/membership/src/node/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic work beside gossip: the wait for readiness, reports of revisions, the choice of readers.
+//! Periodic work besides gossip: readiness queries, revision reports and the selection of readers.
 
 use std::time::Duration;
 
@@ -9,42 +9,42 @@
 use crate::hash::hash_bytes;
 use crate::member::{MemberId, ZoneName};
 use crate::message::{Body, ZoneReport};
-use crate::relay::report::delegate_for;
+use crate::relay::reports::delegate_for;
 
 use super::{Effect, Node};
 
-/// Time between two rounds of upkeep in a running daemon.
-const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two rounds of upkeep in a starting daemon.
-const STARTING_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two exchanges of a delegate's counts.
-const EXCHANGE_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two maintenance rounds of a daemon that is ready.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two maintenance rounds of a daemon that is not ready yet.
+const STARTING_MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two exchanges of revision counts by a delegate.
+const COUNT_EXCHANGE_INTERVAL: Duration = Duration::from_secs(2);
 /// Report intervals after which an unchanged revision is reported again.
 const UNCHANGED_REPORT_INTERVALS: u32 = 6;
-/// Report intervals after which a silent member no longer counts.
-const FORGOTTEN_AFTER_INTERVALS: u32 = 20;
-/// Age up to which another zone's report is passed on to the zone's delegates.
-const FRESH_REPORT: Duration = Duration::from_millis(2_500);
+/// Report intervals without a report after which a member is no longer counted.
+const SILENT_MEMBER_INTERVALS: u32 = 20;
+/// Maximum age of another zone's report that is still forwarded to the delegates of the local zone.
+const MAX_FORWARDED_REPORT_AGE: Duration = Duration::from_millis(2_500);
 
 impl Node {
-    pub(super) fn run_upkeep(
+    pub(super) fn run_maintenance(
         &mut self,
         now: Timestamp,
         rng: &mut impl Rng,
         out: &mut Vec<Outgoing>,
         effects: &mut Vec<Effect>,
     ) {
-        if now < self.next_upkeep {
+        if now < self.next_maintenance {
             return;
         }
         if self.is_ready() {
-            self.next_upkeep = now + UPKEEP_INTERVAL;
+            self.next_maintenance = now + MAINTENANCE_INTERVAL;
         } else {
-            self.next_upkeep = now + STARTING_INTERVAL;
+            self.next_maintenance = now + STARTING_MAINTENANCE_INTERVAL;
             if self.gossip.is_joined() {
                 self.gossip.contact_seed(out);
             }
-            self.ask_peers(rng, out);
+            self.query_peers(rng, out);
             let relayed = self.relay.pull_first(now, rng);
             self.apply_relay(relayed, rng, out, effects);
         }
@@ -54,16 +54,16 @@
             self.relay.reports_mut().set_store_contact(None);
             effects.push(Effect::Read(should_read));
         }
-        if self.gossip.delegate_rank().is_some() && now >= self.next_exchange {
-            self.next_exchange = now + EXCHANGE_INTERVAL;
-            self.exchange_reports(now, rng, out);
+        if self.gossip.delegate_rank().is_some() && now >= self.next_count_exchange {
+            self.next_count_exchange = now + COUNT_EXCHANGE_INTERVAL;
+            self.exchange_counts(now, rng, out);
         }
     }
 
-    /// Asks peers of the own zone, then of others, which revision they hold.
-    fn ask_peers(&mut self, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
-        if self.gossip.is_zone_known() {
-            self.relay.readiness_mut().members_known();
+    /// Queries peers of the local zone, then of other zones, for the revision that they hold.
+    fn query_peers(&mut self, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
+        if self.gossip.is_local_zone_known() {
+            self.relay.readiness_mut().record_members_known();
         }
         let wanted = self.settings.readiness_peers;
         let zone_share = wanted.div_ceil(3) * 2;
@@ -79,14 +79,14 @@
             };
             let (id, address) = (peer.profile.id.clone(), peer.profile.control_address);
             let readiness = self.relay.readiness_mut();
-            if readiness.has_asked(&id) || readiness.asked_count() < wanted {
-                readiness.asked(id);
-                out.push(Outgoing::urgent(address, Body::Ask));
+            if readiness.was_queried(&id) || readiness.queried_count() < wanted {
+                readiness.record_query(id);
+                out.push(Outgoing::urgent(address, Body::RevisionRequest));
             }
         }
     }
 
-    /// Tells the delegate that counts this member which revision is in force here.
+    /// Reports the revision in force to the delegate that counts this member.
     pub(super) fn run_report(&mut self, now: Timestamp, out: &mut Vec<Outgoing>) {
         if now < self.next_report {
             return;
@@ -101,23 +101,23 @@
         self.reports_skipped = 0;
         let me = self.me().profile.id.clone();
         let (revision, ready) = (self.revision(), self.is_ready());
-        let Some(delegate) = self.own_delegate() else {
+        let Some(delegate) = self.assigned_delegate() else {
             return;
         };
         if delegate == me {
             self.relay.reports_mut().member(now, &me, revision, ready);
         } else if let Some(to) = self.address_of(&self.me().profile.zone, &delegate) {
-            out.push(Outgoing::routine(to, Body::Holding));
+            out.push(Outgoing::routine(to, Body::RevisionAnnouncement));
         }
     }
 
-    fn own_delegate(&self) -> Option<MemberId> {
+    fn assigned_delegate(&self) -> Option<MemberId> {
         let me = &self.me().profile;
         let delegates = self.table().zone(&me.zone)?.delegates();
         delegate_for(&me.id, delegates).cloned()
     }
 
-    /// Time between two reports: longer in a large zone, so that a delegate's load is bounded.
+    /// Returns the time between two reports. It grows with the zone to bound a delegate's load.
     fn report_interval(&self) -> Duration {
         let zone = self.table().zone(&self.me().profile.zone);
         let members = zone.map_or(1, crate::table::ZoneTable::live_count);
@@ -126,32 +126,34 @@
         Duration::from_micros(micros).max(self.settings.report_interval)
     }
 
-    /// Counts the zone, shares the count with the zone's other delegates and with one other zone.
-    fn exchange_reports(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
+    /// Counts the zone's revisions and sends the counts to the zone's other delegates and to one
+    /// other zone.
+    fn exchange_counts(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
         let me = self.me().profile.clone();
-        let limit = self.report_interval() * FORGOTTEN_AFTER_INTERVALS;
+        let limit = self.report_interval() * SILENT_MEMBER_INTERVALS;
         let part = self.relay.reports_mut().count(now, &me.zone, &me.id, limit);
         let mut shared = vec![part];
         shared.extend(self.fresh_reports(now, &me.zone));
         for to in self.other_delegates(&me.zone, &me.id) {
             out.push(Outgoing::routine(to, Body::ZoneReports(shared.clone())));
         }
-        let whole = self.relay.reports().zone(now, &me.zone);
+        let complete = self.relay.reports().zone(now, &me.zone);
         let contact = self
             .gossip
             .random_zone(rng)
             .and_then(|zone| self.gossip.contact_in(zone, rng));
-        if let (Some(whole), Some(contact)) = (whole, contact) {
+        if let (Some(complete), Some(contact)) = (complete, contact) {
             let to = contact.profile.control_address;
-            out.push(Outgoing::routine(to, Body::ZoneReports(vec![whole])));
+            out.push(Outgoing::routine(to, Body::ZoneReports(vec![complete])));
         }
     }
 
-    fn fresh_reports(&self, now: Timestamp, own_zone: &ZoneName) -> Vec<ZoneReport> {
-        let fresh = |report: &ZoneReport| Duration::from_millis(report.age_ms) <= FRESH_REPORT;
+    fn fresh_reports(&self, now: Timestamp, local_zone: &ZoneName) -> Vec<ZoneReport> {
+        let fresh =
+            |report: &ZoneReport| Duration::from_millis(report.age_ms) <= MAX_FORWARDED_REPORT_AGE;
         let reports = self.relay.reports().zones(now).into_iter();
         reports
-            .filter(|report| report.zone != *own_zone)
+            .filter(|report| report.zone != *local_zone)
             .filter(fresh)
             .collect()
     }
@@ -164,11 +166,12 @@
         others.filter_map(|id| self.address_of(zone, id)).collect()
     }
 
-    /// Whether this daemon is among the readers of the store.
+    /// Returns true if this daemon is one of the readers of the store.
     ///
-    /// The first delegates of the first zones by rendezvous read. A zone whose readers have no
-    /// contact with the store keeps trying; the next zone in order reads in its place, and so do the
-    /// other delegates of the zone itself: the store may refuse some machines and serve the others.
+    /// Readers are the first delegates of the first zones in rendezvous order. A zone whose readers
+    /// have no contact with the store keeps trying. Meanwhile the next zone in order reads too, and
+    /// so do the other delegates of the zone itself, because the store may refuse some machines and
+    /// serve others.
     fn should_read(&self, now: Timestamp) -> bool {
         let Some(rank) = self.gossip.delegate_rank() else {
             return false;
@@ -176,11 +179,11 @@
         if !self.relay.may_read_store(now) {
             return false;
         }
-        let own_zone = &self.me().profile.zone;
+        let local_zone = &self.me().profile.zone;
         let mut zones: Vec<&ZoneName> = self
             .table()
             .zones()
-            .filter(|(zone, table)| *zone == own_zone || table.live_count() > 0)
+            .filter(|(zone, table)| *zone == local_zone || table.live_count() > 0)
             .map(|(zone, _)| zone)
             .filter(|zone| self.gossip.is_zone_reachable(now, zone))
             .collect();
@@ -191,27 +194,28 @@
         if rank >= per_zone && !self.do_delegates_lack_store(now, rank) {
             return false;
         }
-        let position = zones.iter().position(|zone| *zone == own_zone);
-        zones.retain(|zone| *zone == own_zone || !self.lacks_store(now, zone));
-        let among_working = zones.iter().position(|zone| *zone == own_zone);
+        let position = zones.iter().position(|zone| *zone == local_zone);
+        zones.retain(|zone| *zone == local_zone || !self.lacks_store(now, zone));
+        let among_working = zones.iter().position(|zone| *zone == local_zone);
         let chosen = |position: Option<usize>| position.is_some_and(|at| at < zone_count);
         chosen(position) || chosen(among_working)
     }
 
-    /// Whether the first `count` delegates of the own zone all say that they can't read the store.
+    /// Returns true if the first `count` delegates of the local zone all report no contact with the
+    /// store.
     fn do_delegates_lack_store(&self, now: Timestamp, count: usize) -> bool {
         let Some(table) = self.table().zone(&self.me().profile.zone) else {
             return false;
         };
-        let oldest = now - self.settings.zone_silence;
+        let oldest = now - self.settings.min_zone_timeout;
         let mut before = table.delegates().iter().take(count);
         before.all(|id| self.relay.reports().contact_of(id, oldest) == Some(false))
     }
 
     fn lacks_store(&self, now: Timestamp, zone: &ZoneName) -> bool {
-        let silence = self.settings.zone_silence;
+        let timeout = self.settings.min_zone_timeout;
         self.relay.reports().zone(now, zone).is_some_and(|report| {
-            report.store_contact == Some(false) && Duration::from_millis(report.age_ms) < silence
+            report.store_contact == Some(false) && Duration::from_millis(report.age_ms) < timeout
         })
     }
 }
--- a/crates/membership/src/node/mod.rs
+++ b/crates/membership/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One daemon's control plane: membership and configuration relay over one set of messages.
+//! Control plane of one daemon: membership and configuration relay over one set of messages.
 
+mod maintenance;
 mod send;
-mod upkeep;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,89 +17,89 @@
 use crate::gossip::{Gossip, Outgoing, Seed};
 use crate::member::{Incarnation, Liveness, Member, MemberId, MemberProfile, ZoneName};
 use crate::message::{Body, Changes, Delta, Message, Payload, Snapshot, ZoneReport};
-use crate::relay::report::delegate_for;
+use crate::relay::reports::delegate_for;
 use crate::relay::{Relay, RelayEffect, StoreReport};
 use crate::settings::Settings;
 use crate::table::MemberTable;
 
-/// How a message travels.
+/// Transport of a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
-    /// In one datagram.
+    /// One UDP datagram.
     Datagram,
-    /// Over a stream, since it is too large for a datagram.
+    /// A stream, for messages larger than a datagram.
     Stream,
 }
 
-/// What the driver must do.
+/// An action that the driver must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send these bytes to a control address.
+    /// Send an encoded message to a control address.
     Send {
         /// The receiver's control address.
         to: SocketAddr,
-        /// How they travel.
+        /// The transport to use.
         channel: Channel,
-        /// The encoded message.
+        /// The encoded message, version byte included.
         bytes: Vec<u8>,
     },
-    /// The member table changed: read [`Node::table`].
+    /// The member table changed; read it from [`Node::table`].
     MembersChanged,
-    /// This daemon declared a member dead after a suspicion; for the log.
+    /// This daemon declared a member dead because its suspicion expired. For the log.
     DeclaredDead(MemberId),
     /// Put a whole configuration in force.
     AdoptSnapshot(Snapshot),
     /// Apply a delta to the configuration in force.
     AdoptDelta(Delta),
-    /// This daemon is ready with this revision.
+    /// This daemon became ready with this configuration revision.
     Ready(u64),
-    /// Start or stop reading the store.
+    /// Start (`true`) or stop (`false`) reading the store.
     Read(bool),
     /// Read the whole configuration from the store.
     ReadSnapshot,
-    /// The store is older than the configuration in force and is ignored.
+    /// The store reported a revision older than the one in force; its report is ignored.
     StoreOlder {
         /// The store's revision.
         store: u64,
         /// The revision in force.
         held: u64,
     },
-    /// Hand in a snapshot of the revision in force through [`Node::compacted`].
+    /// Pass a snapshot of this revision, the one in force, to [`Node::compacted`].
     Compact(u64),
-    /// A message was dropped; for the log.
+    /// A received message was dropped. For the log.
     Dropped {
-        /// Where it came from.
+        /// Address that the message came from.
         source: SocketAddr,
-        /// Why it was dropped.
+        /// Reason for the drop.
         reason: DropReason,
     },
 }
 
-/// Why a message was dropped.
+/// Reason for which a received message was dropped.
 #[derive(Clone, Debug, displaydoc::Display, PartialEq, Eq)]
 pub enum DropReason {
-    /// it can't be decoded: {0}
+    /// the message can't be decoded: {0}
     Malformed(DecodeError),
-    /// it has message version {0}
+    /// the message has unsupported version {0}
     ForeignVersion(u8),
-    /// it belongs to deployment {0}
+    /// the message belongs to another deployment, {0}
     ForeignDeployment(u32),
-    /// it bears this daemon's own id
+    /// the message carries this daemon's own id as its sender
     OwnId,
 }
 
 impl std::error::Error for DropReason {}
 
-/// What a daemon is told about itself when it starts.
+/// Identity of a daemon, fixed when it starts.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The fixed part of its member record.
+    /// Immutable part of its member record.
     pub profile: MemberProfile,
-    /// Wall clock of its start, in milliseconds since the Unix epoch.
+    /// Start of the process by the wall clock, in milliseconds since the Unix epoch.
     pub started_at_ms: u64,
 }
 
-/// The control plane of one daemon.
+/// Control plane of one daemon, a state machine driven by messages and timers.
 #[derive(Clone, Debug)]
 pub struct Node {
     settings: Settings,
@@ -108,15 +108,15 @@
     budget: ByteBudget,
     counters: Counters,
     reading: bool,
-    next_upkeep: Timestamp,
+    next_maintenance: Timestamp,
     next_report: Timestamp,
-    next_exchange: Timestamp,
+    next_count_exchange: Timestamp,
     reported_revision: u64,
     reports_skipped: u32,
 }
 
 impl Node {
-    /// A daemon that starts now with an empty memory.
+    /// Creates a starting daemon that knows its seeds but no other member and no configuration.
     pub fn new(
         settings: Settings,
         identity: Identity,
@@ -136,9 +136,9 @@
             budget: ByteBudget::new(settings.bytes_per_second, settings.burst_bytes, now),
             counters: Counters::default(),
             reading: false,
-            next_upkeep: now,
+            next_maintenance: now,
             next_report: now + crate::gossip::jitter(settings.report_interval, rng),
-            next_exchange: now,
+            next_count_exchange: now,
             reported_revision: 0,
             reports_skipped: 0,
             settings,
@@ -150,7 +150,7 @@
         self.gossip.preload(table, now, rng);
     }
 
-    /// Takes a configuration before anything runs, as if a peer had sent it. Nothing is passed on.
+    /// Adopts a configuration before the node runs, as if a peer had sent it. It is not relayed.
     pub fn preload_configuration(&mut self, now: Timestamp, snapshot: Snapshot) {
         let from = self.me().profile.id.clone();
         let changes = Changes {
@@ -160,55 +160,55 @@
         self.relay.on_changes(now, &from, &changes);
     }
 
-    /// What is known of all members.
+    /// Returns the known members of all zones.
     #[must_use]
     pub const fn table(&self) -> &MemberTable {
         self.gossip.table()
     }
 
-    /// This daemon's own record.
+    /// Returns this daemon's own record.
     #[must_use]
     pub const fn me(&self) -> &Member {
         self.gossip.me()
     }
 
-    /// Configuration revision in force; zero when none is held.
+    /// Returns the configuration revision in force; 0 while no configuration is held.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.relay.revision()
     }
 
-    /// Whether the daemon has reported ready.
+    /// Returns true once the daemon has reported ready.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
         self.relay.is_ready()
     }
 
-    /// Whether this daemon should read the store.
+    /// Returns true if this daemon is currently selected to read the store.
     #[must_use]
     pub const fn is_reader(&self) -> bool {
         self.reading
     }
 
-    /// Counters since the start.
+    /// Returns the traffic counters since the start.
     #[must_use]
     pub const fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The latest report of each zone; filled at delegates.
+    /// Returns the latest report of each zone. Only delegates receive such reports.
     #[must_use]
     pub fn zone_reports(&self, now: Timestamp) -> Vec<ZoneReport> {
         self.relay.reports().zones(now)
     }
 
-    /// Bytes that member table and configuration take.
+    /// Returns the approximate memory of the member table and the configuration, in bytes.
     #[must_use]
     pub fn memory(&self) -> usize {
         self.table().memory() + self.relay.memory() + size_of::<Self>()
     }
 
-    /// Puts other seeds in place: the settings file's and the machine list's.
+    /// Replaces the seeds, which come from the settings file and the machine list.
     pub fn set_seeds(&mut self, seeds: Vec<Seed>) {
         self.gossip.set_seeds(seeds);
     }
@@ -219,7 +219,7 @@
         self.advance(now, rng)
     }
 
-    /// Takes what a reader got from the store.
+    /// Processes data that this daemon, as a reader, got from the store.
     pub fn on_store(
         &mut self,
         now: Timestamp,
@@ -231,29 +231,30 @@
         let mut effects = Vec::new();
         let mut out = Vec::new();
         self.apply_relay(relayed, rng, &mut out, &mut effects);
-        self.finish(now, out, &mut effects);
+        self.flush(now, out, &mut effects);
         effects
     }
 
-    /// Notes whether this daemon, as a reader, is in contact with the store.
+    /// Records whether this daemon, as a reader, is in contact with the store.
     ///
-    /// A change is told to the zone's other delegates at once, since one of them may have to read instead.
+    /// A change is reported to the other delegates of the zone immediately, since one of them may
+    /// have to read instead.
     pub fn store_contact(&mut self, contact: bool) {
         let reports = self.relay.reports_mut();
         if reports.store_contact() == Some(contact) {
             return;
         }
         reports.set_store_contact(Some(contact));
-        self.next_exchange = Timestamp::ZERO;
-        self.next_upkeep = Timestamp::ZERO;
+        self.next_count_exchange = Timestamp::ZERO;
+        self.next_maintenance = Timestamp::ZERO;
     }
 
-    /// Takes a snapshot of the revision in force, as asked for by [`Effect::Compact`].
+    /// Accepts a snapshot of the revision in force, as requested by [`Effect::Compact`].
     pub fn compacted(&mut self, revision: u64, payload: Payload) {
         self.relay.compacted(revision, payload);
     }
 
-    /// Takes a received message. Malformed and foreign ones are counted and dropped.
+    /// Processes a received message. Malformed and foreign messages are counted and dropped.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -269,8 +270,8 @@
         self.counters.bytes_received += send::bytes_on_wire(bytes.len());
         let mut effects = Vec::new();
         let mut out = Vec::new();
-        self.take(now, source, &message, rng, &mut out, &mut effects);
-        self.finish(now, out, &mut effects);
+        self.handle_message(now, source, &message, rng, &mut out, &mut effects);
+        self.flush(now, out, &mut effects);
         effects
     }
 
@@ -298,7 +299,7 @@
         Ok(message)
     }
 
-    fn take(
+    fn handle_message(
         &mut self,
         now: Timestamp,
         source: SocketAddr,
@@ -308,22 +309,22 @@
         effects: &mut Vec<Effect>,
     ) {
         let header = &message.header;
-        if self.gossip.heard(now, header, out) {
+        if self.gossip.on_header(now, header, out) {
             for update in &message.updates {
                 let counters = &mut self.counters;
                 self.gossip.apply(now, update, &header.zone, counters);
             }
         }
-        self.note_report(now, message);
-        let heard = self
+        self.record_member_revision(now, message);
+        let relayed = self
             .relay
-            .heard(now, &header.from, header.revision, header.ready);
-        self.apply_relay(heard, rng, out, effects);
+            .on_header(now, &header.from, header.revision, header.ready);
+        self.apply_relay(relayed, rng, out, effects);
         let reply_to = self
             .address_of(&header.zone, &header.from)
             .unwrap_or(source);
         match &message.body {
-            Body::Gossip | Body::Holding => {}
+            Body::Gossip | Body::RevisionAnnouncement => {}
             Body::Changes(changes) => {
                 let relayed = self.relay.on_changes(now, &header.from, changes);
                 self.apply_relay(relayed, rng, out, effects);
@@ -332,26 +333,28 @@
                 let changes = self.relay.on_pull(&header.from, *held);
                 self.reply_changes(reply_to, changes, out);
             }
-            Body::Ask => out.push(Outgoing::urgent(reply_to, Body::Holding)),
-            Body::ZoneReports(reports) => self.take_reports(now, reports),
-            _ => self.take_gossip(now, reply_to, message, rng, out),
+            Body::RevisionRequest => {
+                out.push(Outgoing::urgent(reply_to, Body::RevisionAnnouncement))
+            }
+            Body::ZoneReports(reports) => self.handle_zone_reports(now, reports),
+            _ => self.handle_gossip(now, reply_to, message, rng, out),
         }
     }
 
-    fn take_reports(&mut self, now: Timestamp, reports: &[ZoneReport]) {
+    fn handle_zone_reports(&mut self, now: Timestamp, reports: &[ZoneReport]) {
         for report in reports {
             let counted_at = now - Duration::from_millis(report.age_ms);
-            self.gossip.heard_of_zone(&report.zone, counted_at);
-            let oldest = now - self.settings.zone_silence;
+            self.gossip.record_zone_contact(&report.zone, counted_at);
+            let oldest = now - self.settings.min_zone_timeout;
             let known = self.relay.reports().contact_of(&report.counted_by, oldest);
-            if !report.whole && report.store_contact != known {
-                self.next_upkeep = now;
+            if !report.complete && report.store_contact != known {
+                self.next_maintenance = now;
             }
             self.relay.reports_mut().received(now, report.clone());
         }
     }
 
-    fn take_gossip(
+    fn handle_gossip(
         &mut self,
         now: Timestamp,
         reply_to: SocketAddr,
@@ -391,8 +394,8 @@
         }
     }
 
-    /// Counts the sender's revision where this daemon is the delegate that it reports to.
-    fn note_report(&mut self, now: Timestamp, message: &Message) {
+    /// Records the sender's revision if this daemon is the delegate that the sender reports to.
+    fn record_member_revision(&mut self, now: Timestamp, message: &Message) {
         let header = &message.header;
         let me = &self.me().profile;
         if header.zone != me.zone {
@@ -408,27 +411,27 @@
         delegate_for(member, self.table().zone(zone)?.delegates())
     }
 
-    /// Runs everything that is due.
+    /// Runs all timers that are due.
     pub fn advance(&mut self, now: Timestamp, rng: &mut impl Rng) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut out = Vec::new();
         self.gossip.advance(now, rng, &mut self.counters, &mut out);
         let relayed = self.relay.advance(now);
         self.apply_relay(relayed, rng, &mut out, &mut effects);
-        self.run_upkeep(now, rng, &mut out, &mut effects);
+        self.run_maintenance(now, rng, &mut out, &mut effects);
         self.run_report(now, &mut out);
-        self.finish(now, out, &mut effects);
+        self.flush(now, out, &mut effects);
         effects
     }
 
-    /// When [`Self::advance`] has something to do next.
+    /// Returns the time at which [`Self::advance`] has to be called next.
     #[must_use]
     pub fn next_wakeup(&self) -> Timestamp {
         let mut next = self.gossip.next_wakeup().min(self.next_report);
         if let Some(due) = self.relay.next_wakeup() {
             next = next.min(due);
         }
-        next.min(self.next_upkeep)
+        next.min(self.next_maintenance)
     }
 
     fn apply_relay(
--- a/crates/membership/src/node/send.rs
+++ b/crates/membership/src/node/send.rs
@@ -1,4 +1,4 @@
-//! Choice of receivers, and encoding of messages under the byte budget.
+//! Selection of receivers, and encoding of messages under the byte budget.
 
 use std::net::SocketAddr;
 
@@ -14,14 +14,14 @@
 
 use super::{Channel, Effect, Node};
 
-/// Tries to find a peer that may lack a revision for each wanted one.
-const TRIES_PER_PEER: usize = 4;
-/// Zones to which a delegate names a new revision after a push.
+/// Random picks made per wanted peer to find peers that may lack a revision.
+const ATTEMPTS_PER_PEER: usize = 4;
+/// Zones to which a delegate announces a new revision after a push.
 const ANNOUNCED_ZONES: usize = 2;
 
-/// Bytes that a message takes on the network.
+/// Returns the bytes that a message of this length takes on the network, headers included.
 pub(super) fn bytes_on_wire(length: usize) -> u64 {
-    // One packet's headers for each full packet, also on a stream.
+    // Counts one packet header per full packet, also for streams.
     let packets = length.div_ceil(MAX_DATAGRAM).max(1);
     u64::try_from(length + packets * DATAGRAM_OVERHEAD).unwrap_or(u64::MAX)
 }
@@ -32,10 +32,11 @@
         Some(member.profile.control_address)
     }
 
-    /// The control address of a member whose zone is not at hand: its own zone first.
+    /// Returns the control address of a member whose zone is unknown. Searches the local zone
+    /// first.
     fn find_address(&self, id: &MemberId) -> Option<SocketAddr> {
-        let own_zone = &self.me().profile.zone;
-        self.address_of(own_zone, id).or_else(|| {
+        let local_zone = &self.me().profile.zone;
+        self.address_of(local_zone, id).or_else(|| {
             let mut tables = self.table().zones();
             tables.find_map(|(zone, _)| self.address_of(zone, id))
         })
@@ -49,7 +50,7 @@
         out: &mut Vec<Outgoing>,
     ) {
         let body = Body::Changes(changes.clone());
-        for to in self.peers_without(self.settings.change_fanout, rng) {
+        for to in self.peers_lacking_revision(self.settings.change_fanout, rng) {
             out.push(Outgoing::urgent(to, body.clone()));
         }
         if self.gossip.delegate_rank().is_some() {
@@ -59,21 +60,21 @@
         }
     }
 
-    /// Names the revision in force to some peers, which pull when they lack it.
+    /// Announces the revision in force to some peers, which pull it if they lack it.
     pub(super) fn announce(&self, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
-        let mut targets = self.peers_without(self.settings.announcements, rng);
+        let mut targets = self.peers_lacking_revision(self.settings.announcement_fanout, rng);
         if self.gossip.delegate_rank().is_some() {
             targets.extend(self.zone_contacts(ANNOUNCED_ZONES, rng));
         }
         for to in targets {
-            out.push(Outgoing::urgent(to, Body::Holding));
+            out.push(Outgoing::urgent(to, Body::RevisionAnnouncement));
         }
     }
 
-    /// Peers of the zone by chance that are not known to hold the revision in force.
-    fn peers_without(&self, wanted: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    /// Returns random peers of the zone that are not known to hold the revision in force.
+    fn peers_lacking_revision(&self, wanted: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let mut peers = Vec::with_capacity(wanted);
-        for _ in 0..wanted * TRIES_PER_PEER {
+        for _ in 0..wanted * ATTEMPTS_PER_PEER {
             if peers.len() == wanted {
                 break;
             }
@@ -88,7 +89,7 @@
         peers
     }
 
-    /// A contact in each of some other zones.
+    /// Returns one contact in each of up to `wanted` random other zones.
     fn zone_contacts(&self, wanted: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let mut zones: Vec<ZoneName> = self.gossip.other_zones().into_iter().cloned().collect();
         rand::seq::SliceRandom::shuffle(zones.as_mut_slice(), rng);
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sends the answer of a pull to the address that it came from.
+    /// Sends the reply to a pull to the address that the pull came from.
     pub(super) fn reply_changes(
         &self,
         reply_to: SocketAddr,
@@ -127,8 +128,8 @@
         }
     }
 
-    /// Encodes what is to be sent and reports a changed table.
-    pub(super) fn finish(&mut self, now: Timestamp, out: Vec<Outgoing>, effects: &mut Vec<Effect>) {
+    /// Sends the collected messages and reports changes of the member table as effects.
+    pub(super) fn flush(&mut self, now: Timestamp, out: Vec<Outgoing>, effects: &mut Vec<Effect>) {
         for outgoing in out {
             self.send(now, outgoing, effects);
         }
@@ -141,13 +142,13 @@
 
     fn send(&mut self, now: Timestamp, outgoing: Outgoing, effects: &mut Vec<Effect>) {
         if outgoing.class == TrafficClass::Routine && !self.budget.allows_routine(now) {
-            self.counters.held_back += 1;
+            self.counters.dropped_by_budget += 1;
             return;
         }
         let mut updates = outgoing.updates;
         if matches!(
             outgoing.body,
-            Body::Probe(_) | Body::Acknowledge(_) | Body::Holding
+            Body::Probe(_) | Body::Acknowledge(_) | Body::RevisionAnnouncement
         ) {
             updates.extend(self.gossip.piggyback());
         }
@@ -156,7 +157,7 @@
             updates,
             body: outgoing.body,
         };
-        // Every message is made of types that CBOR can express.
+        // Encoding can't fail: CBOR can express every type in a message.
         let Ok(bytes) = envelope::encode(&message) else {
             return;
         };
--- a/crates/membership/src/queue.rs
+++ b/crates/membership/src/queue.rs
@@ -1,4 +1,4 @@
-//! Reports about members that wait to be passed on, each a bounded number of times.
+//! Queue of member updates to gossip, each transmitted a bounded number of times.
 
 use std::collections::BTreeMap;
 
@@ -7,69 +7,69 @@
 use crate::member::MemberId;
 use crate::message::Update;
 
-/// Most reports that wait; beyond it routine reports that were sent most are left to anti-entropy.
-const CAPACITY: usize = 2_048;
+/// Maximum number of queued updates. Above it the routine updates sent most often are dropped;
+/// anti-entropy distributes them instead.
+const MAX_QUEUED: usize = 2_048;
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedUpdate {
     update: Update,
     length: usize,
     transmissions_left: u32,
     urgent: bool,
 }
 
-/// The reports that wait, at most one for each member.
+/// Queued updates, at most one per member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpdateQueue {
-    waiting: BTreeMap<MemberId, Waiting>,
+    queued: BTreeMap<MemberId, QueuedUpdate>,
 }
 
 impl UpdateQueue {
-    /// Puts a report in place of an earlier one about the same member.
+    /// Adds an update, replacing an earlier one about the same member.
     pub(crate) fn push(&mut self, update: Update, transmissions: u32, urgent: bool) {
         let length = encoded_length(&update);
-        let waiting = Waiting {
+        let queued = QueuedUpdate {
             update,
             length,
             transmissions_left: transmissions,
             urgent,
         };
-        self.waiting.insert(waiting.update.id.clone(), waiting);
-        if self.waiting.len() > CAPACITY {
-            self.drop_most_sent();
+        self.queued.insert(queued.update.id.clone(), queued);
+        if self.queued.len() > MAX_QUEUED {
+            self.drop_most_transmitted();
         }
     }
 
-    /// Whether nothing waits.
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Whether an urgent report waits.
+    /// Returns true if an urgent update is queued.
     pub(crate) fn has_urgent(&self) -> bool {
-        self.waiting.values().any(|waiting| waiting.urgent)
+        self.queued.values().any(|queued| queued.urgent)
     }
 
-    /// Takes reports of at most `bytes` bytes in total for `copies` messages: urgent ones first,
-    /// then those sent least.
+    /// Takes updates of at most `bytes` bytes in total for `copies` messages. Urgent updates come
+    /// first, then those transmitted least often.
     pub(crate) fn take(&mut self, bytes: usize, copies: u32, urgent_only: bool) -> Vec<Update> {
         let mut order: Vec<(bool, u32, MemberId)> = self
-            .waiting
+            .queued
             .iter()
-            .filter(|(_, waiting)| waiting.urgent || !urgent_only)
-            .map(|(id, waiting)| {
+            .filter(|(_, queued)| queued.urgent || !urgent_only)
+            .map(|(id, queued)| {
                 (
-                    !waiting.urgent,
-                    u32::MAX - waiting.transmissions_left,
+                    !queued.urgent,
+                    u32::MAX - queued.transmissions_left,
                     id.clone(),
                 )
             })
             .collect();
         order.sort_unstable();
-        let mut left = bytes;
+        let mut remaining = bytes;
         let mut taken = Vec::new();
         for (_, _, id) in order {
-            let Some(update) = self.take_one(&id, &mut left, copies) else {
+            let Some(update) = self.take_one(&id, &mut remaining, copies) else {
                 break;
             };
             taken.push(update);
@@ -77,33 +77,33 @@
         taken
     }
 
-    fn take_one(&mut self, id: &MemberId, left: &mut usize, copies: u32) -> Option<Update> {
-        let waiting = self.waiting.get_mut(id)?;
-        *left = left.checked_sub(waiting.length)?;
-        let update = waiting.update.clone();
-        waiting.transmissions_left = waiting.transmissions_left.saturating_sub(copies);
-        if waiting.transmissions_left == 0 {
-            self.waiting.remove(id);
+    fn take_one(&mut self, id: &MemberId, remaining: &mut usize, copies: u32) -> Option<Update> {
+        let queued = self.queued.get_mut(id)?;
+        *remaining = remaining.checked_sub(queued.length)?;
+        let update = queued.update.clone();
+        queued.transmissions_left = queued.transmissions_left.saturating_sub(copies);
+        if queued.transmissions_left == 0 {
+            self.queued.remove(id);
         }
         Some(update)
     }
 
-    fn drop_most_sent(&mut self) {
-        let most_sent = self
-            .waiting
+    fn drop_most_transmitted(&mut self) {
+        let most_transmitted = self
+            .queued
             .iter()
-            .min_by_key(|(_, waiting)| (waiting.urgent, waiting.transmissions_left))
+            .min_by_key(|(_, queued)| (queued.urgent, queued.transmissions_left))
             .map(|(id, _)| id.clone());
-        if let Some(id) = most_sent {
-            self.waiting.remove(&id);
+        if let Some(id) = most_transmitted {
+            self.queued.remove(&id);
         }
     }
 }
 
-/// Bytes that a report takes inside a message.
+/// Returns the encoded length of an update within a message, in bytes.
 pub(crate) fn encoded_length(update: &Update) -> usize {
     let mut bytes = Vec::with_capacity(160);
-    // Writing to a Vec can't fail, and a report holds no type that CBOR lacks.
+    // Writing to a Vec can't fail, and CBOR can express every type in an update.
     match into_writer(update, &mut bytes) {
         Ok(()) => bytes.len(),
         Err(_) => usize::MAX,
--- a/crates/membership/src/relay/log.rs
+++ b/crates/membership/src/relay/log.rs
@@ -1,26 +1,26 @@
-//! The configuration that a daemon holds: a snapshot and the deltas after it, opaque to this crate.
+//! Configuration held by a daemon: a snapshot and the deltas after it, opaque to this crate.
 
 use std::collections::VecDeque;
 
 use crate::message::{Changes, Delta, Snapshot};
 
-/// Deltas kept for peers that lag.
-const KEPT_DELTAS: usize = 128;
-/// Bytes of deltas kept for peers that lag.
-const KEPT_DELTA_BYTES: usize = 256 * 1_024;
+/// Maximum number of deltas retained for peers that lag behind.
+const MAX_RETAINED_DELTAS: usize = 128;
+/// Maximum size of the retained deltas, in bytes.
+const MAX_RETAINED_DELTA_BYTES: usize = 256 * 1_024;
 
-/// What came of an offered change.
+/// Result of applying a snapshot or a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Adoption {
-    /// It is in force now.
+    /// The change is now in force.
     Adopted,
     /// The revision in force is the same or newer.
     NotNewer,
-    /// It is newer, but changes between are missing.
+    /// The change is newer, but changes before it are missing.
     Gap,
 }
 
-/// A snapshot and what came after it. The revision only grows.
+/// Snapshot and the deltas that follow it. Its revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     base: Option<Snapshot>,
@@ -30,14 +30,14 @@
 }
 
 impl ChangeLog {
-    /// Revision in force; zero when nothing is held.
+    /// Returns the revision in force; 0 while no configuration is held.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes a snapshot when it is newer.
-    pub fn offer_snapshot(&mut self, snapshot: &Snapshot) -> Adoption {
+    /// Applies a snapshot if it is newer than the revision in force.
+    pub fn apply_snapshot(&mut self, snapshot: &Snapshot) -> Adoption {
         if snapshot.revision <= self.revision {
             return Adoption::NotNewer;
         }
@@ -48,8 +48,8 @@
         Adoption::Adopted
     }
 
-    /// Takes a delta when it is newer and leaves no gap.
-    pub fn offer_delta(&mut self, delta: &Delta) -> Adoption {
+    /// Applies a delta if it is newer than the revision in force and leaves no gap.
+    pub fn apply_delta(&mut self, delta: &Delta) -> Adoption {
         if delta.revision <= self.revision {
             return Adoption::NotNewer;
         }
@@ -62,15 +62,15 @@
         Adoption::Adopted
     }
 
-    /// What a peer that holds `held` lacks: deltas where they reach back far enough, else a
-    /// snapshot and the deltas after it.
+    /// Returns the changes that a peer at revision `held` lacks: deltas if the retained ones reach
+    /// back to `held`, otherwise a snapshot and the deltas after it.
     #[must_use]
-    pub fn since(&self, held: u64) -> Changes {
-        let reaches_back = self
+    pub fn changes_since(&self, held: u64) -> Changes {
+        let covers_held = self
             .deltas
             .front()
             .is_some_and(|oldest| oldest.previous <= held);
-        let after = if held > 0 && reaches_back {
+        let after = if held > 0 && covers_held {
             held
         } else {
             self.base.as_ref().map_or(0, |base| base.revision)
@@ -82,21 +82,23 @@
         }
     }
 
-    /// Whether the driver should hand in a snapshot of the revision in force, so that the deltas
-    /// before it can be dropped.
+    /// Returns true if the driver should provide a snapshot of the revision in force, which allows
+    /// older deltas to be dropped.
     #[must_use]
-    pub fn wants_compaction(&self) -> bool {
-        self.deltas.len() > KEPT_DELTAS || self.delta_bytes > KEPT_DELTA_BYTES
+    pub fn needs_compaction(&self) -> bool {
+        self.deltas.len() > MAX_RETAINED_DELTAS || self.delta_bytes > MAX_RETAINED_DELTA_BYTES
     }
 
-    /// Takes a snapshot of the revision in force in place of the deltas. Half of the kept deltas
-    /// stay for peers that lag.
+    /// Replaces the base with a snapshot of the revision in force. Up to half of the retained
+    /// deltas are kept for peers that lag behind.
     pub fn compact(&mut self, snapshot: Snapshot) {
         if snapshot.revision != self.revision {
             return;
         }
         self.base = Some(snapshot);
-        while self.deltas.len() > KEPT_DELTAS / 2 || self.delta_bytes > KEPT_DELTA_BYTES / 2 {
+        while self.deltas.len() > MAX_RETAINED_DELTAS / 2
+            || self.delta_bytes > MAX_RETAINED_DELTA_BYTES / 2
+        {
             let Some(dropped) = self.deltas.pop_front() else {
                 return;
             };
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Bytes held.
+    /// Returns the size of the held configuration, in bytes.
     #[must_use]
     pub fn memory(&self) -> usize {
         let base = self
--- a/crates/membership/src/relay/mod.rs
+++ b/crates/membership/src/relay/mod.rs
@@ -1,12 +1,13 @@
-//! Configuration relay: every accepted revision reaches every daemon, and none goes back.
+//! Configuration relay: distributes every accepted revision to every daemon and never reverts one.
 //!
-//! Adoption is monotonic by revision whoever sends a change, so a reader that was paused or deposed
-//! does no harm and no lease guards safety. Daemons push a change to a few peers when they adopt
-//! it, name their revision in every message, and pull what they lack from whoever names a newer one.
+//! Adoption is monotonic by revision, no matter who sends a change. A reader that was paused or
+//! replaced therefore does no harm, and no lease is needed for safety. Daemons push a change to a
+//! few peers when they adopt it, carry their revision in every message header, and pull the changes
+//! that they lack from any peer with a newer revision.
 
 pub mod log;
 pub mod readiness;
-pub mod report;
+pub mod reports;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,25 +22,25 @@
 
 use log::{Adoption, ChangeLog};
 use readiness::Readiness;
-use report::Reports;
+use reports::Reports;
 
-/// Wait for the answer to a pull before another peer is asked.
+/// Time to wait for the reply to a pull before another peer is asked.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Wait for the answer to a pull that must bring a snapshot.
+/// Time to wait for the reply to a pull that has to return a snapshot.
 const SNAPSHOT_PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a reader got from the store, already validated.
+/// Data that a reader got from the store, already validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReport {
     /// The whole accepted configuration.
     Snapshot(Snapshot),
-    /// Changes since the last report of this reader.
+    /// Changes since this reader's previous report.
     Delta(Delta),
-    /// The store's revision, without content: a bookmark or an answer to a health check.
+    /// The store's revision without content, from a bookmark or a health check.
     Revision(u64),
 }
 
-/// What the driver or the other machine must do.
+/// An action for the driver or for the [`crate::node::Node`] that owns this relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RelayEffect {
     /// Put a whole configuration in force.
@@ -48,128 +49,134 @@
     AdoptDelta(Delta),
     /// Send changes to peers that may lack them.
     Push(Changes),
-    /// Tell some peers which revision is in force here.
+    /// Announce the revision in force to some peers.
     Announce,
-    /// Ask this peer for everything after the revision in force.
+    /// Request all changes after the revision in force from this peer.
     Pull(MemberId),
-    /// Send this peer what it lacks.
+    /// Send this peer the changes that it lacks.
     Reply(MemberId, Changes),
-    /// The daemon is ready with this revision.
+    /// The daemon became ready with this configuration revision.
     Ready(u64),
-    /// The store is older than the configuration in force; it is ignored until it is newer.
+    /// The store is older than the configuration in force and is ignored until it is newer.
     StoreOlder {
         /// The store's revision.
         store: u64,
         /// The revision in force.
         held: u64,
     },
-    /// Hand in a snapshot of the revision in force through [`Relay::compacted`].
+    /// Pass a snapshot of this revision, the one in force, to [`Relay::compacted`].
     Compact(u64),
-    /// Hand in a whole snapshot: the store went back, so its deltas can't be trusted to fit.
+    /// Read a whole snapshot from the store. Requested when the store's changes leave a gap, and
+    /// when its revision decreased, since its deltas may then not apply to the configuration in
+    /// force.
     ReadSnapshot,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct OpenPull {
-    asked_at: Timestamp,
+struct PendingPull {
+    requested_at: Timestamp,
     timeout: Duration,
 }
 
-/// The relay machine of one daemon.
+/// Configuration relay of one daemon, a state machine.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    announce_after: Duration,
+    announcement_delay: Duration,
     log: ChangeLog,
     readiness: Readiness,
     reports: Reports,
     holders: BTreeSet<MemberId>,
-    pull: Option<OpenPull>,
+    pull: Option<PendingPull>,
     announce_at: Option<Timestamp>,
-    store_went_back: bool,
-    compaction_asked: bool,
+    store_regressed: bool,
+    compaction_requested: bool,
 }
 
 impl Relay {
-    /// A daemon that starts now and holds nothing.
+    /// Creates the relay of a starting daemon that holds no configuration.
     #[must_use]
     pub fn new(settings: &Settings, now: Timestamp) -> Self {
         Self {
-            announce_after: settings.announce_after,
+            announcement_delay: settings.announcement_delay,
             log: ChangeLog::default(),
-            readiness: Readiness::new(now, settings.settle_time, settings.readiness_limit),
+            readiness: Readiness::new(
+                now,
+                settings.min_readiness_wait,
+                settings.max_readiness_wait,
+            ),
             reports: Reports::default(),
             holders: BTreeSet::new(),
             pull: None,
             announce_at: None,
-            store_went_back: false,
-            compaction_asked: false,
+            store_regressed: false,
+            compaction_requested: false,
         }
     }
 
-    /// Revision in force; zero when nothing is held.
+    /// Returns the revision in force; 0 while no configuration is held.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.log.revision()
     }
 
-    /// Whether the daemon has reported ready.
+    /// Returns true once the daemon has reported ready.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
         self.readiness.is_ready()
     }
 
-    /// Whether a reader may read the store; see [`Readiness::may_read_store`].
+    /// Returns true if a reader may read the store; see [`Readiness::may_read_store`].
     #[must_use]
     pub fn may_read_store(&self, now: Timestamp) -> bool {
         self.readiness.may_read_store(now, self.revision())
     }
 
-    /// The wait of a starting daemon.
+    /// Returns the readiness state, for recording queries and replies.
     pub const fn readiness_mut(&mut self) -> &mut Readiness {
         &mut self.readiness
     }
 
-    /// What is known of the revisions in force in zones.
+    /// Returns the known revisions in force per zone.
     #[must_use]
     pub const fn reports(&self) -> &Reports {
         &self.reports
     }
 
-    /// What is known of the revisions in force in zones, to add to it.
+    /// Returns the known revisions in force per zone, for recording new reports.
     pub const fn reports_mut(&mut self) -> &mut Reports {
         &mut self.reports
     }
 
-    /// Whether this peer is known to hold the revision in force, or a newer one.
+    /// Returns true if this peer is known to hold the revision in force or a newer one.
     #[must_use]
     pub fn is_holder(&self, peer: &MemberId) -> bool {
         self.holders.contains(peer)
     }
 
-    /// Bytes of configuration held for peers.
+    /// Returns the size of the configuration held for peers, in bytes.
     #[must_use]
     pub fn memory(&self) -> usize {
         self.log.memory()
     }
 
-    /// Takes what a reader got from the store.
+    /// Processes data that this daemon, as a reader, got from the store.
     pub fn on_store(&mut self, now: Timestamp, report: &StoreReport) -> Vec<RelayEffect> {
         let store = match report {
             StoreReport::Snapshot(snapshot) => snapshot.revision,
             StoreReport::Delta(delta) => delta.revision,
             StoreReport::Revision(revision) => *revision,
         };
-        self.readiness.store_answered(store);
+        self.readiness.record_store_revision(store);
         let mut effects = Vec::new();
         if store < self.revision() {
-            self.store_went_back = true;
+            self.store_regressed = true;
             let held = self.revision();
             effects.push(RelayEffect::StoreOlder { store, held });
             return effects;
         }
         let adoption = match report {
             StoreReport::Snapshot(snapshot) => self.adopt_snapshot(now, snapshot, &mut effects),
-            StoreReport::Delta(_) if self.store_went_back => Adoption::Gap,
+            StoreReport::Delta(_) if self.store_regressed => Adoption::Gap,
             StoreReport::Delta(delta) => self.adopt_delta(now, delta, &mut effects),
             StoreReport::Revision(revision) if *revision > self.revision() => Adoption::Gap,
             StoreReport::Revision(_) => Adoption::NotNewer,
@@ -181,7 +188,7 @@
         effects
     }
 
-    /// Takes changes from a peer.
+    /// Processes changes received from a peer.
     pub fn on_changes(
         &mut self,
         now: Timestamp,
@@ -198,7 +205,7 @@
         if self.revision() > before {
             self.pull = None;
         }
-        // A daemon that holds nothing chooses its source in `pull_first`.
+        // A daemon without a configuration selects its source in `pull_first`.
         if gap && before > 0 {
             self.start_pull(now, from, &mut effects);
         }
@@ -206,8 +213,8 @@
         effects
     }
 
-    /// Takes notice of the revision that a message's sender holds.
-    pub fn heard(
+    /// Processes the revision and readiness in a received message header.
+    pub fn on_header(
         &mut self,
         now: Timestamp,
         from: &MemberId,
@@ -215,7 +222,7 @@
         ready: bool,
     ) -> Vec<RelayEffect> {
         let mut effects = Vec::new();
-        self.readiness.answered(from, revision, ready);
+        self.readiness.record_reply(from, revision, ready);
         if revision >= self.revision() && revision > 0 {
             self.holders.insert(from.clone());
         }
@@ -225,8 +232,9 @@
         effects
     }
 
-    /// Asks for the first configuration: from one of the peers that named the highest revision by
-    /// chance, since a snapshot is large and daemons that start together have the same seeds.
+    /// Pulls the first configuration from a random one of the peers that reported the highest
+    /// revision. The choice is random because a snapshot is large and daemons that start together
+    /// have the same seeds.
     pub fn pull_first(&mut self, now: Timestamp, rng: &mut impl Rng) -> Vec<RelayEffect> {
         let mut effects = Vec::new();
         if self.revision() > 0 {
@@ -239,41 +247,44 @@
         effects
     }
 
-    /// Answers a peer that asks for what follows `held`.
+    /// Returns the reply to a peer that requests the changes after `held`; empty if it lacks none.
     #[must_use]
     pub fn on_pull(&self, from: &MemberId, held: u64) -> Vec<RelayEffect> {
         if held >= self.revision() {
             return Vec::new();
         }
-        vec![RelayEffect::Reply(from.clone(), self.log.since(held))]
+        vec![RelayEffect::Reply(
+            from.clone(),
+            self.log.changes_since(held),
+        )]
     }
 
-    /// Takes a snapshot of the revision in force, as asked for by [`RelayEffect::Compact`].
+    /// Accepts a snapshot of the revision in force, as requested by [`RelayEffect::Compact`].
     pub fn compacted(&mut self, revision: u64, payload: Payload) {
-        self.compaction_asked = false;
+        self.compaction_requested = false;
         self.log.compact(Snapshot { revision, payload });
     }
 
-    /// Runs what is due.
+    /// Runs all timers that are due and re-evaluates readiness.
     pub fn advance(&mut self, now: Timestamp) -> Vec<RelayEffect> {
         let mut effects = Vec::new();
         if self.announce_at.is_some_and(|due| due <= now) {
             self.announce_at = None;
             effects.push(RelayEffect::Announce);
         }
-        if self.readiness.decide(now, self.revision()) {
+        if self.readiness.try_become_ready(now, self.revision()) {
             effects.push(RelayEffect::Ready(self.revision()));
         }
         effects
     }
 
-    /// When [`Self::advance`] has something to do next, readiness apart.
+    /// Returns the time of the next announcement, if one is scheduled. Readiness is not covered.
     #[must_use]
     pub const fn next_wakeup(&self) -> Option<Timestamp> {
         self.announce_at
     }
 
-    /// Takes deltas in order; returns whether one leaves a gap.
+    /// Applies deltas in order up to the first gap; returns true if there is one.
     fn adopt_deltas(
         &mut self,
         now: Timestamp,
@@ -291,10 +302,10 @@
         snapshot: &Snapshot,
         effects: &mut Vec<RelayEffect>,
     ) -> Adoption {
-        let adoption = self.log.offer_snapshot(snapshot);
+        let adoption = self.log.apply_snapshot(snapshot);
         if adoption == Adoption::Adopted {
             effects.push(RelayEffect::AdoptSnapshot(snapshot.clone()));
-            self.note_adoption(now);
+            self.record_adoption(now);
         }
         adoption
     }
@@ -305,21 +316,21 @@
         delta: &Delta,
         effects: &mut Vec<RelayEffect>,
     ) -> Adoption {
-        let adoption = self.log.offer_delta(delta);
+        let adoption = self.log.apply_delta(delta);
         if adoption == Adoption::Adopted {
             effects.push(RelayEffect::AdoptDelta(delta.clone()));
-            self.note_adoption(now);
+            self.record_adoption(now);
         }
         adoption
     }
 
-    fn note_adoption(&mut self, now: Timestamp) {
+    fn record_adoption(&mut self, now: Timestamp) {
         self.holders.clear();
-        self.store_went_back = false;
-        self.announce_at = Some(now + self.announce_after);
+        self.store_regressed = false;
+        self.announce_at = Some(now + self.announcement_delay);
     }
 
-    /// Pushes the adopted deltas as one message, and asks for compaction where it is due.
+    /// Pushes the adopted deltas as one message, and requests compaction if needed.
     fn after_adoption(&mut self, now: Timestamp, effects: &mut Vec<RelayEffect>) {
         let deltas: Vec<Delta> = effects
             .iter()
@@ -334,20 +345,20 @@
                 deltas,
             }));
         }
-        if self.log.wants_compaction() && !self.compaction_asked {
-            self.compaction_asked = true;
+        if self.log.needs_compaction() && !self.compaction_requested {
+            self.compaction_requested = true;
             effects.push(RelayEffect::Compact(self.revision()));
         }
-        if self.readiness.decide(now, self.revision()) {
+        if self.readiness.try_become_ready(now, self.revision()) {
             effects.push(RelayEffect::Ready(self.revision()));
         }
     }
 
     fn start_pull(&mut self, now: Timestamp, from: &MemberId, effects: &mut Vec<RelayEffect>) {
-        let open = self
+        let pending = self
             .pull
-            .is_some_and(|pull| now.saturating_since(pull.asked_at) < pull.timeout);
-        if open {
+            .is_some_and(|pull| now.saturating_since(pull.requested_at) < pull.timeout);
+        if pending {
             return;
         }
         let timeout = if self.revision() == 0 {
@@ -355,8 +366,8 @@
         } else {
             PULL_TIMEOUT
         };
-        self.pull = Some(OpenPull {
-            asked_at: now,
+        self.pull = Some(PendingPull {
+            requested_at: now,
             timeout,
         });
         effects.push(RelayEffect::Pull(from.clone()));
--- a/crates/membership/src/relay/readiness.rs
+++ b/crates/membership/src/relay/readiness.rs
@@ -1,9 +1,10 @@
-//! When a starting daemon may report ready.
+//! Decides when a starting daemon may report ready.
 //!
-//! It asks some peers. It is ready once a majority of them has answered from knowledge (a peer that
-//! is itself starting knows nothing and does not count, unless the store has answered too) and it
-//! holds the highest revision that anybody has named. After a bounded wait those that answered at all are enough. A
-//! daemon that holds no configuration is never ready.
+//! A starting daemon queries some peers. It becomes ready once a majority of them has sent an
+//! informed reply and it holds the highest revision that any reply or the store reported. The reply
+//! of a peer that is itself starting is uninformed and does not count, unless the store has replied
+//! too. After a bounded wait a single informed reply, from a peer or the store, is enough. A daemon
+//! without a configuration is never ready.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,157 +13,166 @@
 
 use crate::member::MemberId;
 
-/// What a peer answered.
+/// Reply of a peer to a revision query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Answer {
+struct RevisionReply {
     revision: u64,
     ready: bool,
 }
 
-/// The readiness of a daemon; once ready, it stays so.
+/// Readiness state of a daemon. Once ready, it stays ready.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     started: Timestamp,
-    settle_time: Duration,
-    limit: Duration,
-    asked: BTreeSet<MemberId>,
-    answers: BTreeMap<MemberId, Answer>,
-    store: Option<u64>,
+    min_readiness_wait: Duration,
+    max_readiness_wait: Duration,
+    queried: BTreeSet<MemberId>,
+    replies: BTreeMap<MemberId, RevisionReply>,
+    store_revision: Option<u64>,
     members_known: bool,
     ready: bool,
 }
 
 impl Readiness {
-    /// A daemon that starts now.
+    /// Creates the state of a daemon that starts now.
     #[must_use]
-    pub const fn new(started: Timestamp, settle_time: Duration, limit: Duration) -> Self {
+    pub const fn new(
+        started: Timestamp,
+        min_readiness_wait: Duration,
+        max_readiness_wait: Duration,
+    ) -> Self {
         Self {
             started,
-            settle_time,
-            limit,
-            asked: BTreeSet::new(),
-            answers: BTreeMap::new(),
-            store: None,
+            min_readiness_wait,
+            max_readiness_wait,
+            queried: BTreeSet::new(),
+            replies: BTreeMap::new(),
+            store_revision: None,
             members_known: false,
             ready: false,
         }
     }
 
-    /// Whether the daemon has reported ready.
+    /// Returns true once the daemon has reported ready.
     #[must_use]
     pub const fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Notes that the member table has been filled, so that the asked peers are a fair sample.
-    pub const fn members_known(&mut self) {
+    /// Records that the member table has been filled, which makes the queried peers a
+    /// representative sample.
+    pub const fn record_members_known(&mut self) {
         self.members_known = true;
     }
 
-    /// Notes that a peer has been asked.
-    pub fn asked(&mut self, peer: MemberId) {
+    /// Records that a peer has been queried.
+    pub fn record_query(&mut self, peer: MemberId) {
         if !self.ready {
-            self.asked.insert(peer);
+            self.queried.insert(peer);
         }
     }
 
-    /// Whether this peer has been asked.
+    /// Returns true if this peer has been queried.
     #[must_use]
-    pub fn has_asked(&self, peer: &MemberId) -> bool {
-        self.asked.contains(peer)
+    pub fn was_queried(&self, peer: &MemberId) -> bool {
+        self.queried.contains(peer)
     }
 
-    /// Number of peers that have been asked.
+    /// Returns the number of queried peers.
     #[must_use]
-    pub fn asked_count(&self) -> usize {
-        self.asked.len()
+    pub fn queried_count(&self) -> usize {
+        self.queried.len()
     }
 
-    /// Notes the revision that a peer named.
-    pub fn answered(&mut self, peer: &MemberId, revision: u64, ready: bool) {
+    /// Records the revision and readiness that a peer reported.
+    pub fn record_reply(&mut self, peer: &MemberId, revision: u64, ready: bool) {
         if !self.ready {
-            self.answers
-                .insert(peer.clone(), Answer { revision, ready });
+            self.replies
+                .insert(peer.clone(), RevisionReply { revision, ready });
         }
     }
 
-    /// Notes the revision that the store named.
-    pub fn store_answered(&mut self, revision: u64) {
+    /// Records the revision that the store reported.
+    pub fn record_store_revision(&mut self, revision: u64) {
         if !self.ready {
-            self.store = Some(self.store.unwrap_or(0).max(revision));
+            self.store_revision = Some(self.store_revision.unwrap_or(0).max(revision));
         }
     }
 
-    /// The highest revision that anybody has named.
+    /// Returns the highest revision reported by a peer or the store.
     #[must_use]
     pub fn highest(&self) -> u64 {
-        let peers = self.answers.values().map(|answer| answer.revision).max();
-        peers.unwrap_or(0).max(self.store.unwrap_or(0))
+        let peers = self.replies.values().map(|reply| reply.revision).max();
+        peers.unwrap_or(0).max(self.store_revision.unwrap_or(0))
     }
 
-    /// Whether a reader may read the store: it first takes the configuration of its peers, since the
-    /// store does not hold the last good form of a rejected resource.
+    /// Returns true if a reader may read the store. It takes the configuration of its peers first,
+    /// because the store does not hold the last good form of a rejected resource.
     #[must_use]
     pub fn may_read_store(&self, now: Timestamp, held: u64) -> bool {
         if self.ready || held > 0 {
             return true;
         }
-        let late = now.saturating_since(self.started) >= self.limit;
-        let peers_hold = self.answers.values().any(|answer| answer.revision > 0);
-        let answered = |peer: &&MemberId| self.answers.contains_key(*peer);
-        let heard = self.asked.iter().filter(answered).count();
-        let asked_enough = self.members_known && heard * 2 >= self.asked.len();
-        late || (asked_enough && !peers_hold)
+        let timed_out = now.saturating_since(self.started) >= self.max_readiness_wait;
+        let peers_hold = self.replies.values().any(|reply| reply.revision > 0);
+        let replied = |peer: &&MemberId| self.replies.contains_key(*peer);
+        let reply_count = self.queried.iter().filter(replied).count();
+        let enough_replies = self.members_known && reply_count * 2 >= self.queried.len();
+        timed_out || (enough_replies && !peers_hold)
     }
 
-    /// The peers that named the highest revision, if any named one.
+    /// Returns the peers that reported the highest revision; empty while none reported one above 0.
     #[must_use]
     pub fn best_sources(&self) -> Vec<&MemberId> {
-        let highest = self.answers.values().map(|answer| answer.revision).max();
+        let highest = self.replies.values().map(|reply| reply.revision).max();
         let best = highest.filter(|&revision| revision > 0);
-        let holds_best = |answer: &Answer| Some(answer.revision) == best;
-        let answers = self.answers.iter();
-        answers
-            .filter(|(_, answer)| holds_best(answer))
+        let holds_best = |reply: &RevisionReply| Some(reply.revision) == best;
+        let replies = self.replies.iter();
+        replies
+            .filter(|(_, reply)| holds_best(reply))
             .map(|(peer, _)| peer)
             .collect()
     }
 
-    /// Becomes ready when the rule allows it; returns whether this call did it.
-    pub fn decide(&mut self, now: Timestamp, held: u64) -> bool {
+    /// Becomes ready if the rule allows it; returns true if this call made the change.
+    pub fn try_become_ready(&mut self, now: Timestamp, held: u64) -> bool {
         if self.ready || held == 0 || held < self.highest() {
             return false;
         }
         let waited = now.saturating_since(self.started);
-        if waited < self.settle_time {
+        if waited < self.min_readiness_wait {
             return false;
         }
-        let late = waited >= self.limit;
-        let answered = self.majority_answered() || (late && self.anybody_answered());
-        if !answered {
+        let timed_out = waited >= self.max_readiness_wait;
+        let replied = self.majority_replied() || (timed_out && self.any_informed_reply());
+        if !replied {
             return false;
         }
         self.ready = true;
-        self.asked.clear();
-        self.answers.clear();
+        self.queried.clear();
+        self.replies.clear();
         true
     }
 
-    fn majority_answered(&self) -> bool {
+    fn majority_replied(&self) -> bool {
         if !self.members_known {
             return false;
         }
-        if self.asked.is_empty() {
-            return self.store.is_some();
+        if self.queried.is_empty() {
+            return self.store_revision.is_some();
         }
-        let answers = || self.asked.iter().filter_map(|peer| self.answers.get(peer));
-        let knows = |answer: &&Answer| answer.ready || self.store.is_some();
-        let knowing = answers().filter(knows).count();
-        let abstaining = answers().count() - knowing;
-        knowing * 2 > self.asked.len() - abstaining
+        let replies = || {
+            self.queried
+                .iter()
+                .filter_map(|peer| self.replies.get(peer))
+        };
+        let is_informed = |reply: &&RevisionReply| reply.ready || self.store_revision.is_some();
+        let informed = replies().filter(is_informed).count();
+        let uninformed = replies().count() - informed;
+        informed * 2 > self.queried.len() - uninformed
     }
 
-    fn anybody_answered(&self) -> bool {
-        self.store.is_some() || self.answers.values().any(|answer| answer.ready)
+    fn any_informed_reply(&self) -> bool {
+        self.store_revision.is_some() || self.replies.values().any(|reply| reply.ready)
     }
 }
--- a/crates/membership/src/relay/report.rs
+++ b/crates/membership/src/relay/reports.rs
@@ -1,4 +1,4 @@
-//! Which revision is in force in each zone, as its delegates count it.
+//! Configuration revisions in force in each zone, as counted by its delegates.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,28 +10,28 @@
 use crate::message::ZoneReport;
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct MemberRevision {
     revision: u64,
     ready: bool,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
 #[derive(Clone, Debug)]
-struct Received {
+struct ReceivedReport {
     report: ZoneReport,
     counted_at: Timestamp,
 }
 
-/// The reports that one daemon has heard: of members while it is a delegate, and of zones.
+/// Revision reports received by one daemon: from members while it is a delegate, and about zones.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    members: BTreeMap<MemberId, Heard>,
-    parts: BTreeMap<MemberId, Received>,
-    zones: BTreeMap<ZoneName, Received>,
+    members: BTreeMap<MemberId, MemberRevision>,
+    partial_reports: BTreeMap<MemberId, ReceivedReport>,
+    zones: BTreeMap<ZoneName, ReceivedReport>,
     store_contact: Option<bool>,
 }
 
-/// The delegate to which a member reports.
+/// Returns the delegate to which a member reports, or `None` if there are no delegates.
 pub(crate) fn delegate_for<'a>(
     member: &MemberId,
     delegates: &'a [MemberId],
@@ -44,50 +44,53 @@
 }
 
 impl Reports {
-    /// Notes the revision of a member that reports to this delegate.
+    /// Records the revision of a member that reports to this delegate.
     pub fn member(&mut self, now: Timestamp, id: &MemberId, revision: u64, ready: bool) {
-        let heard = Heard {
+        let member = MemberRevision {
             revision,
             ready,
-            at: now,
+            received_at: now,
         };
-        self.members.insert(id.clone(), heard);
+        self.members.insert(id.clone(), member);
     }
 
-    /// Notes whether this daemon, as a reader, is in contact with the store.
+    /// Records whether this daemon, as a reader, is in contact with the store.
     pub const fn set_store_contact(&mut self, contact: Option<bool>) {
         self.store_contact = contact;
     }
 
-    /// Whether this daemon, as a reader, is in contact with the store; `None` when it does not read.
+    /// Returns true if this daemon, as a reader, is in contact with the store; `None` while it does
+    /// not read or has not tried yet.
     #[must_use]
     pub const fn store_contact(&self) -> Option<bool> {
         self.store_contact
     }
 
-    /// What another delegate of the own zone said since `oldest` about its contact with the store.
+    /// Returns the contact with the store that another delegate of the local zone has reported
+    /// since `oldest`.
     #[must_use]
     pub fn contact_of(&self, delegate: &MemberId, oldest: Timestamp) -> Option<bool> {
-        let part = self.parts.get(delegate)?;
+        let part = self.partial_reports.get(delegate)?;
         part.report
             .store_contact
             .filter(|_| part.counted_at >= oldest)
     }
 
-    /// Notes a report of another delegate.
+    /// Records a report from another delegate, unless a newer one is known.
     pub fn received(&mut self, now: Timestamp, report: ZoneReport) {
         let counted_at = now - Duration::from_millis(report.age_ms);
-        let received = Received { report, counted_at };
-        if received.report.whole {
+        let received = ReceivedReport { report, counted_at };
+        if received.report.complete {
             let zone = received.report.zone.clone();
-            keep_newer(&mut self.zones, zone, received);
+            insert_if_newer(&mut self.zones, zone, received);
         } else {
             let counted_by = received.report.counted_by.clone();
-            keep_newer(&mut self.parts, counted_by, received);
+            insert_if_newer(&mut self.partial_reports, counted_by, received);
         }
     }
 
-    /// Counts the members that report to `me`, and forgets those silent for `limit`.
+    /// Counts the members that report to `me`, after removing those silent for longer than `limit`.
+    /// Stores the zone's total and returns the partial report.
     pub fn count(
         &mut self,
         now: Timestamp,
@@ -96,65 +99,68 @@
         limit: Duration,
     ) -> ZoneReport {
         let oldest = now - limit;
-        self.members.retain(|_, heard| heard.at >= oldest);
-        self.parts.retain(|_, part| part.counted_at >= oldest);
-        let ready = || self.members.values().filter(|heard| heard.ready);
+        self.members
+            .retain(|_, member| member.received_at >= oldest);
+        self.partial_reports
+            .retain(|_, part| part.counted_at >= oldest);
+        let ready = || self.members.values().filter(|member| member.ready);
         let part = ZoneReport {
             zone: zone.clone(),
             counted_by: me.clone(),
-            whole: false,
+            complete: false,
             age_ms: 0,
             members: count_of(self.members.len()),
             ready: count_of(ready().count()),
-            lowest: ready().map(|heard| heard.revision).min().unwrap_or(0),
-            highest: ready().map(|heard| heard.revision).max().unwrap_or(0),
+            lowest: ready().map(|member| member.revision).min().unwrap_or(0),
+            highest: ready().map(|member| member.revision).max().unwrap_or(0),
             store_contact: self.store_contact,
         };
-        let whole = self.join_parts(&part);
-        let received = Received {
-            report: whole,
+        let complete = self.merge_partial_reports(&part);
+        let received = ReceivedReport {
+            report: complete,
             counted_at: now,
         };
         self.zones.insert(zone.clone(), received);
         part
     }
 
-    fn join_parts(&self, own: &ZoneReport) -> ZoneReport {
-        let mut whole = ZoneReport {
-            whole: true,
+    fn merge_partial_reports(&self, own: &ZoneReport) -> ZoneReport {
+        let mut complete = ZoneReport {
+            complete: true,
             ..own.clone()
         };
-        for part in self.parts.values().map(|part| &part.report) {
+        for part in self.partial_reports.values().map(|part| &part.report) {
             if part.counted_by == own.counted_by {
                 continue;
             }
-            whole.members += part.members;
+            complete.members += part.members;
             if part.ready > 0 {
-                let known = whole.ready > 0;
-                whole.lowest = if known {
-                    whole.lowest.min(part.lowest)
+                let known = complete.ready > 0;
+                complete.lowest = if known {
+                    complete.lowest.min(part.lowest)
                 } else {
                     part.lowest
                 };
-                whole.highest = whole.highest.max(part.highest);
-                whole.ready += part.ready;
+                complete.highest = complete.highest.max(part.highest);
+                complete.ready += part.ready;
             }
-            whole.store_contact = join_contact(whole.store_contact, part.store_contact);
+            complete.store_contact =
+                merge_store_contact(complete.store_contact, part.store_contact);
         }
-        whole
+        complete
     }
 
-    /// The latest report of each zone with its age.
+    /// Returns the latest report of each zone, with its current age.
     #[must_use]
     pub fn zones(&self, now: Timestamp) -> Vec<ZoneReport> {
-        let aged = |received: &Received| ZoneReport {
+        let aged = |received: &ReceivedReport| ZoneReport {
             age_ms: millis(now.saturating_since(received.counted_at)),
             ..received.report.clone()
         };
         self.zones.values().map(aged).collect()
     }
 
-    /// The latest report of one zone with its age.
+    /// Returns the latest report of one zone, with its current age.
     #[must_use]
     pub fn zone(&self, now: Timestamp, zone: &ZoneName) -> Option<ZoneReport> {
         let received = self.zones.get(zone)?;
@@ -165,7 +171,11 @@
     }
 }
 
-fn keep_newer<K: Ord>(reports: &mut BTreeMap<K, Received>, key: K, received: Received) {
+fn insert_if_newer<K: Ord>(
+    reports: &mut BTreeMap<K, ReceivedReport>,
+    key: K,
+    received: ReceivedReport,
+) {
     let newer = reports
         .get(&key)
         .is_none_or(|known| known.counted_at <= received.counted_at);
@@ -174,8 +184,8 @@
     }
 }
 
-/// One reader in contact is enough.
-const fn join_contact(one: Option<bool>, other: Option<bool>) -> Option<bool> {
+/// Merges two contact states: one reader in contact is enough.
+const fn merge_store_contact(one: Option<bool>, other: Option<bool>) -> Option<bool> {
     match (one, other) {
         (Some(true), _) | (_, Some(true)) => Some(true),
         (None, contact) | (contact, None) => contact,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,37 +1,39 @@
-//! The member table: what a daemon knows of every member, by zone, with digests for anti-entropy.
+//! Member table: the known members by zone, with digests for anti-entropy.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::hash::{hash_bytes, mix};
-use crate::member::{Claim, Liveness, Member, MemberId, MemberProfile, ZoneName, rendezvous_score};
+use crate::member::{
+    Liveness, Member, MemberId, MemberProfile, VersionedState, ZoneName, rendezvous_score,
+};
 use crate::message::{SummaryEntry, Update};
 
-/// Buckets into which the members of a zone fall for anti-entropy.
+/// Number of buckets into which the members of a zone are divided for anti-entropy.
 pub const BUCKETS: usize = 16;
 
-/// What came of a report.
+/// Result of merging an update into the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merge {
-    /// The table holds what the report says, or more.
-    Known,
-    /// The table changed.
+pub enum MergeOutcome {
+    /// The update added nothing to what the table already held.
+    Unchanged,
+    /// The update changed the table.
     Changed {
-        /// Whether the member was not in the table or was dead before.
+        /// True if the member was previously unknown or dead.
         appeared: bool,
     },
-    /// The report is about a member that is not in the table, and has no profile.
-    Unknown,
+    /// The update concerns an unknown member and carries no profile, so it was ignored.
+    UnknownMember,
 }
 
-/// Every known member by zone.
+/// Known members by zone.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTable {
     zones: BTreeMap<ZoneName, ZoneTable>,
     delegate_count: usize,
 }
 
-/// The members of one zone, in order of id. Copies share the records until one of them changes.
+/// Members of one zone, in order of id. Clones share the records until one of them changes.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneTable {
     members: Arc<Vec<Member>>,
@@ -41,7 +43,7 @@
 }
 
 impl MemberTable {
-    /// An empty table in which each zone has this many delegates.
+    /// Creates an empty table in which each zone has this many delegates.
     #[must_use]
     pub const fn new(delegate_count: usize) -> Self {
         Self {
@@ -50,29 +52,29 @@
         }
     }
 
-    /// The zones, in order of name.
+    /// Returns the zones, in order of name.
     pub fn zones(&self) -> impl Iterator<Item = (&ZoneName, &ZoneTable)> {
         self.zones.iter()
     }
 
-    /// One zone.
+    /// Returns a zone's members, or `None` if the zone is unknown.
     #[must_use]
     pub fn zone(&self, zone: &ZoneName) -> Option<&ZoneTable> {
         self.zones.get(zone)
     }
 
-    /// One member.
+    /// Returns a member's record, or `None` if the zone or member is unknown.
     #[must_use]
     pub fn get(&self, zone: &ZoneName, id: &MemberId) -> Option<&Member> {
         self.zones.get(zone)?.get(id)
     }
 
-    /// Every member, dead ones included.
+    /// Returns all members, dead ones included.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.zones.values().flat_map(|zone| zone.members.iter())
     }
 
-    /// Digest over the live members of all zones.
+    /// Returns the digest over the live members of all zones.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let empty = ZoneTable::default().digest();
@@ -85,37 +87,38 @@
             })
     }
 
-    /// Members that are not dead.
+    /// Returns the number of members that are not dead.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.zones.values().map(|zone| zone.live).sum()
     }
 
-    /// Merges a report.
-    pub fn merge(&mut self, update: &Update) -> Merge {
+    /// Merges an update.
+    pub fn merge(&mut self, update: &Update) -> MergeOutcome {
         if update.profile.is_none() && self.get(&update.zone, &update.id).is_none() {
-            return Merge::Unknown;
+            return MergeOutcome::UnknownMember;
         }
         let zone = self.zones.entry(update.zone.clone()).or_default();
         let merge = zone.merge(update);
-        if matches!(merge, Merge::Changed { .. }) {
-            zone.elect(self.delegate_count);
+        if matches!(merge, MergeOutcome::Changed { .. }) {
+            zone.select_delegates(self.delegate_count);
         }
         merge
     }
 
-    /// Puts many records in, as a start from a prepared table does.
+    /// Inserts records without merging, replacing those with the same id. Used to fill a prepared
+    /// table and for the record of the local daemon.
     pub fn extend(&mut self, members: impl IntoIterator<Item = Member>) {
         for member in members {
             let zone = self.zones.entry(member.profile.zone.clone()).or_default();
-            zone.put(member);
+            zone.upsert(member);
         }
         for zone in self.zones.values_mut() {
-            zone.elect(self.delegate_count);
+            zone.select_delegates(self.delegate_count);
         }
     }
 
-    /// Forgets a dead member.
+    /// Removes a member if it is dead.
     pub fn forget(&mut self, zone: &ZoneName, id: &MemberId) {
         let Some(table) = self.zones.get_mut(zone) else {
             return;
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Bytes that the table takes, shared parts counted whole.
+    /// Returns the approximate size of the table in bytes. Shared records are counted in full.
     #[must_use]
     pub fn memory(&self) -> usize {
         self.members().map(memory_of).sum()
@@ -137,33 +140,33 @@
 
 fn memory_of(member: &Member) -> usize {
     let profile = &member.profile;
-    let texts = profile.id.as_str().len()
+    let text_bytes = profile.id.as_str().len()
         + profile.zone.as_str().len()
         + profile.service.as_ref().map_or(0, String::len);
-    size_of::<Member>() + size_of::<MemberProfile>() + texts
+    size_of::<Member>() + size_of::<MemberProfile>() + text_bytes
 }
 
 impl ZoneTable {
-    /// The members, dead ones included.
+    /// Returns the members in order of id, dead ones included.
     #[must_use]
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Members that are not dead.
+    /// Returns the number of members that are not dead.
     #[must_use]
     pub const fn live_count(&self) -> usize {
         self.live
     }
 
-    /// The delegates, best first: the highest rendezvous scores among members that are alive and do
-    /// not leave, or among all live ones when every one leaves.
+    /// Returns the delegates, best first: the members with the highest rendezvous scores among the
+    /// live ones that are not leaving, or among all live ones if every one is leaving.
     #[must_use]
     pub fn delegates(&self) -> &[MemberId] {
         &self.delegates
     }
 
-    /// Digest over the live members; suspicion does not show in it.
+    /// Returns the digest over the live members. It does not depend on suspicion.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digests
@@ -171,19 +174,19 @@
             .fold(0, |digest, &bucket| mix(digest ^ bucket))
     }
 
-    /// Digest of each bucket.
+    /// Returns the digest of each bucket.
     #[must_use]
     pub const fn bucket_digests(&self) -> &[u64; BUCKETS] {
         &self.digests
     }
 
-    /// One member.
+    /// Returns a member's record, or `None` if the member is unknown.
     #[must_use]
     pub fn get(&self, id: &MemberId) -> Option<&Member> {
         self.position(id).ok().map(|at| &self.members[at])
     }
 
-    /// What is known of the live members of a bucket, without profiles.
+    /// Returns the state of each live member in a bucket, without profiles.
     #[must_use]
     pub fn summary(&self, bucket: u8) -> Vec<SummaryEntry> {
         self.live_in_bucket(bucket)
@@ -195,7 +198,7 @@
             .collect()
     }
 
-    /// The live members of a bucket.
+    /// Returns the live members in a bucket.
     pub fn live_in_bucket(&self, bucket: u8) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
@@ -208,14 +211,14 @@
             .binary_search_by(|member| member.profile.id.cmp(id))
     }
 
-    fn merge(&mut self, update: &Update) -> Merge {
+    fn merge(&mut self, update: &Update) -> MergeOutcome {
         let Ok(position) = self.position(&update.id) else {
             return self.insert(update);
         };
         let known = &self.members[position];
-        let merged = known.claim().merge(update.claim());
-        if merged == known.claim() {
-            return Merge::Known;
+        let merged = known.versioned_state().merge(update.versioned_state());
+        if merged == known.versioned_state() {
+            return MergeOutcome::Unchanged;
         }
         let appeared = !known.is_live() && merged.liveness != Liveness::Dead;
         let changed = Member {
@@ -224,25 +227,25 @@
             liveness: merged.liveness,
             leaving: merged.leaving,
         };
-        self.put(changed);
-        Merge::Changed { appeared }
+        self.upsert(changed);
+        MergeOutcome::Changed { appeared }
     }
 
-    fn insert(&mut self, update: &Update) -> Merge {
+    fn insert(&mut self, update: &Update) -> MergeOutcome {
         let Some(profile) = update.member_profile() else {
-            return Merge::Unknown;
+            return MergeOutcome::UnknownMember;
         };
-        self.put(Member {
+        self.upsert(Member {
             profile: Arc::new(profile),
             incarnation: update.incarnation,
             liveness: update.liveness,
             leaving: update.leaving,
         });
-        Merge::Changed { appeared: true }
+        MergeOutcome::Changed { appeared: true }
     }
 
-    /// Puts a record in place of the one with its id, and keeps digests and count.
-    fn put(&mut self, member: Member) {
+    /// Inserts a record or replaces the one with the same id, and updates digests and live count.
+    fn upsert(&mut self, member: Member) {
         let bucket = bucket_of(&member.profile.id);
         self.digests[bucket] ^= fingerprint(&member);
         self.live += usize::from(member.is_live());
@@ -257,9 +260,9 @@
         }
     }
 
-    fn elect(&mut self, count: usize) {
-        let takes_work = |member: &&Member| member.is_live() && !member.leaving;
-        let mut best = self.best(count, takes_work);
+    fn select_delegates(&mut self, count: usize) {
+        let accepts_work = |member: &&Member| member.is_live() && !member.leaving;
+        let mut best = self.best(count, accepts_work);
         if best.is_empty() {
             best = self.best(count, |member| member.is_live());
         }
@@ -280,12 +283,12 @@
     }
 }
 
-/// The bucket of a member.
+/// Returns the bucket of a member.
 pub(crate) fn bucket_of(id: &MemberId) -> usize {
     usize::try_from(hash_bytes(id.as_str().as_bytes()) % BUCKETS as u64).unwrap_or(0)
 }
 
-/// What a live member adds to the digest of its bucket; zero for a dead one.
+/// Returns the contribution of a member to the digest of its bucket; 0 for a dead member.
 fn fingerprint(member: &Member) -> u64 {
     if !member.is_live() {
         return 0;
@@ -295,8 +298,8 @@
     mix(identity ^ process ^ u64::from(member.leaving))
 }
 
-/// Keeps the known profile unless a later process has reported another one.
-fn merged_profile(known: &Member, update: &Update, merged: Claim) -> Arc<MemberProfile> {
+/// Returns the profile for a merged record: the known one, unless a later process reported another.
+fn merged_profile(known: &Member, update: &Update, merged: VersionedState) -> Arc<MemberProfile> {
     let same_process = known.incarnation.process() == merged.incarnation.process();
     if same_process {
         return Arc::clone(&known.profile);
--- a/crates/membership/tests/byte_budget.rs
+++ b/crates/membership/tests/byte_budget.rs
@@ -1,4 +1,4 @@
-//! Urgent messages may overdraw the byte budget, but routine ones never wait long for it.
+//! Urgent messages may overdraw the byte budget, but routine ones wait for it for a bounded time.
 
 use std::time::Duration;
 
@@ -10,9 +10,10 @@
 const BURST: u32 = 48_000;
 
 proptest! {
-    /// A quick succession of large configuration changes must not silence gossip afterwards.
+    /// Guards against an unbounded debt: a series of large configuration changes would otherwise
+    /// suppress gossip long after it.
     #[test]
-    fn a_routine_message_waits_at_most_a_second(
+    fn a_routine_message_waits_at_most_one_second(
         spent in proptest::collection::vec((0_u64..200, 1_usize..100_000), 1..40),
     ) {
         let mut budget = ByteBudget::new(BYTES_PER_SECOND, BURST, Timestamp::ZERO);
