--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -1,4 +1,5 @@
-//! Who enters itself in the platform's directory, and when.
+//! Selection of the members that register in the platform's directory, and the timing of their
+//! calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +15,8 @@
 };
 use wharfquay_membership::table::MemberTable;
 
-/// Longest time for which a schedule is followed.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Simulated time for which each member runs.
+const SIMULATED_TIME: Duration = Duration::from_secs(60);
 
 fn id(number: usize) -> MemberId {
     MemberId::from(format!("member-{number}").as_str())
@@ -54,8 +55,8 @@
     (enrolment, random)
 }
 
-/// Follows one member for a while; the platform does what it is asked. Gives the steps without the waits.
-fn follow(
+/// Runs one member while the platform accepts every call. Returns its steps without the waits.
+fn run_member(
     enrolment: &mut Enrolment,
     random: &mut Pcg64Mcg,
     from: Timestamp,
@@ -64,11 +65,11 @@
 ) -> Vec<DirectoryStep> {
     let mut steps = Vec::new();
     let mut now = from;
-    while now < from + LONGEST {
+    while now < from + SIMULATED_TIME {
         let step = enrolment.next(now, &table(now));
         match step {
             DirectoryStep::WaitUntil(at) => {
-                assert!(at > now, "a wait that ends at once");
+                assert!(at > now, "the wait ends immediately");
                 now = at;
                 continue;
             }
@@ -82,7 +83,7 @@
     steps
 }
 
-fn entries(steps: &[DirectoryStep]) -> usize {
+fn registrations(steps: &[DirectoryStep]) -> usize {
     steps
         .iter()
         .filter(|step| **step == DirectoryStep::Enter)
@@ -90,48 +91,48 @@
 }
 
 #[test]
-fn in_a_large_deployment_only_the_first_by_rendezvous_enter() {
+fn large_deployment_registers_only_the_first_members_by_rendezvous() {
     let members = 500;
     let all = table(members);
-    let entered = (0..members).filter(|number| {
+    let registered = (0..members).filter(|number| {
         let (mut enrolment, mut random) = enrolment(*number, false);
-        let steps = follow(
+        let steps = run_member(
             &mut enrolment,
             &mut random,
             Timestamp::ZERO,
             |_| all.clone(),
             0,
         );
-        assert!(entries(&steps) <= 1, "{steps:?}");
-        entries(&steps) == 1
+        assert!(registrations(&steps) <= 1, "{steps:?}");
+        registrations(&steps) == 1
     });
-    assert_eq!(entered.count(), ENTRIES);
+    assert_eq!(registered.count(), ENTRIES);
 }
 
 #[test]
-fn in_a_small_deployment_everyone_enters_once() {
+fn small_deployment_registers_every_member_once() {
     let all = table(12);
     for number in 0..12 {
         let (mut enrolment, mut random) = enrolment(number, false);
-        let steps = follow(
+        let steps = run_member(
             &mut enrolment,
             &mut random,
             Timestamp::ZERO,
             |_| all.clone(),
             0,
         );
-        let look = DirectoryStep::Look(ListingAge::MayBeStale);
-        assert_eq!(steps, [look, DirectoryStep::Enter]);
+        let poll = DirectoryStep::Look(ListingAge::MayBeStale);
+        assert_eq!(steps, [poll, DirectoryStep::Enter]);
     }
 }
 
 #[test]
-fn who_is_among_the_first_only_while_few_are_known_does_not_enter() {
+fn member_selected_only_while_its_table_is_small_does_not_register() {
     let last = (0..500)
         .find(|number| {
             let (mut enrolment, mut random) = enrolment(*number, false);
             let all = table(500);
-            entries(&follow(
+            registrations(&run_member(
                 &mut enrolment,
                 &mut random,
                 Timestamp::ZERO,
@@ -139,22 +140,28 @@
                 0,
             )) == 0
         })
-        .expect("one of the others");
-    let growing = |now: Timestamp| {
+        .expect("a member that never registers");
+    let growing_table = |now: Timestamp| {
         let seconds = usize::try_from(now.as_micros() / 1_000_000).unwrap();
         let mut known = table((20 * (seconds + 1)).min(500));
         known.extend([member(last)]);
         known
     };
     let (mut enrolment, mut random) = enrolment(last, false);
-    let steps = follow(&mut enrolment, &mut random, Timestamp::ZERO, growing, 0);
-    assert_eq!(entries(&steps), 0, "{steps:?}");
+    let steps = run_member(
+        &mut enrolment,
+        &mut random,
+        Timestamp::ZERO,
+        growing_table,
+        0,
+    );
+    assert_eq!(registrations(&steps), 0, "{steps:?}");
 }
 
 #[test]
-fn of_many_that_find_nobody_a_few_enter_at_their_first_look() {
+fn few_of_many_isolated_members_register_at_their_first_poll() {
     let alone = table(1);
-    let entered = (0..6_400).filter(|number| {
+    let registered = (0..6_400).filter(|number| {
         let (mut enrolment, mut random) = enrolment(*number, false);
         let mut now = Timestamp::ZERO;
         while let DirectoryStep::WaitUntil(at) = enrolment.next(now, &alone) {
@@ -163,51 +170,51 @@
         enrolment.listed(now, OwnEntry::Missing, 0, &mut random);
         enrolment.next(now, &alone) == DirectoryStep::Enter
     });
-    let entered = entered.count();
-    assert!((300..500).contains(&entered), "{entered} of 6400");
+    let registered = registered.count();
+    assert!((300..500).contains(&registered), "{registered} of 6400");
 }
 
 #[test]
-fn who_finds_nobody_enters_at_last_and_looks_for_fresh_listings() {
+fn isolated_member_requests_fresh_listings_and_finally_registers() {
     let alone = table(1);
     let (mut enrolment, mut random) = enrolment(7, false);
-    let steps = follow(
+    let steps = run_member(
         &mut enrolment,
         &mut random,
         Timestamp::ZERO,
         |_| alone.clone(),
         0,
     );
-    let looks: Vec<&DirectoryStep> = steps
+    let polls: Vec<&DirectoryStep> = steps
         .iter()
         .filter(|step| matches!(step, DirectoryStep::Look(_)))
         .collect();
-    assert_eq!(*looks[0], DirectoryStep::Look(ListingAge::MayBeStale));
-    assert_eq!(*looks[1], DirectoryStep::Look(ListingAge::MayBeStale));
-    assert_eq!(*looks[2], DirectoryStep::Look(ListingAge::Latest));
+    assert_eq!(*polls[0], DirectoryStep::Look(ListingAge::MayBeStale));
+    assert_eq!(*polls[1], DirectoryStep::Look(ListingAge::MayBeStale));
+    assert_eq!(*polls[2], DirectoryStep::Look(ListingAge::Latest));
     let position = steps.iter().position(|step| *step == DirectoryStep::Enter);
     assert!(position.is_some_and(|position| position <= 5), "{steps:?}");
 }
 
 #[test]
-fn who_finds_others_tries_them_before_it_enters() {
+fn member_polls_again_before_registering_if_others_are_listed() {
     for number in 0..200 {
         let alone = table(1);
         let (mut enrolment, mut random) = enrolment(number, false);
-        let steps = follow(
+        let steps = run_member(
             &mut enrolment,
             &mut random,
             Timestamp::ZERO,
             |_| alone.clone(),
             3,
         );
-        let look = DirectoryStep::Look(ListingAge::MayBeStale);
-        assert_eq!(steps[..2], [look, look], "{number}");
+        let poll = DirectoryStep::Look(ListingAge::MayBeStale);
+        assert_eq!(steps[..2], [poll, poll], "{number}");
     }
 }
 
 #[test]
-fn an_entry_that_another_writer_changed_is_written_again() {
+fn entry_changed_by_another_writer_is_rewritten() {
     let alone = table(1);
     let (mut enrolment, mut random) = enrolment(1, false);
     let mut now = Timestamp::ZERO;
@@ -219,43 +226,43 @@
 }
 
 #[test]
-fn after_a_restored_store_those_with_an_entry_write_it_again_and_no_others() {
+fn restored_store_makes_only_registered_members_rewrite_their_entries() {
     let all = table(500);
-    let mut written_again = 0;
+    let mut rewritten = 0;
     for number in 0..500 {
         let (mut enrolment, mut random) = enrolment(number, false);
         let start = Timestamp::ZERO;
-        let before = entries(&follow(
+        let before = registrations(&run_member(
             &mut enrolment,
             &mut random,
             start,
             |_| all.clone(),
             0,
         ));
-        let restored_at = start + LONGEST;
+        let restored_at = start + SIMULATED_TIME;
         enrolment.store_restored(restored_at, &mut random);
-        let steps = follow(&mut enrolment, &mut random, restored_at, |_| all.clone(), 0);
-        assert_eq!(entries(&steps), before, "{number}: {steps:?}");
-        written_again += entries(&steps);
+        let steps = run_member(&mut enrolment, &mut random, restored_at, |_| all.clone(), 0);
+        assert_eq!(registrations(&steps), before, "{number}: {steps:?}");
+        rewritten += registrations(&steps);
     }
-    assert_eq!(written_again, ENTRIES);
+    assert_eq!(rewritten, ENTRIES);
 }
 
 #[test]
-fn a_refused_entry_is_tried_again_with_growing_pauses() {
+fn rejected_registration_is_retried_with_backoff() {
     let all = table(3);
     let (mut enrolment, mut random) = enrolment(1, false);
     let mut now = Timestamp::ZERO;
-    let mut tries = 0;
-    while now < Timestamp::ZERO + LONGEST {
+    let mut attempts = 0;
+    while now < Timestamp::ZERO + SIMULATED_TIME {
         match enrolment.next(now, &all) {
             DirectoryStep::WaitUntil(at) => now = at,
             DirectoryStep::Enter => {
-                tries += 1;
+                attempts += 1;
                 enrolment.entered(now, false, &mut random);
             }
             DirectoryStep::Look(_) => enrolment.listed(now, OwnEntry::Missing, 2, &mut random),
         }
     }
-    assert!((20..60).contains(&tries), "{tries}");
+    assert!((20..60).contains(&attempts), "{attempts}");
 }
--- a/crates/membership/tests/joining.rs
+++ b/crates/membership/tests/joining.rs
@@ -1,4 +1,4 @@
-//! Daemons that start together must not take themselves for the whole deployment.
+//! Daemons that start together must not conclude that they are the whole deployment.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     SocketAddr::from(([10, 0, 0, 1], 7_000 + number))
 }
 
-fn starting(number: u16, random: &mut Pcg64Mcg) -> Node {
+fn starting_node(number: u16, random: &mut Pcg64Mcg) -> Node {
     let profile = MemberProfile {
         id: MemberId::from(format!("daemon-{number}").as_str()),
         zone: ZoneName::from("north"),
@@ -38,41 +38,42 @@
     Node::new(settings, identity, seeds.collect(), Timestamp::ZERO, random)
 }
 
-/// Runs two starting daemons; the third seed gets nothing. Gives the times of messages to it.
+/// Runs two starting daemons while the third seed receives nothing. Returns the times of messages
+/// to the third seed.
 fn run(until: Timestamp) -> Vec<Timestamp> {
     println!("seed {RANDOM_SEED}");
     let mut random = Pcg64Mcg::seed_from_u64(RANDOM_SEED);
-    let mut nodes = [starting(0, &mut random), starting(1, &mut random)];
-    let mut to_silent = Vec::new();
+    let mut nodes = [starting_node(0, &mut random), starting_node(1, &mut random)];
+    let mut to_unresponsive = Vec::new();
     let mut now = Timestamp::ZERO;
     while now < until {
         now = now + Duration::from_millis(10);
-        let mut waiting = Vec::new();
+        let mut pending = Vec::new();
         for (from, node) in nodes.iter_mut().enumerate() {
             let effects = node.advance(now, &mut random);
-            waiting.extend(effects.into_iter().map(|effect| (from, effect)));
+            pending.extend(effects.into_iter().map(|effect| (from, effect)));
         }
-        while let Some((from, effect)) = waiting.pop() {
+        while let Some((from, effect)) = pending.pop() {
             let Effect::Send { to, bytes, .. } = effect else {
                 continue;
             };
             let Some(index) = (0..2).find(|&number| address(number) == to) else {
-                to_silent.push(now);
+                to_unresponsive.push(now);
                 continue;
             };
             let index = usize::from(index);
             let source = address(u16::try_from(from).expect("two nodes"));
             let effects = nodes[index].receive(now, source, &bytes, &mut random);
-            waiting.extend(effects.into_iter().map(|effect| (index, effect)));
+            pending.extend(effects.into_iter().map(|effect| (index, effect)));
         }
     }
     assert!(nodes.iter().all(|node| node.table().live_count() == 2));
     assert!(nodes.iter().all(|node| !node.is_ready()));
-    to_silent
+    to_unresponsive
 }
 
 #[test]
-fn starting_daemons_that_agree_go_on_to_contact_a_silent_seed() {
+fn starting_daemons_that_agree_keep_contacting_an_unresponsive_seed() {
     let until = Timestamp::from_millis(8_000);
     let contacts = run(until);
     for second in 0..8 {
@@ -83,12 +84,12 @@
     }
 }
 
-/// A platform names other daemons only after this one has started.
+/// The platform may list other daemons only after this one has started.
 #[test]
-fn seeds_that_come_late_are_contacted_at_once() {
+fn seeds_set_after_the_start_are_contacted_within_100_ms() {
     println!("seed {RANDOM_SEED}");
     let mut random = Pcg64Mcg::seed_from_u64(RANDOM_SEED);
-    let mut node = starting(0, &mut random);
+    let mut node = starting_node(0, &mut random);
     node.set_seeds(Vec::new());
     let mut now = Timestamp::ZERO;
     while now < Timestamp::from_millis(1_000) {
--- a/crates/membership/tests/relay_adoption.rs
+++ b/crates/membership/tests/relay_adoption.rs
@@ -1,4 +1,4 @@
-//! Adoption never goes back, whatever order, duplication or loss the messages meet.
+//! The adopted revision never decreases, even if messages are reordered, duplicated or lost.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use wharfquay_membership::relay::{Relay, RelayEffect, StoreReport};
 use wharfquay_membership::settings::Settings;
 
-/// One input of the machine under test.
+/// One input of the state machine under test.
 #[derive(Clone, Debug)]
 enum Input {
     Changes(Changes),
     Store(StoreReport),
-    Heard { peer: u8, revision: u64 },
+    Header { peer: u8, revision: u64 },
     Compact,
     Wait(u64),
 }
@@ -52,21 +52,21 @@
         1 => snapshots().prop_map(|snapshot| Input::Store(StoreReport::Snapshot(snapshot))),
         2 => deltas().prop_map(|delta| Input::Store(StoreReport::Delta(delta))),
         1 => (0u64..30).prop_map(|revision| Input::Store(StoreReport::Revision(revision))),
-        2 => (0u8..4, 0u64..30).prop_map(|(peer, revision)| Input::Heard { peer, revision }),
+        2 => (0u8..4, 0u64..30).prop_map(|(peer, revision)| Input::Header { peer, revision }),
         1 => Just(Input::Compact),
         1 => (0u64..2_000).prop_map(Input::Wait),
     ]
 }
 
-/// Follows the effects as a driver does and checks each one.
+/// Applies the effects as a driver does and checks each one.
 #[derive(Default)]
-struct Driver {
+struct DriverModel {
     in_force: u64,
     ready_at: Option<u64>,
 }
 
-impl Driver {
-    fn follow(&mut self, effects: &[RelayEffect]) -> Result<(), TestCaseError> {
+impl DriverModel {
+    fn apply(&mut self, effects: &[RelayEffect]) -> Result<(), TestCaseError> {
         for effect in effects {
             match effect {
                 RelayEffect::AdoptSnapshot(snapshot) => {
@@ -75,12 +75,15 @@
                 }
                 RelayEffect::AdoptDelta(delta) => {
                     prop_assert!(delta.revision > self.in_force);
-                    prop_assert!(delta.previous <= self.in_force, "a delta left a gap");
-                    prop_assert!(self.in_force > 0, "a delta without a configuration");
+                    prop_assert!(
+                        delta.previous <= self.in_force,
+                        "adopted a delta across a gap"
+                    );
+                    prop_assert!(self.in_force > 0, "adopted a delta without a configuration");
                     self.in_force = delta.revision;
                 }
                 RelayEffect::Ready(revision) => {
-                    prop_assert!(self.ready_at.is_none(), "ready twice");
+                    prop_assert!(self.ready_at.is_none(), "became ready twice");
                     prop_assert_eq!(*revision, self.in_force);
                     self.ready_at = Some(*revision);
                 }
@@ -94,18 +97,18 @@
 
 proptest! {
     #[test]
-    fn a_revision_in_force_never_goes_back(inputs in proptest::collection::vec(inputs(), 1..80)) {
+    fn revision_in_force_never_decreases(inputs in proptest::collection::vec(inputs(), 1..80)) {
         let mut now = Timestamp::ZERO;
         let mut relay = Relay::new(&Settings::default(), now);
-        let mut driver = Driver::default();
+        let mut driver = DriverModel::default();
         for input in inputs {
             let peer = MemberId::from("peer");
             let effects = match input {
                 Input::Changes(changes) => relay.on_changes(now, &peer, &changes),
                 Input::Store(report) => relay.on_store(now, &report),
-                Input::Heard { peer, revision } => {
+                Input::Header { peer, revision } => {
                     let peer = MemberId::from(format!("peer-{peer}").as_str());
-                    relay.heard(now, &peer, revision, true)
+                    relay.on_header(now, &peer, revision, true)
                 }
                 Input::Compact => {
                     relay.compacted(driver.in_force, payload(driver.in_force));
@@ -116,13 +119,13 @@
                     relay.advance(now)
                 }
             };
-            driver.follow(&effects)?;
+            driver.apply(&effects)?;
             prop_assert_eq!(relay.revision(), driver.in_force);
         }
     }
 
     #[test]
-    fn what_a_peer_is_sent_brings_it_to_the_same_revision(
+    fn reply_to_a_pull_brings_the_peer_to_the_same_revision(
         held in 0u64..40,
         first in 1u64..10,
         steps in proptest::collection::vec(1u64..4, 0..20),
@@ -153,144 +156,144 @@
     }
 }
 
-/// One row: what a starting daemon hears, and when it may report ready.
+/// A test case: what a starting daemon receives, and when it may become ready.
 struct ReadinessCase {
     name: &'static str,
-    asked: usize,
-    /// Revision and readiness that the first peers name.
-    answers: &'static [(u64, bool)],
+    queried: usize,
+    /// Revision and readiness reported by the first of the queried peers, in order.
+    replies: &'static [(u64, bool)],
     store: Option<u64>,
     held: u64,
     members_known: bool,
-    ready_after_settling: bool,
-    ready_after_limit: bool,
+    ready_after_min_wait: bool,
+    ready_after_max_wait: bool,
 }
 
 const READINESS_CASES: &[ReadinessCase] = &[
     ReadinessCase {
-        name: "nothing held is never ready",
-        asked: 3,
-        answers: &[(0, false), (0, false)],
+        name: "a daemon without a configuration is never ready",
+        queried: 3,
+        replies: &[(0, false), (0, false)],
         store: None,
         held: 0,
         members_known: true,
-        ready_after_settling: false,
-        ready_after_limit: false,
+        ready_after_min_wait: false,
+        ready_after_max_wait: false,
     },
     ReadinessCase {
-        name: "a majority of ready peers names the held revision",
-        asked: 3,
-        answers: &[(7, true), (7, true)],
+        name: "a majority of ready peers reports the held revision",
+        queried: 3,
+        replies: &[(7, true), (7, true)],
         store: None,
         held: 7,
         members_known: true,
-        ready_after_settling: true,
-        ready_after_limit: true,
+        ready_after_min_wait: true,
+        ready_after_max_wait: true,
     },
     ReadinessCase {
-        name: "one peer names a newer revision",
-        asked: 3,
-        answers: &[(7, true), (7, true), (8, true)],
+        name: "one peer reports a newer revision",
+        queried: 3,
+        replies: &[(7, true), (7, true), (8, true)],
         store: None,
         held: 7,
         members_known: true,
-        ready_after_settling: false,
-        ready_after_limit: false,
+        ready_after_min_wait: false,
+        ready_after_max_wait: false,
     },
     ReadinessCase {
-        name: "an older store does not lower the bar",
-        asked: 3,
-        answers: &[(8, true), (8, true)],
+        name: "an older store revision does not lower the required revision",
+        queried: 3,
+        replies: &[(8, true), (8, true)],
         store: Some(7),
         held: 7,
         members_known: true,
-        ready_after_settling: false,
-        ready_after_limit: false,
+        ready_after_min_wait: false,
+        ready_after_max_wait: false,
     },
     ReadinessCase {
-        name: "the store names a newer revision than the peers",
-        asked: 3,
-        answers: &[(7, true), (7, true)],
+        name: "the store reports a newer revision than the peers",
+        queried: 3,
+        replies: &[(7, true), (7, true)],
         store: Some(9),
         held: 7,
         members_known: true,
-        ready_after_settling: false,
-        ready_after_limit: false,
+        ready_after_min_wait: false,
+        ready_after_max_wait: false,
     },
     ReadinessCase {
-        name: "a minority answers: only after the bounded wait",
-        asked: 5,
-        answers: &[(7, true)],
+        name: "a minority replies: ready only after the maximum wait",
+        queried: 5,
+        replies: &[(7, true)],
         store: None,
         held: 7,
         members_known: true,
-        ready_after_settling: false,
-        ready_after_limit: true,
+        ready_after_min_wait: false,
+        ready_after_max_wait: true,
     },
     ReadinessCase {
-        name: "starting peers know nothing without the store",
-        asked: 2,
-        answers: &[(7, false), (7, false)],
+        name: "replies of starting peers are uninformed without the store",
+        queried: 2,
+        replies: &[(7, false), (7, false)],
         store: None,
         held: 7,
         members_known: true,
-        ready_after_settling: false,
-        ready_after_limit: false,
+        ready_after_min_wait: false,
+        ready_after_max_wait: false,
     },
     ReadinessCase {
-        name: "starting peers do not count beside those that know, as when a zone returns",
-        asked: 5,
-        answers: &[(0, false), (0, false), (0, false), (7, true), (7, true)],
+        name: "starting peers do not count beside informed ones, as when a zone restarts",
+        queried: 5,
+        replies: &[(0, false), (0, false), (0, false), (7, true), (7, true)],
         store: None,
         held: 7,
         members_known: true,
-        ready_after_settling: true,
-        ready_after_limit: true,
+        ready_after_min_wait: true,
+        ready_after_max_wait: true,
     },
     ReadinessCase {
-        name: "a minority of those that may know answers",
-        asked: 5,
-        answers: &[(0, false), (0, false), (7, true)],
+        name: "a minority of the possibly informed peers replies",
+        queried: 5,
+        replies: &[(0, false), (0, false), (7, true)],
         store: None,
         held: 7,
         members_known: true,
-        ready_after_settling: false,
-        ready_after_limit: true,
+        ready_after_min_wait: false,
+        ready_after_max_wait: true,
     },
     ReadinessCase {
-        name: "starting peers and the store, as at a cold start of everything",
-        asked: 2,
-        answers: &[(0, false), (7, false)],
+        name: "starting peers and the store, as at a cold start of the whole deployment",
+        queried: 2,
+        replies: &[(0, false), (7, false)],
         store: Some(7),
         held: 7,
         members_known: true,
-        ready_after_settling: true,
-        ready_after_limit: true,
+        ready_after_min_wait: true,
+        ready_after_max_wait: true,
     },
     ReadinessCase {
-        name: "the first peers are no fair sample while the members are unknown",
-        asked: 1,
-        answers: &[(7, true)],
+        name: "the first peers are not representative while the members are unknown",
+        queried: 1,
+        replies: &[(7, true)],
         store: None,
         held: 7,
         members_known: false,
-        ready_after_settling: false,
-        ready_after_limit: true,
+        ready_after_min_wait: false,
+        ready_after_max_wait: true,
     },
     ReadinessCase {
-        name: "a daemon alone with the store",
-        asked: 0,
-        answers: &[],
+        name: "a single daemon with the store",
+        queried: 0,
+        replies: &[],
         store: Some(3),
         held: 3,
         members_known: true,
-        ready_after_settling: true,
-        ready_after_limit: true,
+        ready_after_min_wait: true,
+        ready_after_max_wait: true,
     },
 ];
 
 #[test]
-fn a_starting_daemon_is_ready_by_the_rule() {
+fn starting_daemon_becomes_ready_as_specified() {
     let settings = Settings::default();
     for case in READINESS_CASES {
         let start = Timestamp::ZERO;
@@ -311,42 +314,42 @@
         }
         let readiness = relay.readiness_mut();
         if case.members_known {
-            readiness.members_known();
+            readiness.record_members_known();
         }
-        for peer in 0..case.asked {
-            readiness.asked(MemberId::from(format!("peer-{peer}").as_str()));
+        for peer in 0..case.queried {
+            readiness.record_query(MemberId::from(format!("peer-{peer}").as_str()));
         }
-        for (peer, (revision, ready)) in case.answers.iter().enumerate() {
+        for (peer, (revision, ready)) in case.replies.iter().enumerate() {
             let peer = MemberId::from(format!("peer-{peer}").as_str());
-            readiness.answered(&peer, *revision, *ready);
+            readiness.record_reply(&peer, *revision, *ready);
         }
         if let Some(store) = case.store {
-            readiness.store_answered(store);
+            readiness.record_store_revision(store);
         }
         assert!(
             relay.advance(start).is_empty(),
-            "{}: ready before it listened",
+            "{}: ready before the minimum wait",
             case.name
         );
-        relay.advance(start + settings.settle_time);
+        relay.advance(start + settings.min_readiness_wait);
         assert_eq!(
             relay.is_ready(),
-            case.ready_after_settling,
-            "{}: settled",
+            case.ready_after_min_wait,
+            "{}: after the minimum wait",
             case.name
         );
-        relay.advance(start + settings.readiness_limit);
+        relay.advance(start + settings.max_readiness_wait);
         assert_eq!(
             relay.is_ready(),
-            case.ready_after_limit,
-            "{}: at the limit",
+            case.ready_after_max_wait,
+            "{}: after the maximum wait",
             case.name
         );
     }
 }
 
 #[test]
-fn a_store_that_went_back_is_ignored_until_a_newer_snapshot() {
+fn store_with_a_lower_revision_is_ignored_until_a_newer_snapshot() {
     let now = Timestamp::ZERO;
     let mut relay = Relay::new(&Settings::default(), now);
     let snapshot = |revision| {
@@ -365,8 +368,8 @@
     relay.on_store(now, &snapshot(9));
     let older = relay.on_store(now, &snapshot(4));
     assert_eq!(older, [RelayEffect::StoreOlder { store: 4, held: 9 }]);
-    let diverged = relay.on_store(now, &delta(9, 10));
-    assert_eq!(diverged, [RelayEffect::ReadSnapshot]);
+    let after_regression = relay.on_store(now, &delta(9, 10));
+    assert_eq!(after_regression, [RelayEffect::ReadSnapshot]);
     assert_eq!(relay.revision(), 9);
     relay.on_store(now, &snapshot(10));
     assert_eq!(relay.revision(), 10);
@@ -398,10 +401,10 @@
         for peer in 0..5 {
             let peer = MemberId::from(format!("peer-{peer}").as_str());
             let effects = relay.on_changes(now, &peer, &pushed);
-            let is_pull = |effect: &&RelayEffect| matches!(effect, RelayEffect::Pull(_));
-            pulls += effects.iter().filter(is_pull).count();
+            let is_pull_effect = |effect: &&RelayEffect| matches!(effect, RelayEffect::Pull(_));
+            pulls += effects.iter().filter(is_pull_effect).count();
         }
-        // Without a configuration the source is chosen among the peers that answer.
+        // Without a configuration the source is selected among the peers that reply.
         assert_eq!(pulls, usize::from(held > 0), "held {held}");
     }
 }
--- a/crates/membership/tests/claims.rs
+++ b/crates/membership/tests/state_merge.rs
@@ -1,9 +1,9 @@
-//! Reports about one member merge to the same record in any order.
+//! Merging the states of one member gives the same result in any order.
 
 use proptest::prelude::*;
-use wharfquay_membership::member::{Claim, Incarnation, Liveness};
+use wharfquay_membership::member::{Incarnation, Liveness, VersionedState};
 
-fn claims() -> impl Strategy<Value = Claim> {
+fn states() -> impl Strategy<Value = VersionedState> {
     let liveness = prop_oneof![
         Just(Liveness::Alive),
         Just(Liveness::Suspect),
@@ -14,7 +14,7 @@
             let started = Incarnation::started_at(start);
             let incarnation =
                 (0..refutations).fold(started, |incarnation, _| incarnation.refuted());
-            Claim {
+            VersionedState {
                 incarnation,
                 liveness,
                 leaving,
@@ -25,29 +25,29 @@
 
 proptest! {
     #[test]
-    fn merge_is_commutative(one in claims(), other in claims()) {
+    fn merge_is_commutative(one in states(), other in states()) {
         prop_assert_eq!(one.merge(other), other.merge(one));
     }
 
     #[test]
-    fn merge_is_associative(one in claims(), two in claims(), three in claims()) {
+    fn merge_is_associative(one in states(), two in states(), three in states()) {
         prop_assert_eq!(one.merge(two).merge(three), one.merge(two.merge(three)));
     }
 
     #[test]
-    fn merge_is_idempotent(one in claims(), other in claims()) {
+    fn merge_is_idempotent(one in states(), other in states()) {
         let merged = one.merge(other);
         prop_assert_eq!(merged.merge(one), merged);
         prop_assert_eq!(merged.merge(merged), merged);
     }
 
     #[test]
-    fn a_leaving_mark_outlives_every_report_about_the_same_process(
-        one in claims(),
-        other in claims(),
+    fn a_leaving_mark_is_kept_within_the_same_process(
+        one in states(),
+        other in states(),
     ) {
-        let marked = Claim { leaving: true, ..one };
-        let merged = marked.merge(other);
+        let leaving_state = VersionedState { leaving: true, ..one };
+        let merged = leaving_state.merge(other);
         let later_process = other.incarnation.process() > one.incarnation.process();
         prop_assert!(merged.leaving || later_process);
     }
