--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,38 +1,39 @@
-//! Time that never jumps and counts the time for which the machine is suspended.
+//! Monotonic time that includes the time during which the machine is suspended.
 //!
-//! The steady clock of the standard library, and with it every timer, stands still while the machine is suspended. To
-//! the others that time has passed: leases have run out, callers have given up. So ages and deadlines are reckoned by
-//! [`Clock`], and what waits for a deadline looks at it again when the process learns that it was suspended.
+//! The monotonic clock of the standard library, and with it every timer, stops while the machine is
+//! suspended. For other machines that time has passed: leases have expired and callers have given
+//! up. [`Clock`] therefore measures ages and deadlines, and tasks that wait for a deadline check it
+//! again when the process detects a suspension.
 
-mod resume;
 mod source;
+mod suspension;
 
 use std::time::Duration;
 
 use wharfquay_core::time::Timestamp;
 
-pub use resume::{SUSPENSION_CHECK_INTERVAL, watch_suspensions};
 pub use source::{TimeSource, since_boot};
+pub use suspension::{SUSPENSION_CHECK_INTERVAL, watch_suspensions};
 
-/// Maps the time since the machine's boot to [`Timestamp`]s, and these to timers.
+/// Clock that maps the time since boot to [`Timestamp`]s, and these to timer instants.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     source: TimeSource,
     origin: Duration,
 }
 
-/// The deadline passed first.
+/// An error that occurs when a deadline passes before a future completes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeadlinePassed;
 
 impl Clock {
-    /// A clock whose origin is now.
+    /// Creates a clock whose origin is the current time.
     #[must_use]
     pub fn start() -> Self {
         Self::from_source(since_boot)
     }
 
-    /// As [`Self::start`], on another source of time.
+    /// Creates a clock whose origin is the current time of another time source.
     #[must_use]
     pub fn from_source(source: TimeSource) -> Self {
         Self {
@@ -41,13 +42,14 @@
         }
     }
 
-    /// The current time.
+    /// Returns the current time, counted from the clock's origin.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + (self.source)().saturating_sub(self.origin)
     }
 
-    /// The instant at which `timestamp` is reached, unless the machine is suspended before: for timers that start now.
+    /// Returns the timer instant that corresponds to `timestamp`. It is valid for timers that start
+    /// now, and only until the machine is suspended.
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> tokio::time::Instant {
         let (steady, now) = (tokio::time::Instant::now(), self.now());
@@ -56,24 +58,25 @@
         passed_at + timestamp.saturating_since(now)
     }
 
-    /// Sleeps until a time; for ever when there is none.
+    /// Sleeps until `time`, or forever if it is `None`.
     pub async fn sleep_until(&self, time: Option<Timestamp>) {
         let Some(time) = time else {
             return std::future::pending().await;
         };
-        let mut resumes = resume::subscribe();
+        let mut suspensions = suspension::subscribe_suspensions();
         while self.now() < time {
             tokio::select! {
                 () = tokio::time::sleep_until(self.instant(time)) => {}
-                () = resume::next(&mut resumes) => {}
+                () = suspension::next_suspension(&mut suspensions) => {}
             }
         }
     }
 
-    /// Waits for a future until a deadline.
+    /// Waits for a future until a deadline. A future that completes at the deadline takes
+    /// precedence.
     ///
     /// # Errors
-    /// [`DeadlinePassed`], after which the future is dropped.
+    /// Returns [`DeadlinePassed`] if the deadline passes first. The future is then dropped.
     pub async fn timeout_at<F: Future>(
         &self,
         deadline: Timestamp,
--- a/crates/clock/src/source.rs
+++ b/crates/clock/src/source.rs
@@ -1,18 +1,20 @@
-//! Where time comes from.
+//! Source of the current time.
 
 use std::time::Duration;
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Gives a time that never goes back and counts suspended time.
+/// Function that returns a monotonic time, including the time during which the machine is
+/// suspended.
 pub type TimeSource = fn() -> Duration;
 
-/// Time since the machine's boot, the time for which it was suspended included.
+/// Returns the time since boot, including the time during which the machine was suspended.
 ///
 /// # Panics
 /// Never on Linux, where every process may read this clock.
 #[must_use]
 pub fn since_boot() -> Duration {
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has this clock");
+    let time =
+        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME should be readable on Linux");
     Duration::from(time)
 }
