--- a/crates/protocol/examples/claim_costs.rs
+++ b/crates/protocol/examples/claim_costs.rs
@@ -1,4 +1,5 @@
-//! Measures what a claim costs: messages and bytes per request, and memory per key at a replica.
+//! Measures the cost of an idempotency claim: messages and bytes per request, and memory per key at
+//! a replica.
 //!
 //! `cargo run --release -p wharfquay-protocol --example claim_costs`
 
@@ -29,8 +30,11 @@
 fn main() -> Result<(), Box<dyn Error>> {
     println!("replicas outcome messages bytes");
     for replicas in [3, 5] {
-        for (name, outcome) in [("run", run()), ("not_run", ExecutionOutcome::NotRun)] {
-            let (messages, bytes) = exchange(replicas, outcome)?;
+        for (name, outcome) in [
+            ("run", run_outcome()),
+            ("not_run", ExecutionOutcome::NotRun),
+        ] {
+            let (messages, bytes) = exchange_cost(replicas, outcome)?;
             println!("{replicas} {name} {messages} {bytes}");
         }
     }
@@ -42,7 +46,7 @@
     Ok(())
 }
 
-fn run() -> ExecutionOutcome {
+fn run_outcome() -> ExecutionOutcome {
     ExecutionOutcome::Run(answer(ANSWER_BYTES))
 }
 
@@ -54,8 +58,8 @@
 }
 
 fn key(number: u64) -> IdempotencyKey {
-    let minted = u128::from(NOW.as_millis()) << 80;
-    IdempotencyKey::from_u128(minted | (7 << 76) | u128::from(number))
+    let timestamp_bits = u128::from(NOW.as_millis()) << 80;
+    IdempotencyKey::from_u128(timestamp_bits | (7 << 76) | u128::from(number))
 }
 
 fn group(replicas: usize) -> Group {
@@ -79,10 +83,13 @@
     replica
 }
 
-/// Messages and bytes, requests and answers, of one request without faults.
-fn exchange(count: usize, outcome: ExecutionOutcome) -> Result<(usize, usize), Box<dyn Error>> {
+/// Returns the messages and bytes, requests and replies included, of one request without faults.
+fn exchange_cost(
+    count: usize,
+    outcome: ExecutionOutcome,
+) -> Result<(usize, usize), Box<dyn Error>> {
     let group = group(count);
-    let mut replicas: Vec<Replica> = (0..count).map(|one| replica(one, &group)).collect();
+    let mut replicas: Vec<Replica> = (0..count).map(|number| replica(number, &group)).collect();
     let mut rng = Pcg64::seed_from_u64(1);
     let request = ClaimedRequest {
         key: key(0),
@@ -113,7 +120,8 @@
     Ok((messages, bytes))
 }
 
-/// Resident memory of a full replica per key, and time for one claim.
+/// Returns the resident memory of a full replica per key in bytes, and the time for one claim in
+/// nanoseconds.
 fn memory_per_key(answer_bytes: Option<usize>) -> Result<(u64, u64), Box<dyn Error>> {
     let mut replica = replica(0, &group(1));
     let before = resident_bytes()?;
@@ -127,9 +135,9 @@
             replica.handle(NOW, ReplicaRequest::Store(store(number, bytes)));
         }
     }
-    let grown = resident_bytes()?.saturating_sub(before);
+    let growth = resident_bytes()?.saturating_sub(before);
     Ok((
-        grown / replica.store().len() as u64,
+        growth / replica.store().len() as u64,
         u64::try_from(elapsed)?,
     ))
 }
--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells the daemon before it along with an answer.
+//! Metadata that a daemon returns to the calling daemon along with a response.
 
 use serde::{Deserialize, Serialize};
 use wharfquay_core::call::RetryAllowance;
@@ -6,44 +6,44 @@
 
 use crate::context::{DecodeError, decode_header, encode_header};
 
-/// Answer metadata between daemons.
+/// Response metadata between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireAnswer {
-    /// Retries that the callee did not spend; the caller's ledger takes them back.
+    /// Unused retries of the call's allowance, which the caller takes back.
     #[serde(rename = "r")]
     pub returned: RetryAllowance,
-    /// Admission level of the answering back end.
+    /// Admission level of the responding backend.
     #[serde(rename = "l")]
     pub level: AdmissionLevel,
-    /// Strictest level on the path of this request kind below the answering back end, itself
-    /// included.
+    /// Strictest admission level on the path of this request kind from the responding backend
+    /// downward, that backend included.
     #[serde(rename = "f")]
     pub folded_level: AdmissionLevel,
-    /// Incarnation of the answering daemon: Unix time of its start in milliseconds. 0 when not told.
+    /// Incarnation of the responding daemon: Unix time of its start in milliseconds; 0 if not sent.
     #[serde(rename = "i", default)]
     pub incarnation: u64,
-    /// Requests in execution at the answering back end.
+    /// Number of requests in execution at the responding backend.
     #[serde(rename = "n")]
     pub in_flight: u32,
-    /// Concurrency limit in force at the answering back end.
+    /// Concurrency limit in force at the responding backend.
     #[serde(rename = "c")]
     pub limit: u32,
-    /// Requests that wait in the answering back end's queue.
+    /// Number of requests waiting in the responding backend's queue.
     #[serde(rename = "q")]
     pub queued: u32,
 }
 
 impl WireAnswer {
-    /// The header value.
+    /// Returns the metadata encoded as a header value.
     #[must_use]
     pub fn encode(&self) -> String {
         encode_header(self)
     }
 
-    /// Reads a header value.
+    /// Decodes a header value.
     ///
     /// # Errors
-    /// [`DecodeError`] when the value is too long, not base64url or not the expected CBOR.
+    /// Returns a [`DecodeError`] if the value is too long, not base64url or not the expected CBOR.
     pub fn decode(value: &[u8]) -> Result<Self, DecodeError> {
         decode_header(value)
     }
--- a/crates/protocol/src/context.rs
+++ b/crates/protocol/src/context.rs
@@ -1,4 +1,4 @@
-//! The call context between daemons.
+//! Call context that daemons exchange with a call.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use wharfquay_core::quarantine::RequestFingerprint;
 use wharfquay_core::time::Timestamp;
 
-/// Longest header value that is decoded, in bytes.
+/// Maximum length of a header value that is decoded, in bytes.
 pub const MAX_ENCODED_LENGTH: usize = 1_024;
 
-/// Why a header value can't be decoded.
+/// An error that occurs when a header value or a control message is decoded.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum DecodeError {
-    /// the value has {0} bytes, more than allowed
+    /// the value has {0} bytes, which exceeds the limit
     TooLong(usize),
     /// the value is not base64url: {0}
     Base64(String),
@@ -29,31 +29,31 @@
     Priority(u8),
     /// the message has version {found} (allowed: {expected})
     Version {
-        /// The version that the message carries.
+        /// Version carried by the message.
         found: u8,
-        /// The version that this process speaks.
+        /// Version supported by this process.
         expected: u8,
     },
 }
 
 impl std::error::Error for DecodeError {}
 
-/// The sidecar that a call was sent to, as its sender knows it.
+/// Sidecar to which the sender addressed a call.
 ///
-/// Addresses are used again: by the time a call arrives, another process may have the address. The
-/// receiver compares before it hands the call on.
+/// Addresses are reused: when a call arrives, another process may already have the address. The
+/// receiver compares these names with its own before it forwards the call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Callee {
-    /// Name of the service whose back end is to execute the call.
+    /// Name of the service whose backend should execute the call.
     #[serde(rename = "s")]
     pub service: String,
-    /// Identity of the sidecar beside that back end.
+    /// Id of the sidecar of that backend.
     #[serde(rename = "n")]
     pub sidecar: String,
 }
 
-/// A [`CallContext`] as it crosses a hop: the deadline is the time that remains, since clocks of two
-/// machines can't be compared.
+/// Wire form of a [`CallContext`]. The deadline is sent as the remaining time, because the clocks
+/// of two machines can't be compared.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireContext {
     #[serde(rename = "o")]
@@ -74,25 +74,28 @@
     idempotency_key: Option<IdempotencyKey>,
     #[serde(rename = "d")]
     depth: u8,
-    /// Absent while nothing is turned away, and in calls of processes that don't tell it.
+    /// Level below which the edge admitted requests when the originating request arrived. Absent
+    /// while nothing is refused, and in calls from processes that don't send it.
     #[serde(rename = "l", default, skip_serializing_if = "is_open")]
     admitted_below: AdmissionLevel,
-    /// Absent in first attempts, and in calls of processes that don't tell it.
+    /// True if an earlier attempt of this call, or of one that it is made for, may have reached a
+    /// backend. Absent in first attempts, and in calls from processes that don't send it.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     is_repeat: bool,
-    /// Absent in calls of processes that don't tell it.
+    /// Fingerprint of the request. Absent in calls from processes that don't send it.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     fingerprint: Option<RequestFingerprint>,
-    /// Absent while there is none.
+    /// Number of backends that terminated while they executed earlier attempts of this call. Absent
+    /// if zero.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
     ended_backends: u8,
-    /// Absent in calls of processes that don't name it.
+    /// Sidecar to which the call is addressed. Absent in calls from processes that don't send it.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     callee: Option<Callee>,
 }
 
 impl WireContext {
-    /// The wire form of a context that is sent at `now`.
+    /// Creates the wire form of a context that is sent at `now`.
     #[must_use]
     pub fn from_context(context: &CallContext, now: Timestamp) -> Self {
         let remaining = context.remaining(now).as_micros();
@@ -114,23 +117,24 @@
         }
     }
 
-    /// The same context, addressed to one sidecar.
+    /// Returns the same context, addressed to one sidecar.
     #[must_use]
     pub fn addressed_to(mut self, callee: Callee) -> Self {
         self.callee = Some(callee);
         self
     }
 
-    /// The sidecar that the call was sent to, where the sender named it.
+    /// Returns the sidecar to which the sender addressed the call, or `None` if the sender did not
+    /// specify it.
     #[must_use]
     pub const fn callee(&self) -> Option<&Callee> {
         self.callee.as_ref()
     }
 
-    /// The context as the receiver holds it from `now` on.
+    /// Converts to the receiver's context. The remaining time is counted from `now`.
     ///
     /// # Errors
-    /// [`DecodeError::Priority`] when the priority is out of range.
+    /// Returns [`DecodeError::Priority`] if the priority is out of range.
     pub fn into_context(self, now: Timestamp) -> Result<CallContext, DecodeError> {
         let priority = Priority::new(self.priority).ok_or(DecodeError::Priority(self.priority))?;
         Ok(CallContext {
@@ -150,47 +154,45 @@
         })
     }
 
-    /// The header value.
+    /// Returns the context encoded as a header value.
     #[must_use]
     pub fn encode(&self) -> String {
         encode_header(self)
     }
 
-    /// Reads a header value.
+    /// Decodes a header value.
     ///
     /// # Errors
-    /// [`DecodeError`] when the value is too long, not base64url or not the expected CBOR.
+    /// Returns a [`DecodeError`] if the value is too long, not base64url or not the expected CBOR.
     pub fn decode(value: &[u8]) -> Result<Self, DecodeError> {
         decode_header(value)
     }
 }
 
-/// Whether a level turns nothing away.
+/// Returns true if the level refuses nothing, in which case the field is omitted.
 fn is_open(level: &AdmissionLevel) -> bool {
     *level == AdmissionLevel::OPEN
 }
 
-/// Whether a count can be left out.
 fn is_zero(count: &u8) -> bool {
     *count == 0
 }
 
-/// Whether a mark can be left out.
-fn is_false(mark: &bool) -> bool {
-    !*mark
+fn is_false(flag: &bool) -> bool {
+    !*flag
 }
 
 /// Encodes a small message as a header value: base64url of CBOR.
 pub(crate) fn encode_header<T: Serialize>(message: &T) -> String {
     let mut bytes = Vec::with_capacity(128);
-    // Writing to a Vec can't fail, and these messages hold no type that CBOR lacks.
+    // Writing to a Vec can't fail, and CBOR can express every type in these messages.
     if ciborium::into_writer(message, &mut bytes).is_err() {
         bytes.clear();
     }
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// Decodes a header value made by [`encode_header`].
+/// Decodes a header value encoded by [`encode_header`].
 pub(crate) fn decode_header<T: for<'de> Deserialize<'de>>(value: &[u8]) -> Result<T, DecodeError> {
     if value.len() > MAX_ENCODED_LENGTH {
         return Err(DecodeError::TooLong(value.len()));
--- a/crates/protocol/src/envelope.rs
+++ b/crates/protocol/src/envelope.rs
@@ -1,21 +1,22 @@
-//! The envelope of control messages: a version byte, then one CBOR document of bounded size.
+//! Envelope of control messages: a version byte, then one CBOR document of bounded size.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::context::DecodeError;
 
-/// Version of the control messages that this process speaks.
+/// Version of the control messages that this process sends and accepts.
 pub const VERSION: u8 = 1;
-/// Largest message that goes in one datagram, in bytes, so that it is not fragmented.
+/// Maximum size of a message sent in one datagram, in bytes, which keeps it from being fragmented.
 pub const MAX_DATAGRAM: usize = 1_200;
-/// Largest message that goes over a stream, in bytes: a snapshot of the whole configuration.
+/// Maximum size of a message sent over a stream, in bytes. It has to fit a snapshot of the whole
+/// configuration.
 pub const MAX_STREAM_MESSAGE: usize = 16 * 1_024 * 1_024;
 
-/// Encodes a control message with its version.
+/// Encodes a control message, preceded by the version byte.
 ///
 /// # Errors
-/// [`DecodeError::Cbor`] when the message holds a value that CBOR can't express.
+/// Returns [`DecodeError::Cbor`] if the message contains a value that CBOR can't express.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, DecodeError> {
     let mut bytes = vec![VERSION];
     ciborium::into_writer(message, &mut bytes)
@@ -26,7 +27,8 @@
 /// Decodes a control message of at most `limit` bytes.
 ///
 /// # Errors
-/// [`DecodeError`] when the message is too long, of another version or not the expected CBOR.
+/// Returns a [`DecodeError`] if the message is too long, of another version or not the expected
+/// CBOR.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8], limit: usize) -> Result<T, DecodeError> {
     if bytes.len() > limit {
         return Err(DecodeError::TooLong(bytes.len()));
--- a/crates/protocol/src/headers.rs
+++ b/crates/protocol/src/headers.rs
@@ -4,22 +4,22 @@
 
 /// Call context between daemons: base64url of CBOR, see [`crate::context::WireContext`].
 pub const CONTEXT: HeaderName = HeaderName::from_static("wharfquay-context");
-/// Opaque scope of the call that a back end is executing. The back end copies it to each call that
-/// it makes on behalf of this one; only the back end's own daemon can read it.
+/// Opaque scope of the call that a backend is executing. The backend copies it to each call that it
+/// makes on behalf of this one. Only the backend's own daemon can interpret it.
 pub const SCOPE: HeaderName = HeaderName::from_static("wharfquay-scope");
-/// Identity of the originating request, in hexadecimal; for logs and records.
+/// Id of the originating request in hexadecimal, for logs and records.
 pub const ORIGIN: HeaderName = HeaderName::from_static("wharfquay-origin");
-/// Number of the result code in every answer.
+/// Number of the result code, in every response.
 pub const RESULT: HeaderName = HeaderName::from_static("wharfquay-result");
-/// Outcome class in every answer: `not-run`, `unknown` or `run`.
+/// Outcome class, in every response: `not-run`, `unknown` or `run`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("wharfquay-outcome");
-/// Answer metadata between daemons: base64url of CBOR, see [`crate::answer::WireAnswer`].
+/// Response metadata between daemons: base64url of CBOR, see [`crate::answer::WireAnswer`].
 pub const ANSWER: HeaderName = HeaderName::from_static("wharfquay-answer");
-/// Idempotency key of a caller: a version 7 UUID.
+/// Idempotency key set by a caller: a version 7 UUID.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Deadline that a caller sets, in milliseconds from now; bounded by the request kind's.
+/// Deadline set by a caller, in milliseconds from now; limited by the deadline of the request kind.
 pub const DEADLINE: HeaderName = HeaderName::from_static("wharfquay-deadline-ms");
-/// Name of the service that a call is for; where absent, the host of the request names it.
+/// Name of the service that a call is for. If absent, the request's host determines the service.
 pub const SERVICE: HeaderName = HeaderName::from_static("wharfquay-service");
-/// Concurrency that a back end reports, in requests in execution; may lag or mislead.
+/// Concurrency reported by a backend, in requests in execution. The value may be outdated or wrong.
 pub const REPORTED_LOAD: HeaderName = HeaderName::from_static("wharfquay-load");
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! What wharfquay's processes say to each other: header names, the call context and answer metadata
-//! on the wire, and the envelope of control messages.
+//! Wire formats between wharfquay's processes: header names, the call context and response
+//! metadata, and the envelope of control messages.
 
 pub mod answer;
 pub mod context;
--- a/crates/protocol/tests/wire.rs
+++ b/crates/protocol/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Contract of the wire forms: what is written is read back, and bad input is refused by name.
+//! Wire formats: encoded values decode to the same values, and bad input is rejected with a
+//! specific error.
 
 use std::time::Duration;
 
@@ -66,14 +67,14 @@
 
 proptest! {
     #[test]
-    fn context_survives_a_hop_with_its_remaining_time(context in any_context(), sent in 0..600_000_000_u64) {
+    fn context_keeps_its_remaining_time_across_a_hop(context in any_context(), sent in 0..600_000_000_u64) {
         let sent_at = Timestamp::from_micros(sent);
         let received_at = Timestamp::from_micros(42);
         let remaining = context.remaining(sent_at);
         let value = WireContext::from_context(&context, sent_at).encode();
         let received = WireContext::decode(value.as_bytes())
             .and_then(|wire| wire.into_context(received_at))
-            .expect("a context that was written is read back");
+            .expect("an encoded context decodes");
         prop_assert_eq!(received.remaining(received_at), remaining);
         prop_assert_eq!(CallContext { deadline: context.deadline, ..received }, context);
     }
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn bad_header_values_are_refused_by_name() {
+fn bad_header_values_are_rejected_with_specific_errors() {
     let too_long = vec![b'A'; MAX_ENCODED_LENGTH + 1];
     assert_eq!(
         WireContext::decode(&too_long),
@@ -125,8 +126,8 @@
 }
 
 #[test]
-fn envelope_refuses_other_versions_and_sizes() {
-    let answer = WireAnswer {
+fn envelope_rejects_other_versions_and_sizes() {
+    let metadata = WireAnswer {
         returned: RetryAllowance::new(2),
         level: AdmissionLevel::OPEN,
         folded_level: AdmissionLevel::CLOSED,
@@ -135,16 +136,16 @@
         limit: 2,
         queued: 3,
     };
-    let bytes = envelope::encode(&answer).expect("the message is plain data");
+    let bytes = envelope::encode(&metadata).expect("CBOR can express the message");
     assert_eq!(
         envelope::decode::<WireAnswer>(&bytes, envelope::MAX_DATAGRAM),
-        Ok(answer)
+        Ok(metadata)
     );
 
-    let mut foreign = bytes.clone();
-    foreign[0] = 99;
+    let mut other_version = bytes.clone();
+    other_version[0] = 99;
     assert_eq!(
-        envelope::decode::<WireAnswer>(&foreign, envelope::MAX_DATAGRAM),
+        envelope::decode::<WireAnswer>(&other_version, envelope::MAX_DATAGRAM),
         Err(DecodeError::Version {
             found: 99,
             expected: envelope::VERSION
