--- a/crates/clock/src/suspension.rs
+++ b/crates/clock/src/suspension.rs
@@ -28,8 +28,8 @@
     let _ = suspensions.changed().await;
 }
 
-/// Detects suspensions of the machine by comparing `clock` with the steady clock. Wakes the tasks that
-/// wait for deadlines and passes the duration of each suspension to `observe`. Never returns.
+/// Detects suspensions of the machine by comparing `clock` with the steady clock. Wakes the tasks
+/// that wait for deadlines and passes the duration of each suspension to `observe`. Never returns.
 pub async fn watch_suspensions(clock: Clock, observe: impl Fn(Duration)) {
     let mut last = (Instant::now(), clock.now());
     loop {
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -44,7 +44,8 @@
     pub stale_polls: u32,
     /// Maximum delay of a starting member's first poll.
     pub max_first_poll_delay: Duration,
-    /// Delay after the first failed call. Each further failure doubles it, up to `max_call_interval`.
+    /// Delay after the first failed call. Each further failure doubles it, up to
+    /// `max_call_interval`.
     pub initial_retry_delay: Duration,
     /// Maximum time between two calls.
     pub max_call_interval: Duration,
--- a/crates/membership/src/gossip/anti_entropy.rs
+++ b/crates/membership/src/gossip/anti_entropy.rs
@@ -22,7 +22,7 @@
 use super::{Gossip, Outgoing, jitter};
 
 /// Maximum time that a starting daemon spends on filling its table before it counts as joined.
-pub(super) const JOIN_LIMIT: Duration = Duration::from_secs(10);
+pub(super) const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between two exchanges of a joining daemon.
 const JOIN_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two exchanges of a daemon that has joined by timeout while its table has not yet
@@ -65,14 +65,14 @@
             JOIN_INTERVAL
         };
         self.next_table_sync = now + interval;
-        self.contact_seed_next = !self.contact_seed_next;
+        self.is_seed_round = !self.is_seed_round;
         if !self.joined && self.table.live_count() <= 1 {
             for _ in 0..self.seeds.len().min(CONCURRENT_SEEDS) {
                 self.contact_seed(out);
             }
             return;
         }
-        if !self.joined && self.contact_seed_next && !self.seeds.is_empty() {
+        if !self.joined && self.is_seed_round && !self.seeds.is_empty() {
             self.contact_seed(out);
             return;
         }
@@ -104,11 +104,11 @@
 
     /// Opens an exchange with the next seed in turn.
     pub(crate) fn contact_seed(&mut self, out: &mut Vec<Outgoing>) {
-        let Some(turn) = self.seed_contacts.checked_rem(self.seeds.len()) else {
+        let Some(index) = self.seed_contacts.checked_rem(self.seeds.len()) else {
             return;
         };
         self.seed_contacts += 1;
-        let to = self.seeds[turn].control_address;
+        let to = self.seeds[index].control_address;
         if to != self.me.profile.control_address {
             out.push(self.open_exchange(to, true));
         }
@@ -117,17 +117,17 @@
     /// Returns true once the seeds have had a chance to reply. Daemons that start together and find
     /// only each other must not conclude that they are the whole deployment.
     fn seeds_contacted(&self) -> bool {
-        let enough = (self.seeds.len() * SEED_ROUNDS).min(MAX_SEED_CONTACTS);
-        self.seed_contacts >= enough
+        let required = (self.seeds.len() * SEED_ROUNDS).min(MAX_SEED_CONTACTS);
+        self.seed_contacts >= required
     }
 
     fn random_seed(&self, rng: &mut impl Rng) -> Option<SocketAddr> {
-        let own = self.me.profile.control_address;
+        let own_address = self.me.profile.control_address;
         let others: Vec<SocketAddr> = self
             .seeds
             .iter()
             .map(|seed| seed.control_address)
-            .filter(|address| *address != own)
+            .filter(|address| *address != own_address)
             .collect();
         others.choose(rng).copied()
     }
@@ -156,10 +156,10 @@
 
     /// Returns the other zones in turn.
     fn next_zone(&mut self) -> Option<ZoneName> {
-        self.zone_turn = self.zone_turn.wrapping_add(1);
+        self.zone_index = self.zone_index.wrapping_add(1);
         let zones = self.other_zones();
-        let turn = self.zone_turn.checked_rem(zones.len())?;
-        Some(zones[turn].clone())
+        let index = self.zone_index.checked_rem(zones.len())?;
+        Some(zones[index].clone())
     }
 
     /// Contacts a seed and a member that is considered dead, which rejoins the two sides of a
@@ -324,7 +324,7 @@
             .map(|entry| (&entry.id, versioned_state_of(entry)))
             .collect();
         let records = self.records_newer_than(zone, buckets, &theirs);
-        let wanted = self.wanted(zone, &theirs);
+        let wanted = self.records_to_request(zone, &theirs);
         if records.is_empty() && wanted.is_empty() {
             return;
         }
@@ -361,7 +361,7 @@
             .collect()
     }
 
-    fn wanted(
+    fn records_to_request(
         &self,
         zone: &ZoneName,
         theirs: &BTreeMap<&MemberId, VersionedState>,
--- a/crates/membership/src/gossip/mod.rs
+++ b/crates/membership/src/gossip/mod.rs
@@ -29,9 +29,9 @@
 /// Transmissions of an update in addition to the logarithm of the zone's size.
 const EXTRA_TRANSMISSIONS: u32 = 4;
 /// Cycles through all zones without contact after which a zone counts as unreachable.
-const SILENT_CYCLES: f64 = 1.25;
+const ZONE_TIMEOUT_CYCLES: f64 = 1.25;
 /// Upper bound of the random index of the zone with which a delegate starts its exchanges.
-const MAX_FIRST_TURN: usize = 1_024;
+const MAX_FIRST_ZONE_INDEX: usize = 1_024;
 
 /// Priority of a message under the byte budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,13 +90,16 @@
     table: MemberTable,
     seeds: Vec<Seed>,
     queue: UpdateQueue,
+    /// Updates that a delegate has yet to send to the other zones.
     zone_outbox: BTreeMap<MemberId, Update>,
     probe: Option<DirectProbe>,
-    relayed: Vec<RelayedProbe>,
+    relayed_probes: Vec<RelayedProbe>,
+    /// Time at which each suspect is declared dead.
     suspicions: BTreeMap<MemberId, Timestamp>,
+    /// Dead members that are still in the table, with the time of their removal.
     tombstones: VecDeque<(Timestamp, ZoneName, MemberId)>,
     last_zone_contact: BTreeMap<ZoneName, Timestamp>,
-    zone_turn: usize,
+    zone_index: usize,
     sequence: u32,
     failed_probes: u32,
     declared_dead: Vec<MemberId>,
@@ -104,7 +107,8 @@
     /// True once the records of the local zone have arrived from a daemon that is ready.
     local_zone_known: bool,
     seed_contacts: usize,
-    contact_seed_next: bool,
+    /// True if the current exchange goes to a seed; alternates while joining.
+    is_seed_round: bool,
     /// True once the table has agreed with another daemon's table.
     table_filled: bool,
     changed: bool,
@@ -134,21 +138,21 @@
             queue: UpdateQueue::default(),
             zone_outbox: BTreeMap::new(),
             probe: None,
-            relayed: Vec::new(),
+            relayed_probes: Vec::new(),
             suspicions: BTreeMap::new(),
             tombstones: VecDeque::new(),
             last_zone_contact: BTreeMap::new(),
-            zone_turn: rng.random_range(0..MAX_FIRST_TURN),
+            zone_index: rng.random_range(0..MAX_FIRST_ZONE_INDEX),
             sequence: 0,
             failed_probes: 0,
             declared_dead: Vec::new(),
             joined: false,
             local_zone_known: false,
             seed_contacts: 0,
-            contact_seed_next: false,
+            is_seed_round: false,
             table_filled: false,
             changed: true,
-            join_deadline: now + anti_entropy::JOIN_LIMIT,
+            join_deadline: now + anti_entropy::JOIN_TIMEOUT,
             next_probe: now + jitter(settings.probe_interval, rng),
             next_round: now,
             next_table_sync: now,
@@ -212,7 +216,11 @@
     #[must_use]
     pub fn is_zone_reachable(&self, now: Timestamp, zone: &ZoneName) -> bool {
         let zones = u32::try_from(self.last_zone_contact.len()).unwrap_or(u32::MAX);
-        let cycle = self.settings.zone_sync_interval.mul_f64(SILENT_CYCLES) * zones;
+        let cycle = self
+            .settings
+            .zone_sync_interval
+            .mul_f64(ZONE_TIMEOUT_CYCLES)
+            * zones;
         let limit = self.settings.min_zone_timeout.max(cycle);
         *zone == self.me.profile.zone
             || self
@@ -239,7 +247,8 @@
         }
     }
 
-    /// Marks this daemon as leaving. The mark is gossiped with priority and is never withdrawn.
+    /// Marks this daemon as leaving. The leaving flag is gossiped with priority and is never
+    /// withdrawn.
     pub fn leave(&mut self, now: Timestamp) {
         if self.me.leaving {
             return;
@@ -446,7 +455,7 @@
             return;
         }
         self.probe = None;
-        self.relayed.clear();
+        self.relayed_probes.clear();
         for deadline in self.suspicions.values_mut() {
             *deadline = *deadline + delay;
         }
--- a/crates/membership/src/gossip/probe.rs
+++ b/crates/membership/src/gossip/probe.rs
@@ -58,12 +58,12 @@
         reply_to: SocketAddr,
         out: &mut Vec<Outgoing>,
     ) {
-        self.relayed.retain(|probe| probe.expires_at > now);
-        if self.relayed.len() >= MAX_RELAYED_PROBES {
+        self.relayed_probes.retain(|probe| probe.expires_at > now);
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
             return;
         }
         let own_sequence = self.next_sequence();
-        self.relayed.push(RelayedProbe {
+        self.relayed_probes.push(RelayedProbe {
             requester: reply_to,
             requested_sequence,
             own_sequence,
@@ -83,12 +83,12 @@
             self.failed_probes = self.failed_probes.saturating_sub(1);
             return;
         }
-        let relayed = self
-            .relayed
+        let relayed_position = self
+            .relayed_probes
             .iter()
             .position(|probe| probe.own_sequence == sequence);
-        if let Some(position) = relayed {
-            let probe = self.relayed.swap_remove(position);
+        if let Some(position) = relayed_position {
+            let probe = self.relayed_probes.swap_remove(position);
             let body = Body::Acknowledge(probe.requested_sequence);
             out.push(Outgoing::urgent(probe.requester, body));
         }
--- a/crates/membership/src/gossip/selection.rs
+++ b/crates/membership/src/gossip/selection.rs
@@ -52,10 +52,10 @@
     /// Returns a random delegate of a zone, or with a small probability any live member, in case
     /// all its delegates have failed.
     pub(crate) fn contact_in(&self, zone: &ZoneName, rng: &mut impl Rng) -> Option<&Member> {
-        const ANY_MEMBER_CHANCE: f64 = 0.1;
+        const ANY_MEMBER_PROBABILITY: f64 = 0.1;
         let table = self.table.zone(zone)?;
         let delegates = table.delegates();
-        if delegates.is_empty() || rng.random_bool(ANY_MEMBER_CHANCE) {
+        if delegates.is_empty() || rng.random_bool(ANY_MEMBER_PROBABILITY) {
             return self.random_member(zone, rng, Member::is_live);
         }
         table.get(&delegates[rng.random_range(0..delegates.len())])
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -211,7 +211,7 @@
     /// Merges two states of one member; the result does not depend on their order.
     ///
     /// The later process wins. Within one process the later incarnation wins, then the worse
-    /// liveness. A leaving mark is kept within one process.
+    /// liveness. A leaving flag is kept within one process.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         let newer = if self.rank() >= other.rank() {
--- a/crates/membership/src/node/maintenance.rs
+++ b/crates/membership/src/node/maintenance.rs
@@ -45,8 +45,8 @@
                 self.gossip.contact_seed(out);
             }
             self.query_peers(rng, out);
-            let relayed = self.relay.pull_first(now, rng);
-            self.apply_relay(relayed, rng, out, effects);
+            let relay_effects = self.relay.pull_first(now, rng);
+            self.apply_relay_effects(relay_effects, rng, out, effects);
         }
         let should_read = self.should_read(now);
         if should_read != self.reading {
@@ -87,7 +87,7 @@
     }
 
     /// Reports the revision in force to the delegate that counts this member.
-    pub(super) fn run_report(&mut self, now: Timestamp, out: &mut Vec<Outgoing>) {
+    pub(super) fn report_revision(&mut self, now: Timestamp, out: &mut Vec<Outgoing>) {
         if now < self.next_report {
             return;
         }
@@ -105,7 +105,9 @@
             return;
         };
         if delegate == me {
-            self.relay.reports_mut().member(now, &me, revision, ready);
+            self.relay
+                .reports_mut()
+                .record_member(now, &me, revision, ready);
         } else if let Some(to) = self.address_of(&self.me().profile.zone, &delegate) {
             out.push(Outgoing::routine(to, Body::RevisionAnnouncement));
         }
@@ -130,8 +132,11 @@
     /// other zone.
     fn exchange_counts(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
         let me = self.me().profile.clone();
-        let limit = self.report_interval() * SILENT_MEMBER_INTERVALS;
-        let part = self.relay.reports_mut().count(now, &me.zone, &me.id, limit);
+        let max_silence = self.report_interval() * SILENT_MEMBER_INTERVALS;
+        let part = self
+            .relay
+            .reports_mut()
+            .count_members(now, &me.zone, &me.id, max_silence);
         let mut shared = vec![part];
         shared.extend(self.fresh_reports(now, &me.zone));
         for to in self.other_delegates(&me.zone, &me.id) {
@@ -191,25 +196,25 @@
         let per_zone = (self.settings.readers / zones.len().max(1))
             .clamp(1, self.settings.readers_per_zone.max(1));
         let zone_count = (self.settings.readers / per_zone).max(1);
-        if rank >= per_zone && !self.do_delegates_lack_store(now, rank) {
+        if rank >= per_zone && !self.first_delegates_lack_store(now, rank) {
             return false;
         }
         let position = zones.iter().position(|zone| *zone == local_zone);
         zones.retain(|zone| *zone == local_zone || !self.lacks_store(now, zone));
-        let among_working = zones.iter().position(|zone| *zone == local_zone);
-        let chosen = |position: Option<usize>| position.is_some_and(|at| at < zone_count);
-        chosen(position) || chosen(among_working)
+        let position_among_connected = zones.iter().position(|zone| *zone == local_zone);
+        let is_selected = |position: Option<usize>| position.is_some_and(|at| at < zone_count);
+        is_selected(position) || is_selected(position_among_connected)
     }
 
     /// Returns true if the first `count` delegates of the local zone all report no contact with the
     /// store.
-    fn do_delegates_lack_store(&self, now: Timestamp, count: usize) -> bool {
+    fn first_delegates_lack_store(&self, now: Timestamp, count: usize) -> bool {
         let Some(table) = self.table().zone(&self.me().profile.zone) else {
             return false;
         };
         let oldest = now - self.settings.min_zone_timeout;
-        let mut before = table.delegates().iter().take(count);
-        before.all(|id| self.relay.reports().contact_of(id, oldest) == Some(false))
+        let mut first_delegates = table.delegates().iter().take(count);
+        first_delegates.all(|id| self.relay.reports().contact_of(id, oldest) == Some(false))
     }
 
     fn lacks_store(&self, now: Timestamp, zone: &ZoneName) -> bool {
--- a/crates/membership/src/node/mod.rs
+++ b/crates/membership/src/node/mod.rs
@@ -227,10 +227,10 @@
         rng: &mut impl Rng,
     ) -> Vec<Effect> {
         self.store_contact(true);
-        let relayed = self.relay.on_store(now, report);
+        let relay_effects = self.relay.on_store(now, report);
         let mut effects = Vec::new();
         let mut out = Vec::new();
-        self.apply_relay(relayed, rng, &mut out, &mut effects);
+        self.apply_relay_effects(relay_effects, rng, &mut out, &mut effects);
         self.flush(now, out, &mut effects);
         effects
     }
@@ -316,18 +316,18 @@
             }
         }
         self.record_member_revision(now, message);
-        let relayed = self
+        let relay_effects = self
             .relay
             .on_header(now, &header.from, header.revision, header.ready);
-        self.apply_relay(relayed, rng, out, effects);
+        self.apply_relay_effects(relay_effects, rng, out, effects);
         let reply_to = self
             .address_of(&header.zone, &header.from)
             .unwrap_or(source);
         match &message.body {
             Body::Gossip | Body::RevisionAnnouncement => {}
             Body::Changes(changes) => {
-                let relayed = self.relay.on_changes(now, &header.from, changes);
-                self.apply_relay(relayed, rng, out, effects);
+                let relay_effects = self.relay.on_changes(now, &header.from, changes);
+                self.apply_relay_effects(relay_effects, rng, out, effects);
             }
             Body::Pull(held) => {
                 let changes = self.relay.on_pull(&header.from, *held);
@@ -350,7 +350,7 @@
             if !report.complete && report.store_contact != known {
                 self.next_maintenance = now;
             }
-            self.relay.reports_mut().received(now, report.clone());
+            self.relay.reports_mut().record_report(now, report.clone());
         }
     }
 
@@ -403,7 +403,7 @@
         }
         if self.delegate_of(&header.zone, &header.from) == Some(&me.id) {
             let reports = self.relay.reports_mut();
-            reports.member(now, &header.from, header.revision, header.ready);
+            reports.record_member(now, &header.from, header.revision, header.ready);
         }
     }
 
@@ -416,10 +416,10 @@
         let mut effects = Vec::new();
         let mut out = Vec::new();
         self.gossip.advance(now, rng, &mut self.counters, &mut out);
-        let relayed = self.relay.advance(now);
-        self.apply_relay(relayed, rng, &mut out, &mut effects);
+        let relay_effects = self.relay.advance(now);
+        self.apply_relay_effects(relay_effects, rng, &mut out, &mut effects);
         self.run_maintenance(now, rng, &mut out, &mut effects);
-        self.run_report(now, &mut out);
+        self.report_revision(now, &mut out);
         self.flush(now, out, &mut effects);
         effects
     }
@@ -434,14 +434,14 @@
         next.min(self.next_maintenance)
     }
 
-    fn apply_relay(
+    fn apply_relay_effects(
         &mut self,
-        relayed: Vec<RelayEffect>,
+        relay_effects: Vec<RelayEffect>,
         rng: &mut impl Rng,
         out: &mut Vec<Outgoing>,
         effects: &mut Vec<Effect>,
     ) {
-        for effect in relayed {
+        for effect in relay_effects {
             match effect {
                 RelayEffect::AdoptSnapshot(snapshot) => {
                     self.counters.adopted += 1;
--- a/crates/membership/src/node/send.rs
+++ b/crates/membership/src/node/send.rs
@@ -118,10 +118,10 @@
     pub(super) fn reply_changes(
         &self,
         reply_to: SocketAddr,
-        relayed: Vec<RelayEffect>,
+        relay_effects: Vec<RelayEffect>,
         out: &mut Vec<Outgoing>,
     ) {
-        for effect in relayed {
+        for effect in relay_effects {
             if let RelayEffect::Reply(_, changes) = effect {
                 out.push(Outgoing::urgent(reply_to, Body::Changes(changes)));
             }
--- a/crates/membership/src/relay/mod.rs
+++ b/crates/membership/src/relay/mod.rs
@@ -85,6 +85,7 @@
     log: ChangeLog,
     readiness: Readiness,
     reports: Reports,
+    /// Peers known to hold the revision in force or a newer one.
     holders: BTreeSet<MemberId>,
     pull: Option<PendingPull>,
     announce_at: Option<Timestamp>,
--- a/crates/membership/src/relay/readiness.rs
+++ b/crates/membership/src/relay/readiness.rs
@@ -29,6 +29,7 @@
     queried: BTreeSet<MemberId>,
     replies: BTreeMap<MemberId, RevisionReply>,
     store_revision: Option<u64>,
+    /// True once the member table has been filled.
     members_known: bool,
     ready: bool,
 }
@@ -126,10 +127,10 @@
     pub fn best_sources(&self) -> Vec<&MemberId> {
         let highest = self.replies.values().map(|reply| reply.revision).max();
         let best = highest.filter(|&revision| revision > 0);
-        let holds_best = |reply: &RevisionReply| Some(reply.revision) == best;
+        let is_best = |reply: &RevisionReply| Some(reply.revision) == best;
         let replies = self.replies.iter();
         replies
-            .filter(|(_, reply)| holds_best(reply))
+            .filter(|(_, reply)| is_best(reply))
             .map(|(peer, _)| peer)
             .collect()
     }
--- a/crates/membership/src/relay/reports.rs
+++ b/crates/membership/src/relay/reports.rs
@@ -26,7 +26,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
     members: BTreeMap<MemberId, MemberRevision>,
+    /// Reports of the other delegates of the local zone, by delegate.
     partial_reports: BTreeMap<MemberId, ReceivedReport>,
+    /// Latest report about each zone.
     zones: BTreeMap<ZoneName, ReceivedReport>,
     store_contact: Option<bool>,
 }
@@ -45,7 +47,7 @@
 
 impl Reports {
     /// Records the revision of a member that reports to this delegate.
-    pub fn member(&mut self, now: Timestamp, id: &MemberId, revision: u64, ready: bool) {
+    pub fn record_member(&mut self, now: Timestamp, id: &MemberId, revision: u64, ready: bool) {
         let member = MemberRevision {
             revision,
             ready,
@@ -77,7 +79,7 @@
     }
 
     /// Records a report from another delegate, unless a newer one is known.
-    pub fn received(&mut self, now: Timestamp, report: ZoneReport) {
+    pub fn record_report(&mut self, now: Timestamp, report: ZoneReport) {
         let counted_at = now - Duration::from_millis(report.age_ms);
         let received = ReceivedReport { report, counted_at };
         if received.report.complete {
@@ -89,16 +91,16 @@
         }
     }
 
-    /// Counts the members that report to `me`, after removing those silent for longer than `limit`.
-    /// Stores the zone's total and returns the partial report.
-    pub fn count(
+    /// Counts the members that report to `me`, after removing those silent for longer than
+    /// `max_silence`. Stores the total of the zone and returns this delegate's partial report.
+    pub fn count_members(
         &mut self,
         now: Timestamp,
         zone: &ZoneName,
         me: &MemberId,
-        limit: Duration,
+        max_silence: Duration,
     ) -> ZoneReport {
-        let oldest = now - limit;
+        let oldest = now - max_silence;
         self.members
             .retain(|_, member| member.received_at >= oldest);
         self.partial_reports
--- a/crates/membership/tests/state_merge.rs
+++ b/crates/membership/tests/state_merge.rs
@@ -42,7 +42,7 @@
     }
 
     #[test]
-    fn a_leaving_mark_is_kept_within_the_same_process(
+    fn leaving_flag_is_kept_within_the_same_process(
         one in states(),
         other in states(),
     ) {
