--- a/crates/membership/src/gossip/mod.rs
+++ b/crates/membership/src/gossip/mod.rs
@@ -190,8 +190,8 @@
         &self.table
     }
 
-    /// Returns true once the table has been filled from another member, or the wait for one has
-    /// expired.
+    /// Returns true once the table has agreed with another member's, the wait for this has expired,
+    /// or there are no seeds to join through.
     #[must_use]
     pub const fn is_joined(&self) -> bool {
         self.joined
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -41,7 +41,7 @@
     pub change_fanout: usize,
     /// Number of members of the local zone to which a daemon announces its revision after a change.
     pub announcement_fanout: usize,
-    /// Delay between the push of a change and its announcement_fanout.
+    /// Delay between the push of a change and its announcements.
     pub announcement_delay: Duration,
     /// Minimum time for which a starting daemon collects replies before it becomes ready.
     pub min_readiness_wait: Duration,
