--- a/crates/core/src/routing/heard_level.rs
+++ b/crates/core/src/routing/heard_level.rs
@@ -1,12 +1,12 @@
-//! The admission level that an endpoint was last heard to have.
+//! Latest admission level received from an endpoint.
 
 use std::time::Duration;
 
 use crate::priority::{AdmissionKey, AdmissionLevel};
 use crate::time::Timestamp;
 
-/// A level and when it was heard. It reopens evenly with time, since an endpoint that gets no calls
-/// can't say that it has recovered.
+/// A level and the time at which it was received. It reopens linearly with time, since an endpoint
+/// that gets no calls can't report that it has recovered.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct HeardLevel {
     level: AdmissionLevel,
@@ -14,13 +14,13 @@
 }
 
 impl HeardLevel {
-    /// Notes a level that came with an answer.
+    /// Records a level that came with a response.
     pub(super) const fn hear(&mut self, now: Timestamp, level: AdmissionLevel) {
         self.level = level;
         self.heard_at = now;
     }
 
-    /// The level that is assumed at `now`.
+    /// Returns the level that is assumed at `now`.
     pub(super) fn assumed(&self, now: Timestamp, reopen: Duration) -> AdmissionLevel {
         let age = now.saturating_since(self.heard_at).as_micros();
         let whole = reopen.as_micros();
@@ -32,7 +32,7 @@
         AdmissionLevel::new(self.level.number().saturating_add(reopened))
     }
 
-    /// Time until a call with this key is assumed to be admitted.
+    /// Returns the time until a call with this key is assumed to be admitted.
     pub(super) fn wait_for(&self, now: Timestamp, reopen: Duration, key: AdmissionKey) -> Duration {
         let closed = u64::from(AdmissionLevel::OPEN.number() - self.level.number());
         if self.level.admits(key) || closed == 0 {
--- a/crates/core/src/routing/hold.rs
+++ b/crates/core/src/routing/hold.rs
@@ -1,19 +1,19 @@
-//! Times during which an endpoint gets nothing though it is listed as live.
+//! Holds: periods during which a live endpoint gets no calls.
 
 use crate::time::Timestamp;
 
-/// Why an endpoint gets nothing for a while.
+/// Reason for which an endpoint gets no calls for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HoldReason {
-    /// Callers saw it fail.
+    /// Too many attempts at the endpoint failed.
     Ejected,
-    /// It refused a call as leaving.
+    /// The endpoint refused a call as leaving.
     Leaving,
-    /// It refused a connection.
+    /// The endpoint refused a connection.
     ConnectionLimit,
 }
 
-/// A reason with the time at which it ends.
+/// A reason with the time at which the hold ends.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hold {
     pub(super) until: Timestamp,
@@ -21,7 +21,7 @@
 }
 
 impl Hold {
-    /// Whether the hold still counts.
+    /// Returns true if the hold has not ended.
     pub(super) fn is_active(&self, now: Timestamp) -> bool {
         now < self.until
     }
--- a/crates/core/src/routing/locality.rs
+++ b/crates/core/src/routing/locality.rs
@@ -1,20 +1,21 @@
-//! Own zone first; other zones only by measured headroom.
+//! Zone preference: the local zone first, other zones only if they are clearly less loaded.
 
 use rand::Rng;
 
 use super::balance::{Candidate, Pool, pick_of_two};
 use super::settings::RouterSettings;
 
-/// Members of the router's table, by distance.
+/// Indexes of the live endpoints that the router uses, by zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Members {
-    /// Endpoints of the own zone.
+    /// Endpoints in the local zone.
     pub(super) local: Vec<u32>,
-    /// Endpoints of other zones.
+    /// Endpoints in other zones.
     pub(super) remote: Vec<u32>,
 }
 
-/// Picks from the own zone, unless that is under pressure and another zone is clearly better off.
+/// Picks from the local zone, unless its cost reaches the spill threshold and another zone is
+/// cheaper by at least the spill margin.
 pub(super) fn pick(
     pool: &impl Pool,
     members: &Members,
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! The choice of an endpoint for a call.
+//! Endpoint selection for calls.
 //!
-//! One [`Router`] serves one daemon and one service. It prefers the daemon's own zone, compares two
-//! random endpoints by reported and observed load, and stays clear of endpoints that are leaving,
-//! full, closed to the call's priority or unreliable.
+//! One [`Router`] serves one daemon and one service. It prefers the local zone, compares two random
+//! endpoints by reported and observed load, and avoids endpoints that are leaving, full, closed to
+//! the call's priority or unreliable.
 
 mod balance;
 mod endpoint;
--- a/crates/core/src/routing/observation.rs
+++ b/crates/core/src/routing/observation.rs
@@ -1,23 +1,23 @@
-//! What a caller learns from one attempt at an endpoint.
+//! Measurements and reports that a caller obtains from one attempt at an endpoint.
 
 use std::time::Duration;
 
 use crate::outcome::OutcomeClass;
 use crate::priority::AdmissionLevel;
 
-/// Load that an endpoint reports of itself. It may lag or mislead.
+/// Load that an endpoint reports. It may be outdated or wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
     /// Requests in execution.
     pub in_flight: u32,
     /// Concurrency limit in force.
     pub limit: u32,
-    /// Requests that wait.
+    /// Requests waiting in the queue.
     pub queued: u32,
 }
 
 impl ReportedLoad {
-    /// Requests present as a share of the limit.
+    /// Returns executing and waiting requests as a share of the limit.
     #[must_use]
     pub fn utilisation(&self) -> f64 {
         let present = f64::from(self.in_flight) + f64::from(self.queued);
@@ -25,25 +25,25 @@
     }
 }
 
-/// The end of one attempt, as the caller saw it.
+/// Result of one attempt, as observed by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// Time from dispatch to the end of the attempt.
+    /// Time from dispatch to the completion of the attempt.
     pub latency: Duration,
-    /// Class of the attempt's result.
+    /// Outcome class of the attempt's result.
     pub outcome: OutcomeClass,
-    /// Whether the back end's whole answer says that it failed, such as one with a 5xx status.
+    /// True if the backend's complete response reports a failure, such as a 5xx status.
     pub error_answer: bool,
-    /// Whether the endpoint refused or answered as overloaded.
+    /// True if the endpoint refused the attempt or responded to it as overloaded.
     pub overloaded: bool,
-    /// Load that came with the answer.
+    /// Load carried by the response.
     pub load: Option<ReportedLoad>,
-    /// Admission level that came with the answer.
+    /// Admission level carried by the response.
     pub level: Option<AdmissionLevel>,
 }
 
 impl Observation {
-    /// Whether the attempt shows that the endpoint is broken, not merely busy.
+    /// Returns true if the attempt indicates that the endpoint is faulty rather than busy.
     pub(super) fn is_failure(&self) -> bool {
         match self.outcome {
             OutcomeClass::Run => false,
--- a/crates/core/src/routing/pick.rs
+++ b/crates/core/src/routing/pick.rs
@@ -1,4 +1,4 @@
-//! The question to a router and its answer.
+//! Request to a router for an endpoint, and the result.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 pub struct PickRequest<'request> {
     /// Position of the call in the order of refusal.
     pub key: AdmissionKey,
-    /// Endpoints that were tried before.
+    /// Endpoints that were already tried for this call.
     pub excluded: &'request [EndpointId],
 }
 
-/// The endpoint for a call.
+/// Result of picking an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pick {
-    /// Send the call here.
+    /// Send the call to this endpoint.
     Endpoint(EndpointId),
     /// No endpoint can take the call now.
     None {
-        /// What to answer: no back end, connection limit or refused by level.
+        /// Code to respond with: no backend, connection limit or refused by level.
         reason: ResultCode,
-        /// When to come back.
+        /// Value for the Retry-After header, with jitter.
         retry_after: Duration,
     },
 }
--- a/crates/core/src/routing/reference.rs
+++ b/crates/core/src/routing/reference.rs
@@ -1,17 +1,18 @@
-//! What is usual among a service's endpoints; single endpoints are compared with it.
+//! Reference values over a service's endpoints, with which single endpoints are compared.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Observations after which the reference is computed anew.
+/// Number of observations after which the reference values are recomputed.
 const REFRESH_AFTER_OBSERVATIONS: u32 = 32;
-/// Age at which the reference is computed anew with the next observation.
+/// Age at which the reference values are recomputed with the next observation.
 const REFRESH_AFTER: Duration = Duration::from_millis(100);
 
 /// Median latency and median reported utilisation over the endpoints.
 ///
-/// Medians, so that a minority that misreports or answers slowly doesn't shift what is usual.
+/// Medians are used because a minority of endpoints that misreports or responds slowly doesn't
+/// shift them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reference {
     latency_micros: Option<f64>,
@@ -21,7 +22,7 @@
 }
 
 impl Reference {
-    /// Counts an observation; true when the reference should be refreshed.
+    /// Counts an observation; returns true if the reference values should be recomputed.
     pub(super) fn count(&mut self, now: Timestamp) -> bool {
         self.observations += 1;
         self.latency_micros.is_none()
@@ -29,7 +30,7 @@
             || now.saturating_since(self.refreshed_at) >= REFRESH_AFTER
     }
 
-    /// Computes the medians anew.
+    /// Recomputes the medians.
     pub(super) fn refresh(&mut self, now: Timestamp, latencies: Vec<f64>, utilisations: Vec<f64>) {
         self.latency_micros = lower_median(latencies);
         self.utilisation = lower_median(utilisations);
@@ -37,12 +38,12 @@
         self.refreshed_at = now;
     }
 
-    /// Median of the endpoints' mean latencies, in microseconds.
+    /// Returns the median of the endpoints' mean latencies, in microseconds.
     pub(super) const fn latency_micros(&self) -> Option<f64> {
         self.latency_micros
     }
 
-    /// Median of the endpoints' reported utilisations.
+    /// Returns the median of the endpoints' reported utilisations.
     pub(super) const fn utilisation(&self) -> Option<f64> {
         self.utilisation
     }
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router of one daemon for one service.
+//! Router of one daemon for one service.
 
 use std::time::Duration;
 
@@ -19,10 +19,11 @@
 use super::settings::RouterSettings;
 use super::subset::{self, SubsetSettings};
 
-/// Retry-After is stretched by a random share up to this, so that callers don't return together.
+/// Largest random extension of Retry-After, as a share of it. Prevents callers from returning
+/// simultaneously.
 const RETRY_AFTER_SPREAD: f64 = 0.5;
 
-/// Picks endpoints of one service and learns from what happens there.
+/// Picks endpoints of one service and learns from the results of the calls.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: RouterSettings,
@@ -33,29 +34,29 @@
     reference: Reference,
 }
 
-/// What the router makes of one endpoint, for status pages.
+/// State of one endpoint in the router, for status pages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointView {
-    /// The endpoint.
+    /// Identity of the endpoint.
     pub id: EndpointId,
-    /// Whether it belongs to this caller's subset.
+    /// True if the endpoint belongs to this caller's subset.
     pub in_subset: bool,
-    /// Calls of this daemon in flight there.
+    /// Calls of this daemon in flight at the endpoint.
     pub in_flight: u32,
-    /// Expected burden of one more call; 1.0 is full.
+    /// Expected cost of one more call; 1.0 is an endpoint filled up to its limit.
     pub cost: f64,
-    /// How little its reports count, 0.0 to 1.0.
+    /// How much the endpoint's reports are discounted: 0.0 not at all, 1.0 entirely.
     pub distrust: f64,
-    /// Share of its full load that it should get, below 1.0 while it warms up.
+    /// Share of its full load that the endpoint should get; below 1.0 while it warms up.
     pub weight: f64,
-    /// Admission level that it is assumed to have.
+    /// Admission level that the endpoint is assumed to have.
     pub level: AdmissionLevel,
-    /// Why it gets nothing at the moment.
+    /// Reason for which the endpoint currently gets no calls; `None` if there is no hold.
     pub hold: Option<HoldReason>,
 }
 
 impl Router {
-    /// A router without endpoints.
+    /// Creates a router without endpoints.
     #[must_use]
     pub fn new(settings: RouterSettings, local_zone: Zone) -> Self {
         Self {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Takes over changed settings; what was learned stays.
+    /// Applies changed settings; observations are kept.
     pub fn reconfigure(&mut self, settings: RouterSettings) {
         self.settings = settings;
         self.select_members();
     }
 
-    /// Replaces the list of endpoints. What was learned of an endpoint stays as long as it is listed
+    /// Replaces the list of endpoints. Observations of an endpoint are kept as long as it is listed
     /// with the same incarnation.
     pub fn set_endpoints(&mut self, _now: Timestamp, mut endpoints: Vec<Endpoint>) {
         endpoints.sort_by(|left, right| {
@@ -100,16 +101,16 @@
         self.select_members();
     }
 
-    /// Notes the incarnation that an endpoint told. The first one that is told changes nothing else;
-    /// a later one starts cold and without a past; an earlier one, which comes with a late answer, is
-    /// ignored.
+    /// Records the incarnation that an endpoint reported. The first one reported changes nothing
+    /// else. A later one starts cold and without observations. An earlier one, which comes with a
+    /// delayed response, is ignored.
     pub fn heard_incarnation(&mut self, now: Timestamp, endpoint: &EndpointId, incarnation: u64) {
         if let Some(entry) = self.entry_mut(endpoint) {
             entry.heard_incarnation(now, incarnation);
         }
     }
 
-    /// Picks an endpoint for a call. The driver reports the use with [`Router::dispatched`].
+    /// Picks an endpoint for a call. The driver must report its use with [`Router::dispatched`].
     pub fn pick(&self, now: Timestamp, rng: &mut impl Rng, request: &PickRequest<'_>) -> Pick {
         let others = self.pool(now, request, EjectedUse::Avoid);
         let all = self.pool(now, request, EjectedUse::Accept);
@@ -121,20 +122,21 @@
         }
     }
 
-    /// Whether some endpoint could take the call.
+    /// Returns true if some endpoint can take the call.
     #[must_use]
     pub fn can_pick(&self, now: Timestamp, request: &PickRequest<'_>) -> bool {
         let pool = self.pool(now, request, EjectedUse::Accept);
         self.member_indexes().any(|index| pool.is_usable(index))
     }
 
-    /// What the endpoints together are assumed to have room for; see [`AdmissionLevel::common`].
+    /// Returns the common admission level of the endpoints; see [`AdmissionLevel::common`].
     ///
-    /// Callers further up hear of it hop by hop and decide by it about whole call trees. The level of the most open
-    /// endpoint lets pass at all of them what one has room for: at the end of a chain of four services with seven
-    /// endpoints, 0.11 of all requests were begun and failed that way, 0.07 this way. An endpoint that gets no calls at
-    /// the moment counts for nothing: a back end that is gone would otherwise keep its service open for good. Open when
-    /// there is none.
+    /// It is propagated hop by hop to callers further up, which apply it to whole call trees. Using
+    /// the level of the most open endpoint would admit at all endpoints what only one has capacity
+    /// for: at the end of a chain of four services with seven endpoints, 0.11 of all requests were
+    /// started and failed that way, 0.07 with the common level. Endpoints under a hold are not
+    /// counted; a terminated backend would otherwise keep the level of its service open forever.
+    /// Open if there is no endpoint.
     #[must_use]
     pub fn level(&self, now: Timestamp) -> AdmissionLevel {
         let entries = self.member_indexes().map(|index| &self.entries[index]);
@@ -143,14 +145,15 @@
         AdmissionLevel::common(levels)
     }
 
-    /// Notes that a call was sent to an endpoint.
+    /// Records that a call was sent to an endpoint.
     pub fn dispatched(&mut self, _now: Timestamp, endpoint: &EndpointId) {
         if let Some(entry) = self.entry_mut(endpoint) {
             entry.dispatched();
         }
     }
 
-    /// Notes the end of an attempt and what it showed. Pairs with one [`Router::dispatched`].
+    /// Records the completion and the observations of an attempt. Must be called at most once per
+    /// [`Router::dispatched`].
     pub fn observe(&mut self, now: Timestamp, endpoint: &EndpointId, observation: Observation) {
         let Ok(index) = self.position(endpoint) else {
             return;
@@ -166,28 +169,28 @@
         }
     }
 
-    /// Notes the end of an attempt that says nothing about the endpoint, such as one that the caller
-    /// cancelled. Pairs with one [`Router::dispatched`].
+    /// Records the end of an attempt that gives no information on the endpoint, such as one that
+    /// the caller cancelled. Pairs with one call of [`Router::dispatched`].
     pub fn abandoned(&mut self, endpoint: &EndpointId) {
         if let Some(entry) = self.entry_mut(endpoint) {
             entry.ended();
         }
     }
 
-    /// Keeps calls away from an endpoint that refused one as leaving, until other sources confirm it
-    /// or the hold ends.
+    /// Sets a hold on an endpoint that refused a call as leaving. It bridges the time until other
+    /// sources confirm the departure.
     pub fn refused_as_leaving(&mut self, now: Timestamp, endpoint: &EndpointId) {
         let until = now + self.settings.leaving_hold;
         self.hold(endpoint, until, HoldReason::Leaving);
     }
 
-    /// Keeps calls away for a moment from an endpoint that accepts no further connection.
+    /// Sets a short hold on an endpoint that accepts no further connection.
     pub fn connection_refused(&mut self, now: Timestamp, endpoint: &EndpointId) {
         let until = now + self.settings.connection_hold;
         self.hold(endpoint, until, HoldReason::ConnectionLimit);
     }
 
-    /// What the router makes of each endpoint.
+    /// Returns the state of each endpoint.
     pub fn views(&self, now: Timestamp) -> impl Iterator<Item = EndpointView> {
         let mut in_subset = vec![false; self.entries.len()];
         for index in self.member_indexes() {
@@ -211,13 +214,13 @@
         }
     }
 
-    /// Number of endpoints listed.
+    /// Returns the number of endpoints listed.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no endpoint is listed.
+    /// Returns true if no endpoint is listed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -252,7 +255,7 @@
         all.map(|member| *member as usize)
     }
 
-    /// Chooses the live endpoints that this daemon uses.
+    /// Selects the live endpoints that this daemon uses.
     fn select_members(&mut self) {
         let subset = self.settings.subset.as_ref();
         let chosen = subset.map(|settings| self.select_subset(settings));
@@ -275,7 +278,7 @@
         self.members = members;
     }
 
-    /// The endpoints of this caller's subset, in order.
+    /// Returns the endpoints of this caller's subset, sorted by id.
     fn select_subset(&self, settings: &SubsetSettings) -> Vec<EndpointId> {
         let endpoints = self.entries.iter().map(|entry| &entry.endpoint);
         let live: Vec<&Endpoint> = endpoints
@@ -300,7 +303,7 @@
         }
     }
 
-    /// Ejects an endpoint if the bound on ejected endpoints leaves room for it.
+    /// Ejects an endpoint unless too many endpoints are already ejected.
     fn eject(&mut self, now: Timestamp, index: usize) {
         let members = self.member_indexes().count();
         let ejected = self
@@ -319,7 +322,8 @@
         entry.pardon();
     }
 
-    /// Most endpoints that may be ejected at a time; at least one of two, and never all.
+    /// Returns the largest number of endpoints that may be ejected at a time: at least one of two,
+    /// and never all.
     fn maximum_ejected(&self, members: usize) -> usize {
         let share = (members as f64 * self.settings.maximum_ejected_share).floor() as usize;
         share.max(1).min(members.saturating_sub(1))
@@ -331,7 +335,7 @@
             .is_some_and(|hold| hold.is_active(now) && hold.reason == HoldReason::Ejected)
     }
 
-    /// Why no endpoint can take a call, and when one might.
+    /// Returns the reason for which no endpoint can take a call, and the time until one might.
     fn explain_none(&self, now: Timestamp, rng: &mut impl Rng, request: &PickRequest<'_>) -> Pick {
         let mut reason = ResultCode::NoBackend;
         let mut wait: Option<Duration> = None;
@@ -358,7 +362,7 @@
     }
 }
 
-/// Of two reasons, the one that is closer to an endpoint that could have taken the call.
+/// Returns the reason of the two that is closer to an endpoint being able to take the call.
 fn more_telling(left: ResultCode, right: ResultCode) -> ResultCode {
     let order = |code| match code {
         ResultCode::RefusedByLevel => 2,
@@ -372,7 +376,7 @@
     }
 }
 
-/// The router's endpoints as one call sees them.
+/// Endpoints of the router, as seen by one call.
 struct PoolView<'view> {
     router: &'view Router,
     now: Timestamp,
--- a/crates/core/src/routing/settings.rs
+++ b/crates/core/src/routing/settings.rs
@@ -1,4 +1,4 @@
-//! Tuning of a router.
+//! Settings of a router.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 /// Tuning of a [`super::Router`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// Time over which a cold endpoint's share grows to its full size.
+    /// Time over which the share of a cold endpoint grows to its full size.
     pub warm_up: Duration,
     /// Share of a cold endpoint at its start, above 0.0 and up to 1.0.
     pub warm_up_floor: f64,
-    /// Cost of the best endpoint of the own zone from which other zones are considered. A cost of
-    /// 1.0 is an endpoint that is filled up to its limit and answers as fast as its siblings.
+    /// Cost of the picked endpoint in the local zone from which other zones are considered. A cost
+    /// of 1.0 is an endpoint that is filled up to its limit and responds as fast as its siblings.
     pub spill_threshold: f64,
-    /// How much cheaper an endpoint of another zone must be to be taken.
+    /// Cost difference by which an endpoint of another zone must be cheaper to be picked.
     pub spill_margin: f64,
-    /// Time after which a level that was heard once counts as open again.
+    /// Time after which a received level that is not received again counts as open.
     pub level_reopen: Duration,
-    /// Age from which a reported load is no longer used.
+    /// Age from which a reported load is not used.
     pub report_lifetime: Duration,
-    /// Share of contradicted reports from which an endpoint's reports carry no weight. A value
-    /// above 1.0 trusts every report.
+    /// Share of contradicted reports from which an endpoint's reports are ignored. A value above
+    /// 1.0 trusts every report.
     pub distrust_threshold: f64,
     /// Largest share of the endpoints that may be ejected at a time.
     pub maximum_ejected_share: f64,
-    /// Time of a first ejection; each further one takes as much longer.
+    /// Duration of the first ejection; the n-th ejection lasts n times as long.
     pub ejection_base: Duration,
-    /// Longest time of an ejection.
+    /// Longest duration of an ejection.
     pub ejection_maximum: Duration,
-    /// Time for which an endpoint that refused as leaving gets nothing.
+    /// Duration of the hold on an endpoint that refused a call as leaving.
     pub leaving_hold: Duration,
-    /// Time for which an endpoint that refused a connection gets nothing.
+    /// Duration of the hold on an endpoint that refused a connection.
     pub connection_hold: Duration,
-    /// Retry-After when nothing better is known.
+    /// Retry-After when no estimate is available.
     pub default_retry_after: Duration,
     /// Restriction to a part of the endpoints; `None` uses them all.
     pub subset: Option<SubsetSettings>,
--- a/crates/core/src/routing/subset.rs
+++ b/crates/core/src/routing/subset.rs
@@ -1,35 +1,34 @@
-//! The part of a service's endpoints that one caller uses, so that connections per endpoint stay
-//! bounded.
+//! Selection of the endpoints that one caller uses, which limits the connections per endpoint.
 //!
 //! Each caller ranks the endpoints by a hash of both names (rendezvous hashing) and keeps the first
-//! ones. No coordination is needed, every process gets the same result, and an endpoint that comes
-//! or goes changes one place in the subsets that it belongs to.
+//! ones. This needs no coordination and gives the same result in every process. An endpoint that is
+//! added or removed changes one position in the subsets that it belongs to.
 
 use super::endpoint::{Endpoint, EndpointId};
 
-/// How large the subset of a caller is.
+/// Parameters that determine the size of a caller's subset.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubsetSettings {
     /// Id of the calling daemon.
     pub caller: String,
     /// Number of daemons that call the service.
     pub callers: u32,
-    /// Connections of callers that an endpoint accepts; `None` takes the smallest
+    /// Connections that an endpoint accepts from callers; `None` uses the smallest
     /// [`Endpoint::connections`].
     pub connection_limit: Option<u32>,
     /// Connections that each caller holds to an endpoint of its subset.
     pub connections_per_caller: u32,
-    /// Share of an endpoint's connection limit that may be planned for, 0.0 to 1.0. The rest absorbs
-    /// the spread of the hash and callers that are replaced.
+    /// Share of an endpoint's connection limit that may be used for planning, 0.0 to 1.0. The rest
+    /// absorbs the variance of the hash and callers that are being replaced.
     pub connection_share: f64,
-    /// Fewest endpoints in a subset, where the service has so many.
+    /// Smallest number of endpoints in a subset, if the service has that many.
     pub minimum: usize,
     /// Endpoints of other zones that are kept in the subset for spilling.
     pub remote_reserve: usize,
 }
 
 impl SubsetSettings {
-    /// Settings for a caller among `callers`, with the defaults for the rest.
+    /// Creates the settings of a caller among `callers`, with default values for the rest.
     #[must_use]
     pub fn for_caller(caller: &str, callers: u32) -> Self {
         Self {
@@ -44,7 +43,7 @@
     }
 }
 
-/// Number of endpoints in a caller's subset.
+/// Returns the number of endpoints in a caller's subset.
 #[must_use]
 pub fn subset_size(settings: &SubsetSettings, endpoints: usize, connection_limit: u32) -> usize {
     let planned = f64::from(connection_limit) * settings.connection_share.clamp(0.0, 1.0);
@@ -54,9 +53,9 @@
     size.max(settings.minimum).min(endpoints)
 }
 
-/// Marks the endpoints that the caller uses; `local` tells which are in its own zone.
+/// Selects the endpoints that the caller uses; `local` returns true for endpoints in its zone.
 ///
-/// The own zone fills the subset first, except for the places reserved for other zones.
+/// The local zone fills the subset first, except for the positions reserved for other zones.
 pub(super) fn select(
     settings: &SubsetSettings,
     endpoints: &[&Endpoint],
@@ -90,7 +89,7 @@
         .collect()
 }
 
-/// Hash of a caller and an endpoint: FNV-1a, then the finalizer of SplitMix64.
+/// Returns a hash of a caller and an endpoint: FNV-1a, then the finalizer of SplitMix64.
 fn rank(caller: &str, endpoint: &str) -> u64 {
     const OFFSET: u64 = 0xCBF2_9CE4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01B3;
--- a/crates/core/src/routing/suspicion.rs
+++ b/crates/core/src/routing/suspicion.rs
@@ -1,4 +1,4 @@
-//! What callers observe of an endpoint, weighed against what it says of itself.
+//! Statistics of an endpoint's behaviour, compared with the load that it reports.
 
 use std::time::Duration;
 
@@ -10,26 +10,29 @@
 
 /// Weight of one observation in the moving averages.
 const OBSERVATION_WEIGHT: f64 = 0.1;
-/// Utilisation below which a report claims that there is room.
+/// Reported utilisation below which an endpoint claims to have free capacity.
 const CLAIMS_ROOM_BELOW: f64 = 0.8;
-/// Latency, as a multiple of the siblings', that contradicts a claim of room.
+/// Latency, as a multiple of the siblings', that contradicts a claim of free capacity.
 const SLOW_RATIO: f64 = 2.0;
 /// Bounds of the latency ratio in the cost.
 const LATENCY_RATIO_BOUNDS: (f64, f64) = (0.5, 16.0);
-/// Cost of an endpoint that always refuses as overloaded, as a multiple above an obliging one's.
+/// Additional cost of an endpoint that always refuses as overloaded, as a multiple of the cost of
+/// one that never does.
 const OVERLOAD_PENALTY: f64 = 4.0;
-/// Cost of an endpoint that always fails, as a multiple above a working one's.
+/// Additional cost of an endpoint that always fails, as a multiple of the cost of one that never
+/// does.
 const FAILURE_PENALTY: f64 = 16.0;
-/// Cost of an endpoint that always answers with an error, as a multiple above a working one's. Such
-/// an answer may be due to a deeper service, which is why it never ejects.
+/// Additional cost of an endpoint that always responds with an error, as a multiple of the cost of
+/// one that never does. Such a response may be caused by a service further down, which is why it
+/// never ejects the endpoint.
 const ERROR_PENALTY: f64 = 4.0;
-/// Time after which an endpoint that gets no calls is judged anew.
+/// Time after which the observations of an endpoint that gets no calls have no influence.
 const FORGET_AFTER: Duration = Duration::from_secs(5);
-/// Observations before an endpoint can be ejected.
+/// Observations required before an endpoint can be ejected.
 const EJECTION_MINIMUM_OBSERVATIONS: u32 = 5;
 /// Share of failures from which an endpoint is ejected.
 const EJECTION_FAILURE_SHARE: f64 = 0.5;
-/// Observations after which earlier ejections are forgotten.
+/// Observations required before earlier ejections are forgotten.
 const PROVEN_OBSERVATIONS: u32 = 50;
 /// Share of failures below which earlier ejections are forgotten.
 const PROVEN_FAILURE_SHARE: f64 = 0.05;
@@ -47,7 +50,7 @@
 }
 
 impl Suspicion {
-    /// Takes in one attempt; `claimed` is the utilisation that the endpoint had reported before.
+    /// Records one attempt; `claimed` is the utilisation that the endpoint had reported before.
     pub(super) fn observe(
         &mut self,
         now: Timestamp,
@@ -69,12 +72,12 @@
         self.observations = self.observations.saturating_add(1);
     }
 
-    /// Mean latency of the answers, in microseconds.
+    /// Returns the mean latency of the responses, in microseconds.
     pub(super) const fn latency_micros(&self) -> Option<f64> {
         self.latency_micros
     }
 
-    /// How little the endpoint's reports count: 0.0 trusted, 1.0 not at all.
+    /// Returns how much the endpoint's reports are discounted: 0.0 not at all, 1.0 entirely.
     pub(super) fn distrust(&self, now: Timestamp, threshold: f64) -> f64 {
         if threshold > 1.0 {
             return 0.0;
@@ -83,7 +86,8 @@
         (share / threshold.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0)
     }
 
-    /// Factor by which observed slowness, refusals, errors and failures raise the endpoint's cost.
+    /// Returns the factor by which observed slowness, refusals, errors and failures raise the
+    /// endpoint's cost.
     pub(super) fn cost_factor(&self, now: Timestamp, reference: &Reference) -> f64 {
         let influence = self.influence(now);
         let ratio = self.latency_ratio(reference);
@@ -94,17 +98,17 @@
         slowness * refusals * errors * failures
     }
 
-    /// Whether callers saw so many failures that the endpoint should be left alone.
+    /// Returns true if enough attempts failed to eject the endpoint.
     pub(super) fn should_eject(&self) -> bool {
         self.observations >= EJECTION_MINIMUM_OBSERVATIONS && self.failed >= EJECTION_FAILURE_SHARE
     }
 
-    /// Whether a long run of attempts showed hardly a failure.
+    /// Returns true if a long run of attempts contained almost no failure.
     pub(super) fn is_proven(&self) -> bool {
         self.observations >= PROVEN_OBSERVATIONS && self.failed < PROVEN_FAILURE_SHARE
     }
 
-    /// Starts to count failures anew, after an ejection.
+    /// Restarts the failure count after an ejection.
     pub(super) fn pardon(&mut self) {
         self.failed = 0.0;
         self.observations = 0;
@@ -121,12 +125,14 @@
     fn blend_failure(&mut self, failed: bool) {
         blend(&mut self.failed, failed);
         if failed {
-            // Rises faster than it falls: five failures in a row reach the ejection share.
+            // A failure counts twice, so the share rises faster than it falls: five failures in a
+            // row reach the ejection share.
             blend(&mut self.failed, true);
         }
     }
 
-    /// Blends a latency in; the older the average, the more the new one counts.
+    /// Adds a latency to the average; the older the average, the larger the weight of the new
+    /// value.
     fn blend_latency(&mut self, observation: &Observation, influence: f64) {
         let latency = observation.latency.as_micros() as f64;
         let mean = self.latency_micros.unwrap_or(latency);
@@ -137,7 +143,7 @@
                 return;
             }
             OutcomeClass::Run if !observation.error_answer => latency,
-            // The attempt was cut short, or gave up early, so its latency is a lower bound.
+            // The attempt was cut short or gave up early, so its latency is a lower bound.
             OutcomeClass::Run | OutcomeClass::Unknown => latency.max(mean),
         };
         self.latency_micros = Some(lerp(mean, seen, weight));
@@ -152,7 +158,8 @@
         self.observed_at = now;
     }
 
-    /// How much the averages still say at `now`, 1.0 just after an observation.
+    /// Returns the weight of the averages at `now`: 1.0 just after an observation, 0.0 when
+    /// forgotten.
     fn influence(&self, now: Timestamp) -> f64 {
         let age = now.saturating_since(self.observed_at).as_secs_f64();
         (1.0 - age / FORGET_AFTER.as_secs_f64()).max(0.0)
--- a/crates/core/src/routing/warm_up.rs
+++ b/crates/core/src/routing/warm_up.rs
@@ -1,10 +1,11 @@
-//! The share of load that a cold endpoint takes while it warms up.
+//! Share of load that a cold endpoint gets while it warms up.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Share of its full load that an endpoint should get, from `floor` at its start to 1.0.
+/// Returns the share of its full load that an endpoint should get, from `floor` at its start to
+/// 1.0.
 pub(super) fn weight(
     now: Timestamp,
     started_at: Option<Timestamp>,
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,4 @@
-//! The monotonic time that every state machine is given.
+//! Monotonic time, passed to every state machine.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -14,28 +14,28 @@
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The driver's origin of time.
+    /// The origin of time chosen by the driver.
     pub const ZERO: Self = Self(0);
 
-    /// The timestamp that lies `micros` microseconds after the origin.
+    /// Creates the timestamp `micros` microseconds after the origin.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// The timestamp that lies `millis` milliseconds after the origin.
+    /// Creates the timestamp `millis` milliseconds after the origin.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time from `earlier` to `self`, or zero when `earlier` is later.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     #[must_use]
     pub const fn saturating_since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
