--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -6,7 +6,7 @@
 use crate::admission::estimate::{FloorDuration, MeanDuration, unit_hash};
 use crate::admission::level::LevelController;
 use crate::admission::limit::{Limit, LimitBounds, LimitSample};
-use crate::admission::queue::{Pushed, WaitQueue, Waiting};
+use crate::admission::queue::{PushResult, WaitQueue, Waiting};
 use crate::admission::reserve::Reserve;
 use crate::admission::settings::AdmissionSettings;
 use crate::outcome::ResultCode;
@@ -16,7 +16,7 @@
 /// Weight of one call in the moving average of execution times.
 const MEAN_WEIGHT: f64 = 0.05;
 /// Factor by which calls of the highest priority may wait longer than others.
-const HIGHEST_PRIORITY_PATIENCE: u32 = 4;
+const HIGHEST_PRIORITY_WAIT_FACTOR: u32 = 4;
 
 /// Identity of a call between a driver and its controller. The driver must not reuse a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -142,23 +142,23 @@
     /// Decides about a call. The effects may also concern other calls: those displaced from the
     /// queue and those whose wait has expired.
     pub fn offer(&mut self, now: Timestamp, call: OfferedCall) -> Vec<AdmissionEffect> {
-        let patience = self.longest_wait(call.key.priority());
-        self.offer_within(now, call, patience)
+        let longest_wait = self.longest_wait(call.key.priority());
+        self.offer_within(now, call, longest_wait)
     }
 
-    /// Like [`Self::offer`], with `patience` as the longest wait instead of the configured one.
+    /// Like [`Self::offer`], with `longest_wait` as the longest wait instead of the configured one.
     pub fn offer_within(
         &mut self,
         now: Timestamp,
         call: OfferedCall,
-        patience: Duration,
+        longest_wait: Duration,
     ) -> Vec<AdmissionEffect> {
         let mut effects = self.advance(now);
         if self.draining {
             effects.push(self.refuse(now, &call, ResultCode::Draining));
             return effects;
         }
-        if self.is_doomed(now, &call) {
+        if self.cannot_meet_deadline(now, &call) {
             effects.push(self.refuse(now, &call, ResultCode::DeadlineUnreachable));
             return effects;
         }
@@ -168,7 +168,7 @@
         }
         self.level.arrived(&call);
         self.reserve.arrived(call.key);
-        self.enqueue(now, call, patience, &mut effects);
+        self.enqueue(now, call, longest_wait, &mut effects);
         self.dispatch_waiting(now, &mut effects);
         effects
     }
@@ -181,8 +181,8 @@
         completion: Completion,
     ) -> Vec<AdmissionEffect> {
         if let Some(execution) = self.executing.remove(&ticket) {
-            self.reserve.ended(execution.key.priority());
-            self.learn(now, &execution, completion);
+            self.reserve.completed(execution.key.priority());
+            self.record_completion(now, &execution, completion);
         }
         let mut effects = self.advance(now);
         self.dispatch_waiting(now, &mut effects);
@@ -313,10 +313,10 @@
         &mut self,
         now: Timestamp,
         call: OfferedCall,
-        patience: Duration,
+        longest_wait: Duration,
         effects: &mut Vec<AdmissionEffect>,
     ) {
-        let longest = now + patience;
+        let longest = now + longest_wait;
         let expires = longest.min(self.last_useful_start(&call));
         if self.queue.is_empty() && self.may_dispatch(call.key.priority()) {
             self.execute(now, &call);
@@ -324,11 +324,11 @@
             return;
         }
         match self.queue.push(now, call, expires) {
-            Pushed::Queued => {}
-            Pushed::Displaced(waiting) => {
+            PushResult::Queued => {}
+            PushResult::Displaced(waiting) => {
                 effects.push(self.refuse(now, &waiting.call, ResultCode::DisplacedFromQueue));
             }
-            Pushed::Full => {
+            PushResult::Full => {
                 effects.push(self.refuse(now, &call, ResultCode::RefusedQueueFull));
             }
         }
@@ -339,7 +339,7 @@
     fn longest_wait(&self, priority: Priority) -> Duration {
         let longest = self.settings.maximum_queue_wait;
         if priority == Priority::HIGHEST {
-            longest * HIGHEST_PRIORITY_PATIENCE
+            longest * HIGHEST_PRIORITY_WAIT_FACTOR
         } else {
             longest
         }
@@ -379,7 +379,7 @@
 
     /// Updates latency estimates and the limit from a completed execution. A cancelled execution is
     /// ignored, because its duration is no measure of latency.
-    fn learn(&mut self, now: Timestamp, execution: &Execution, completion: Completion) {
+    fn record_completion(&mut self, now: Timestamp, execution: &Execution, completion: Completion) {
         if completion == Completion::Cancelled {
             return;
         }
@@ -401,7 +401,7 @@
         self.limit.observe(now, sample);
     }
 
-    fn is_doomed(&self, now: Timestamp, call: &OfferedCall) -> bool {
+    fn cannot_meet_deadline(&self, now: Timestamp, call: &OfferedCall) -> bool {
         self.last_useful_start(call) <= now
     }
 
@@ -411,7 +411,7 @@
     }
 
     fn expiry_code(&self, now: Timestamp, waiting: &Waiting) -> ResultCode {
-        if self.is_doomed(now, &waiting.call) {
+        if self.cannot_meet_deadline(now, &waiting.call) {
             ResultCode::DeadlineUnreachable
         } else {
             ResultCode::QueueTimeout
--- a/crates/core/src/admission/level.rs
+++ b/crates/core/src/admission/level.rs
@@ -14,11 +14,11 @@
 use crate::time::Timestamp;
 
 /// Weight of past intervals in the moving averages of rates and shares.
-const MEMORY: f64 = 0.7;
+const DECAY: f64 = 0.7;
 /// Weight of past intervals in the rate of a priority of which almost no calls are admitted.
-const UNSEEN_MEMORY: f64 = 0.95;
+const UNSEEN_DECAY: f64 = 0.95;
 /// Admitted share of a priority below which its rate can't be estimated.
-const SMALLEST_SEEN_SHARE: f64 = 0.05;
+const SMALLEST_ADMITTED_SHARE: f64 = 0.05;
 /// Target queue length, as a share of the concurrency limit.
 const QUEUE_SHARE: f64 = 1.5;
 /// Number of intervals over which the queue is brought to its target length.
@@ -93,7 +93,7 @@
             Standing::InProgress => call.admitted_below,
         };
         let share = admitted_below.admitted_share(priority);
-        self.arrived[priority.index()] += 1.0 / share.max(SMALLEST_SEEN_SHARE);
+        self.arrived[priority.index()] += 1.0 / share.max(SMALLEST_ADMITTED_SHARE);
     }
 
     /// Counts a dispatched call.
@@ -125,32 +125,32 @@
         }
         self.next_adjustment = now + self.interval;
         self.estimate_offered();
-        let wanted = self.position();
+        let target = self.target_level();
         let headroom = 1.0 - self.mean_utilisation();
         let step = SMALLEST_STEP + (LARGEST_STEP - SMALLEST_STEP) * headroom * headroom;
-        self.level = wanted.min(self.level + step);
-        self.fade();
+        self.level = target.min(self.level + step);
+        self.apply_decay();
     }
 
     /// Updates the rate of each priority with the calls of this interval.
     fn estimate_offered(&mut self) {
         let level = self.level();
         let priorities = (0..).map_while(Priority::new);
-        for ((offered, &seen), priority) in
+        for ((offered, &arrived), priority) in
             self.offered.iter_mut().zip(&self.arrived).zip(priorities)
         {
-            let is_shut_out = level.admitted_share(priority) < SMALLEST_SEEN_SHARE;
-            if is_shut_out && seen == 0.0 {
-                *offered *= UNSEEN_MEMORY;
+            let is_refused = level.admitted_share(priority) < SMALLEST_ADMITTED_SHARE;
+            if is_refused && arrived == 0.0 {
+                *offered *= UNSEEN_DECAY;
             } else {
-                *offered = *offered * MEMORY + seen * (1.0 - MEMORY);
+                *offered = *offered * DECAY + arrived * (1.0 - DECAY);
             }
         }
     }
 
     /// Returns the calls per interval that the backend can take.
     fn capacity(&self) -> f64 {
-        let dispatched = self.dispatched * (1.0 - MEMORY);
+        let dispatched = self.dispatched * (1.0 - DECAY);
         let used = self.mean_utilisation().max(SMALLEST_UTILISATION);
         dispatched / used * (1.0 + PROBE_SHARE)
     }
@@ -158,17 +158,17 @@
     /// Returns the level below which calls arrive at the rate that the backend can take. The calls
     /// waiting at a priority reduce the capacity left for it and for lower priorities. Waiting
     /// calls of lower priorities don't count against it, because they don't delay it.
-    fn position(&self) -> f64 {
+    fn target_level(&self) -> f64 {
         let width = f64::from(Rank::COUNT);
-        let aim = self.limit * QUEUE_SHARE;
-        let mut room = self.capacity() + aim / CORRECTION_INTERVALS;
+        let target_queue = self.limit * QUEUE_SHARE;
+        let mut remaining = self.capacity() + target_queue / CORRECTION_INTERVALS;
         for (priority, offered) in self.offered.iter().enumerate() {
             let queued = self.queued[priority] / self.samples.max(1.0);
-            room -= queued / CORRECTION_INTERVALS;
-            if *offered > room {
-                return (priority as f64 + room.max(0.0) / offered) * width;
+            remaining -= queued / CORRECTION_INTERVALS;
+            if *offered > remaining {
+                return (priority as f64 + remaining.max(0.0) / offered) * width;
             }
-            room -= offered;
+            remaining -= offered;
         }
         f64::from(AdmissionKey::COUNT)
     }
@@ -181,13 +181,13 @@
         self.utilisation / self.samples
     }
 
-    fn fade(&mut self) {
+    fn apply_decay(&mut self) {
         self.arrived = [0.0; Priority::COUNT];
-        self.dispatched *= MEMORY;
-        self.samples *= MEMORY;
-        self.utilisation *= MEMORY;
+        self.dispatched *= DECAY;
+        self.samples *= DECAY;
+        self.utilisation *= DECAY;
         for queued in &mut self.queued {
-            *queued *= MEMORY;
+            *queued *= DECAY;
         }
     }
 }
--- a/crates/core/src/admission/limit/window.rs
+++ b/crates/core/src/admission/limit/window.rs
@@ -57,8 +57,8 @@
         self.failed += u32::from(sample.failed);
         self.total_micros += sample.latency.as_secs_f64() * 1e6;
         self.peak_in_flight = self.peak_in_flight.max(sample.in_flight);
-        let wanted = limit.saturating_mul(SAMPLES_PER_LIMIT).max(MINIMUM_SAMPLES);
-        if self.count < wanted || now.saturating_since(self.started) < MINIMUM_LENGTH {
+        let required = limit.saturating_mul(SAMPLES_PER_LIMIT).max(MINIMUM_SAMPLES);
+        if self.count < required || now.saturating_since(self.started) < MINIMUM_LENGTH {
             return None;
         }
         let summary = WindowSummary {
--- a/crates/core/src/admission/path.rs
+++ b/crates/core/src/admission/path.rs
@@ -49,22 +49,22 @@
 #[derive(Clone, Debug, Default)]
 pub struct PathLevels {
     timing: PathTiming,
-    heard: HashMap<String, HashMap<String, HeardLevels>>,
+    levels: HashMap<String, HashMap<String, LevelSamples>>,
 }
 
 /// Levels received from the backends of one service for one request kind.
 #[derive(Clone, Debug, Default)]
-struct HeardLevels {
-    by_endpoint: HashMap<String, Heard>,
-    latest: Option<Heard>,
+struct LevelSamples {
+    by_endpoint: HashMap<String, LevelSample>,
+    latest: Option<LevelSample>,
 }
 
-impl HeardLevels {
-    fn observe(&mut self, timing: PathTiming, endpoint: &str, heard: Heard) {
-        self.latest = Some(heard);
-        *entry(&mut self.by_endpoint, endpoint) = heard;
+impl LevelSamples {
+    fn observe(&mut self, timing: PathTiming, endpoint: &str, sample: LevelSample) {
+        self.latest = Some(sample);
+        *entry(&mut self.by_endpoint, endpoint) = sample;
         self.by_endpoint
-            .retain(|_, other| heard.at.saturating_since(other.at) <= timing.reopened_after);
+            .retain(|_, other| sample.at.saturating_since(other.at) <= timing.reopened_after);
     }
 
     /// Returns the median of the fresh levels. Without a fresh level, returns the latest one,
@@ -73,12 +73,12 @@
         let fresh = self
             .by_endpoint
             .values()
-            .filter(|heard| now.saturating_since(heard.at) <= timing.fresh_for);
-        let mut fresh: Vec<AdmissionLevel> = fresh.map(|heard| heard.level).collect();
+            .filter(|sample| now.saturating_since(sample.at) <= timing.fresh_for);
+        let mut fresh: Vec<AdmissionLevel> = fresh.map(|sample| sample.level).collect();
         fresh.sort_unstable();
-        let middle = fresh.get(fresh.len() / 2).copied();
-        let latest = || self.latest.map(|heard| heard.level(timing, now));
-        middle.or_else(latest).unwrap_or(AdmissionLevel::OPEN)
+        let median = fresh.get(fresh.len() / 2).copied();
+        let latest = || self.latest.map(|sample| sample.level(timing, now));
+        median.or_else(latest).unwrap_or(AdmissionLevel::OPEN)
     }
 }
 
@@ -88,20 +88,20 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
+struct LevelSample {
     level: AdmissionLevel,
     at: Timestamp,
 }
 
-impl Heard {
+impl LevelSample {
     /// Returns the level at `now`: unchanged while fresh, then rising linearly with time.
     fn level(&self, timing: PathTiming, now: Timestamp) -> AdmissionLevel {
         let age = now.saturating_since(self.at);
         if age <= timing.fresh_for {
             return self.level;
         }
-        let whole = timing.reopened_after.saturating_sub(timing.fresh_for);
-        let reopening = (age - timing.fresh_for).as_secs_f64() / whole.as_secs_f64();
+        let reopening_time = timing.reopened_after.saturating_sub(timing.fresh_for);
+        let reopening = (age - timing.fresh_for).as_secs_f64() / reopening_time.as_secs_f64();
         let closed = f64::from(AdmissionLevel::OPEN.number() - self.level.number());
         let opened = closed * reopening.min(1.0);
         AdmissionLevel::new(self.level.number() + opened as u16)
@@ -146,20 +146,20 @@
         request_kind: &str,
         folded: AdmissionLevel,
     ) {
-        let heard = Heard {
+        let sample = LevelSample {
             level: folded,
             at: now,
         };
         let timing = self.timing;
-        let kinds = entry(&mut self.heard, service);
+        let kinds = entry(&mut self.levels, service);
         let endpoints = entry(kinds, request_kind);
-        endpoints.observe(timing, endpoint, heard);
+        endpoints.observe(timing, endpoint, sample);
     }
 
     /// Returns the level in force for a request kind towards `service`.
     #[must_use]
     pub fn level(&self, now: Timestamp, service: &str, request_kind: &str) -> AdmissionLevel {
-        self.heard
+        self.levels
             .get(service)
             .and_then(|kinds| kinds.get(request_kind))
             .map_or(AdmissionLevel::OPEN, |endpoints| {
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -35,7 +35,7 @@
 
 /// Result of adding a call to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pushed {
+pub enum PushResult {
     /// The call waits.
     Queued,
     /// The call waits and displaced this one, which has to be refused.
@@ -91,7 +91,7 @@
 
     /// Adds a call that may wait until `expires`. In a full queue it may displace a call that is
     /// served later.
-    pub fn push(&mut self, now: Timestamp, call: OfferedCall, expires: Timestamp) -> Pushed {
+    pub fn push(&mut self, now: Timestamp, call: OfferedCall, expires: Timestamp) -> PushResult {
         let waiting = Waiting {
             call,
             since: now,
@@ -100,15 +100,15 @@
         let position = self.next_position(&call);
         if self.order.len() < self.capacity {
             self.insert(position, waiting);
-            return Pushed::Queued;
+            return PushResult::Queued;
         }
         match self.order.last_key_value() {
             Some((&last, _)) if position < last => {
                 let displaced = self.remove_at(last);
                 self.insert(position, waiting);
-                displaced.map_or(Pushed::Queued, Pushed::Displaced)
+                displaced.map_or(PushResult::Queued, PushResult::Displaced)
             }
-            _ => Pushed::Full,
+            _ => PushResult::Full,
         }
     }
 
--- a/crates/core/src/admission/reserve.rs
+++ b/crates/core/src/admission/reserve.rs
@@ -13,9 +13,9 @@
 /// Weight of one event in the moving average of executions.
 const EXECUTIONS_WEIGHT: f64 = 1.0 / 64.0;
 /// Admitted share from which no slot is reserved.
-const UNCUT_SHARE: f64 = 0.98;
+const NO_RESERVE_SHARE: f64 = 0.98;
 /// Admitted share up to which slots are reserved in full.
-const CUT_SHARE: f64 = 0.90;
+const FULL_RESERVE_SHARE: f64 = 0.90;
 /// Slots are reserved for calls up to this priority. Protecting every priority against the lower
 /// ones costs the lower ones more than the higher ones gain.
 const PROTECTED: Priority = Priority::HIGHEST;
@@ -49,14 +49,14 @@
     /// Counts an execution that starts.
     pub(super) fn dispatched(&mut self, priority: Priority) {
         self.executing[priority.index()] += 1;
-        self.average();
+        self.update_means();
     }
 
     /// Counts an execution that completed.
-    pub(super) fn ended(&mut self, priority: Priority) {
+    pub(super) fn completed(&mut self, priority: Priority) {
         let executing = &mut self.executing[priority.index()];
         *executing = executing.saturating_sub(1);
-        self.average();
+        self.update_means();
     }
 
     /// Returns true if a call of this priority may take one of the free slots below `limit`.
@@ -68,18 +68,18 @@
         let important: f64 = self.mean_executing[protected].iter().sum();
         let others: u32 = self.executing[PROTECTED.index() + 1..].iter().sum();
         let limit = f64::from(limit);
-        let kept = (important * self.cut(PROTECTED.index())).min(limit - 1.0);
-        f64::from(others + 1) <= limit - kept
+        let reserved = (important * self.refused_degree(PROTECTED.index())).min(limit - 1.0);
+        f64::from(others + 1) <= limit - reserved
     }
 
     /// Returns the degree to which calls of a priority are refused upstream: 0 for none, 1 if slots
     /// are reserved in full.
-    fn cut(&self, priority: usize) -> f64 {
+    fn refused_degree(&self, priority: usize) -> f64 {
         let admitted = 2.0 * self.mean_rank[priority] / f64::from(Rank::COUNT);
-        ((UNCUT_SHARE - admitted) / (UNCUT_SHARE - CUT_SHARE)).clamp(0.0, 1.0)
+        ((NO_RESERVE_SHARE - admitted) / (NO_RESERVE_SHARE - FULL_RESERVE_SHARE)).clamp(0.0, 1.0)
     }
 
-    fn average(&mut self) {
+    fn update_means(&mut self) {
         for (mean, &executing) in self.mean_executing.iter_mut().zip(&self.executing) {
             *mean += (f64::from(executing) - *mean) * EXECUTIONS_WEIGHT;
         }
--- a/crates/core/src/drain/progress.rs
+++ b/crates/core/src/drain/progress.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records the completion of one call.
-    pub const fn call_ended(&mut self) {
+    pub const fn call_completed(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
--- a/crates/core/src/idempotency/claim/coordinator.rs
+++ b/crates/core/src/idempotency/claim/coordinator.rs
@@ -8,6 +8,7 @@
 
 use rand::{Rng, RngExt};
 
+use crate::idempotency::claim::delivery::Delivery;
 pub use crate::idempotency::claim::exchange::{
     ClaimedRequest, CoordinatorEffect, CoordinatorSettings, ExecutionOutcome,
 };
@@ -16,7 +17,6 @@
     Abandon, Claim, ClaimId, OutcomeRecord, RecordedOutcome, ReplicaReply, ReplicaRequest, Store,
     Vote, VoteReply,
 };
-use crate::idempotency::claim::settlement::Settlement;
 use crate::idempotency::claim::tally::{Observation, Tally};
 use crate::idempotency::clock::UnixMillis;
 use crate::outcome::ResultCode;
@@ -47,7 +47,7 @@
     claim_until: Timestamp,
     interval: Duration,
     next_step: Timestamp,
-    settlements: Vec<Settlement>,
+    deliveries: Vec<Delivery>,
 }
 
 impl Coordinator {
@@ -71,7 +71,7 @@
             claim_until: now + settings.claim_timeout,
             interval: settings.retransmit_after,
             next_step: now,
-            settlements: Vec::new(),
+            deliveries: Vec::new(),
         };
         let effects = match coordinator.check_key(wall) {
             Some(code) => vec![coordinator.refuse(code)],
@@ -97,15 +97,15 @@
     /// withdrawals and the outcome, or their delivery was given up.
     #[must_use]
     pub const fn is_finished(&self) -> bool {
-        matches!(self.phase, Phase::Answered) && self.settlements.is_empty()
+        matches!(self.phase, Phase::Answered) && self.deliveries.is_empty()
     }
 
     /// Returns the time at which [`Self::advance`] has work to do.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        let step = self.is_waiting().then_some(self.next_step);
-        let settle = self.settlements.iter().map(Settlement::next_send);
-        settle.chain(step).min()
+        let step = self.is_undecided().then_some(self.next_step);
+        let deliver = self.deliveries.iter().map(Delivery::next_send);
+        deliver.chain(step).min()
     }
 
     /// Applies a configured group; an epoch that is not newer changes nothing.
@@ -122,33 +122,33 @@
             return Vec::new();
         }
         let before = std::mem::replace(&mut self.group, group);
-        if !self.is_waiting() {
+        if !self.is_undecided() {
             return Vec::new();
         }
         // The new members may have taken over a vote for the claim that is withdrawn.
-        let mut everyone = before.replicas;
-        everyone.extend(self.group.replicas.iter().cloned());
-        everyone.sort_unstable();
-        everyone.dedup();
-        let mut effects = self.settle_with(now, self.abandonment(), everyone);
+        let mut recipients = before.replicas;
+        recipients.extend(self.group.replicas.iter().cloned());
+        recipients.sort_unstable();
+        recipients.dedup();
+        let mut effects = self.deliver_to(now, self.abandonment(), recipients);
         self.votes = vec![None; self.group.replicas.len()];
-        self.claim_anew(rng);
+        self.start_new_claim(rng);
         effects.extend(self.step(now, rng));
         effects
     }
 
-    const fn is_waiting(&self) -> bool {
+    const fn is_undecided(&self) -> bool {
         matches!(self.phase, Phase::Claiming | Phase::Yielding)
     }
 
     /// Performs the work that is due at `now`.
     pub fn advance(&mut self, now: Timestamp, rng: &mut impl Rng) -> Vec<CoordinatorEffect> {
         let mut effects = Vec::new();
-        for settlement in &mut self.settlements {
-            effects.extend(settlement.advance(now));
+        for delivery in &mut self.deliveries {
+            effects.extend(delivery.advance(now));
         }
-        self.settlements.retain(|settlement| !settlement.is_done());
-        if self.is_waiting() && now >= self.next_step {
+        self.deliveries.retain(|delivery| !delivery.is_done());
+        if self.is_undecided() && now >= self.next_step {
             effects.extend(self.step(now, rng));
         }
         effects
@@ -165,10 +165,10 @@
         match reply {
             ReplicaReply::Vote(reply) => self.receive_vote(now, from, reply, rng),
             ReplicaReply::Acknowledged(claim) => {
-                for settlement in &mut self.settlements {
-                    settlement.acknowledge(from, claim);
+                for delivery in &mut self.deliveries {
+                    delivery.acknowledge(from, claim);
                 }
-                self.settlements.retain(|settlement| !settlement.is_done());
+                self.deliveries.retain(|delivery| !delivery.is_done());
                 Vec::new()
             }
             ReplicaReply::Page(_) => Vec::new(),
@@ -202,8 +202,8 @@
         if let Some(code) = self.lost_to_other_request(&tally) {
             return self.give_up(now, code);
         }
-        let everyone_answered = self.votes.iter().all(Option::is_some);
-        if everyone_answered && self.must_yield(&tally) {
+        let all_replied = self.votes.iter().all(Option::is_some);
+        if all_replied && self.must_yield(&tally) {
             return self.yield_claim(now, rng);
         }
         Vec::new()
@@ -214,7 +214,7 @@
             Some(Vote::Granted) => Observation::Voted(self.claim),
             Some(Vote::Held { by, .. }) => Observation::Voted(*by),
             Some(Vote::Full) => Observation::Open,
-            Some(Vote::Recorded(_) | Vote::Abstained(_)) | None => Observation::Silent,
+            Some(Vote::Recorded(_) | Vote::Abstained(_)) | None => Observation::Unknown,
         }))
     }
 
@@ -274,15 +274,15 @@
             return self.give_up(now, code);
         }
         if self.phase == Phase::Yielding {
-            self.claim_anew(rng);
+            self.start_new_claim(rng);
         } else if self.must_yield(&tally) {
             return self.yield_claim(now, rng);
         }
         self.schedule(now, rng);
-        self.ask()
+        self.request_votes()
     }
 
-    fn claim_anew(&mut self, rng: &mut impl Rng) {
+    fn start_new_claim(&mut self, rng: &mut impl Rng) {
         self.claim = ClaimId::from_u128(rng.random());
         self.votes.fill(None);
         self.phase = Phase::Claiming;
@@ -298,7 +298,7 @@
     }
 
     /// Sends the claim to every replica that has not voted for it.
-    fn ask(&self) -> Vec<CoordinatorEffect> {
+    fn request_votes(&self) -> Vec<CoordinatorEffect> {
         let claim = ReplicaRequest::Claim(Claim {
             epoch: self.group.epoch,
             key: self.request.key,
@@ -322,13 +322,13 @@
             .filter(|claim| *claim != self.claim);
         let other_claim = others.count() > 0;
         let out_of_time = now >= self.request.give_up_at;
-        let no_use_to_wait = now >= self.claim_until && !other_claim;
-        if !out_of_time && !no_use_to_wait {
+        let stop_waiting = now >= self.claim_until && !other_claim;
+        if !out_of_time && !stop_waiting {
             return None;
         }
         Some(if other_claim {
             ResultCode::ClaimUncertain
-        } else if tally.may_hide_winner() {
+        } else if tally.may_have_unseen_winner() {
             ResultCode::ClaimUndetermined
         } else {
             ResultCode::ClaimUnavailable
@@ -351,7 +351,7 @@
 
     /// Withdraws the current claim, which is never dispatched afterwards.
     fn withdraw(&mut self, now: Timestamp) -> Vec<CoordinatorEffect> {
-        self.settle(now, self.abandonment())
+        self.deliver(now, self.abandonment())
     }
 
     fn abandonment(&self) -> ReplicaRequest {
@@ -361,18 +361,18 @@
         })
     }
 
-    fn settle(&mut self, now: Timestamp, request: ReplicaRequest) -> Vec<CoordinatorEffect> {
+    fn deliver(&mut self, now: Timestamp, request: ReplicaRequest) -> Vec<CoordinatorEffect> {
         let replicas = self.group.replicas.clone();
-        self.settle_with(now, request, replicas)
+        self.deliver_to(now, request, replicas)
     }
 
-    fn settle_with(
+    fn deliver_to(
         &mut self,
         now: Timestamp,
         request: ReplicaRequest,
         replicas: Vec<ReplicaId>,
     ) -> Vec<CoordinatorEffect> {
-        let mut settlement = Settlement::new(
+        let mut delivery = Delivery::new(
             now,
             self.claim,
             request,
@@ -380,8 +380,8 @@
             self.settings.retransmit_after,
             self.settings.settle_timeout,
         );
-        let effects = settlement.advance(now);
-        self.settlements.push(settlement);
+        let effects = delivery.advance(now);
+        self.deliveries.push(delivery);
         effects
     }
 
@@ -408,6 +408,6 @@
                 outcome,
             },
         });
-        self.settle(now, store)
+        self.deliver(now, store)
     }
 }
--- a/crates/core/src/idempotency/claim/settlement.rs
+++ b/crates/core/src/idempotency/claim/delivery.rs
@@ -9,7 +9,7 @@
 
 /// Delivery of one withdrawal or outcome to the replicas of a group.
 #[derive(Clone, Debug)]
-pub(super) struct Settlement {
+pub(super) struct Delivery {
     claim: ClaimId,
     request: ReplicaRequest,
     unacknowledged: Vec<ReplicaId>,
@@ -18,7 +18,7 @@
     give_up_at: Timestamp,
 }
 
-impl Settlement {
+impl Delivery {
     /// Creates a delivery that is first sent at `now`.
     pub(super) fn new(
         now: Timestamp,
@@ -26,7 +26,7 @@
         request: ReplicaRequest,
         replicas: Vec<ReplicaId>,
         retransmit_after: Duration,
-        patience: Duration,
+        timeout: Duration,
     ) -> Self {
         Self {
             claim,
@@ -34,7 +34,7 @@
             unacknowledged: replicas,
             retransmit_after,
             next_send: now,
-            give_up_at: now + patience,
+            give_up_at: now + timeout,
         }
     }
 
--- a/crates/core/src/idempotency/claim/handover.rs
+++ b/crates/core/src/idempotency/claim/handover.rs
@@ -8,39 +8,39 @@
 
 use crate::call::IdempotencyKey;
 use crate::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId, majority};
-use crate::idempotency::claim::message::{ClaimId, Fetch, Page, PageEntry, Standing};
+use crate::idempotency::claim::message::{ClaimId, Fetch, HandoverStatus, Page, PageEntry};
 use crate::idempotency::claim::records::{Ballot, CastVote, Record};
 use crate::idempotency::claim::tally::{Observation, Tally};
 use crate::idempotency::clock::UnixMillis;
 
 /// Report of one replica about the previous group.
 #[derive(Clone, Debug)]
-pub struct Testimony {
+pub struct HandoverReport {
     /// Authority of the replica's records for that group.
-    pub standing: Standing,
+    pub status: HandoverStatus,
     /// The replica has no information on keys created up to this time.
     pub horizon: UnixMillis,
     /// Records of the replica.
     pub records: BTreeMap<IdempotencyKey, Record>,
 }
 
-impl Testimony {
+impl HandoverReport {
     /// Returns the vote that the replica cast on a key, as far as it is known.
     fn observe(&self, key: IdempotencyKey) -> Observation {
         if UnixMillis::of_key(key) <= self.horizon {
-            return Observation::Silent;
+            return Observation::Unknown;
         }
         match self.records.get(&key).map(|record| record.ballot) {
             None | Some(Ballot::Open) => Observation::Open,
             Some(Ballot::Cast(vote)) => Observation::Voted(vote.claim),
-            Some(Ballot::Contested) => Observation::Silent,
+            Some(Ballot::Contested) => Observation::Unknown,
         }
     }
 }
 
 /// State that a member takes over into its new group.
 #[derive(Clone, Debug)]
-pub struct Inheritance {
+pub struct InheritedState {
     /// The member abstains on keys created up to this time.
     pub horizon: UnixMillis,
     /// Votes and outcomes by key.
@@ -50,7 +50,7 @@
 /// Pages received from one replica so far.
 #[derive(Clone, Debug)]
 struct Download {
-    testimony: Testimony,
+    report: HandoverReport,
     after: Option<IdempotencyKey>,
     complete: bool,
 }
@@ -113,7 +113,7 @@
         if page.target != self.target || !self.peers.contains(from) {
             return None;
         }
-        if page.standing == Standing::Unready {
+        if page.status == HandoverStatus::Unready {
             self.downloads.remove(from);
             return None;
         }
@@ -130,8 +130,8 @@
         let Some(download) = self.downloads.get(from) else {
             return page.after.is_none();
         };
-        let unchanged = download.testimony.standing == page.standing
-            && download.testimony.horizon == page.horizon;
+        let unchanged =
+            download.report.status == page.status && download.report.horizon == page.horizon;
         if !unchanged {
             self.downloads.remove(from);
             return page.after.is_none();
@@ -144,8 +144,8 @@
             .downloads
             .entry(from.clone())
             .or_insert_with(|| Download {
-                testimony: Testimony {
-                    standing: page.standing,
+                report: HandoverReport {
+                    status: page.status,
                     horizon: page.horizon,
                     records: BTreeMap::new(),
                 },
@@ -155,60 +155,60 @@
         download.after = page.entries.last().map(|entry| entry.key);
         download.complete = page.last;
         for PageEntry { key, record } in page.entries {
-            download.testimony.records.insert(key, record);
+            download.report.records.insert(key, record);
         }
     }
 
     /// Returns the state that the member starts with, as soon as enough is known. `own` is the
     /// member's own report if it belongs to the previous group.
     #[must_use]
-    pub fn conclude(&self, own: Option<&Testimony>) -> Option<Inheritance> {
+    pub fn conclude(&self, own: Option<&HandoverReport>) -> Option<InheritedState> {
         let complete = self.downloads.iter().filter(|(_, one)| one.complete);
-        let complete: Vec<_> = complete.map(|(id, one)| (id, &one.testimony)).collect();
-        if let Some((_, testimony)) = complete
+        let complete: Vec<_> = complete.map(|(id, one)| (id, &one.report)).collect();
+        if let Some((_, report)) = complete
             .iter()
-            .find(|(_, testimony)| testimony.standing == Standing::Current)
+            .find(|(_, report)| report.status == HandoverStatus::Current)
         {
-            return Some(Inheritance {
-                horizon: testimony.horizon,
-                records: testimony.records.clone(),
+            return Some(InheritedState {
+                horizon: report.horizon,
+                records: report.records.clone(),
             });
         }
         let members = complete
             .iter()
             .filter(|(id, _)| self.takes_over(id))
-            .map(|(_, testimony)| *testimony);
-        let witnesses: Vec<&Testimony> = members.chain(own).collect();
-        merge(&witnesses, self.predecessors.len())
+            .map(|(_, report)| *report);
+        let reports: Vec<&HandoverReport> = members.chain(own).collect();
+        merge(&reports, self.predecessors.len())
     }
 }
 
 /// Merges the reports of a sealed majority of a group with `members` members.
-fn merge(witnesses: &[&Testimony], members: usize) -> Option<Inheritance> {
+fn merge(reports: &[&HandoverReport], members: usize) -> Option<InheritedState> {
     let majority = majority(members);
-    let has_voted = |witness: &&Testimony| witness.standing == Standing::Sealed;
-    if witnesses.len() < majority || !witnesses.iter().any(has_voted) {
+    let has_voted = |report: &&HandoverReport| report.status == HandoverStatus::Sealed;
+    if reports.len() < majority || !reports.iter().any(has_voted) {
         return None;
     }
-    let mut horizons: Vec<UnixMillis> = witnesses.iter().map(|witness| witness.horizon).collect();
+    let mut horizons: Vec<UnixMillis> = reports.iter().map(|report| report.horizon).collect();
     horizons.sort_unstable();
-    let keys: BTreeSet<IdempotencyKey> = witnesses
+    let keys: BTreeSet<IdempotencyKey> = reports
         .iter()
-        .flat_map(|witness| witness.records.keys().copied())
+        .flat_map(|report| report.records.keys().copied())
         .collect();
     let records = keys
         .into_iter()
-        .map(|key| (key, merge_key(key, witnesses, members)))
+        .map(|key| (key, merge_key(key, reports, members)))
         .collect();
-    Some(Inheritance {
+    Some(InheritedState {
         horizon: horizons[majority - 1],
         records,
     })
 }
 
-fn merge_key(key: IdempotencyKey, witnesses: &[&Testimony], members: usize) -> Record {
+fn merge_key(key: IdempotencyKey, reports: &[&HandoverReport], members: usize) -> Record {
     let mut merged = Record::default();
-    for record in witnesses.iter().filter_map(|one| one.records.get(&key)) {
+    for record in reports.iter().filter_map(|one| one.records.get(&key)) {
         for claim in &record.abandoned {
             merged.abandon(*claim);
         }
@@ -216,31 +216,31 @@
             merged.outcome.clone_from(&record.outcome);
         }
     }
-    merged.ballot = merge_ballot(key, witnesses, members);
+    merged.ballot = merge_ballot(key, reports, members);
     merged
 }
 
 /// Returns the ballot that represents everything the sealed group may have decided about a key.
-fn merge_ballot(key: IdempotencyKey, witnesses: &[&Testimony], members: usize) -> Ballot {
-    let absent = members - witnesses.len();
-    let observations = witnesses.iter().map(|witness| witness.observe(key));
-    let silence = std::iter::repeat_n(Observation::Silent, absent);
-    let tally = Tally::new(observations.chain(silence));
+fn merge_ballot(key: IdempotencyKey, reports: &[&HandoverReport], members: usize) -> Ballot {
+    let missing = members - reports.len();
+    let observations = reports.iter().map(|report| report.observe(key));
+    let unknown_votes = std::iter::repeat_n(Observation::Unknown, missing);
+    let tally = Tally::new(observations.chain(unknown_votes));
     let mut winners = tally.possible_winners();
     match (winners.next(), winners.next()) {
         (Some(claim), None) => {
-            find_vote(key, claim, witnesses).map_or(Ballot::Contested, Ballot::Cast)
+            find_vote(key, claim, reports).map_or(Ballot::Contested, Ballot::Cast)
         }
         (Some(_), Some(_)) => Ballot::Contested,
-        (None, _) if tally.may_hide_winner() => Ballot::Contested,
+        (None, _) if tally.may_have_unseen_winner() => Ballot::Contested,
         (None, _) => Ballot::Open,
     }
 }
 
-fn find_vote(key: IdempotencyKey, claim: ClaimId, witnesses: &[&Testimony]) -> Option<CastVote> {
-    witnesses
+fn find_vote(key: IdempotencyKey, claim: ClaimId, reports: &[&HandoverReport]) -> Option<CastVote> {
+    reports
         .iter()
-        .filter_map(|witness| witness.records.get(&key))
+        .filter_map(|report| report.records.get(&key))
         .find_map(|record| match record.ballot {
             Ballot::Cast(vote) if vote.claim == claim => Some(vote),
             _ => None,
--- a/crates/core/src/idempotency/claim/message.rs
+++ b/crates/core/src/idempotency/claim/message.rs
@@ -206,7 +206,7 @@
 /// Authority of a replica that replies to a [`Fetch`]: how far its records represent the group
 /// before the target epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum HandoverStatus {
     /// It votes in the target epoch, so it has completed its own handover.
     #[serde(rename = "c")]
     Current,
@@ -244,7 +244,7 @@
     pub after: Option<IdempotencyKey>,
     /// Authority of the replying replica's records for the previous group.
     #[serde(rename = "s")]
-    pub standing: Standing,
+    pub status: HandoverStatus,
     /// The replying replica abstains on keys created up to this time.
     #[serde(rename = "h")]
     pub horizon: UnixMillis,
--- a/crates/core/src/idempotency/claim/mod.rs
+++ b/crates/core/src/idempotency/claim/mod.rs
@@ -6,11 +6,11 @@
 //! - [`message`]: the messages between replicas and coordinators.
 
 pub mod coordinator;
+mod delivery;
 pub mod exchange;
 pub mod group;
 pub mod handover;
 pub mod message;
 pub mod records;
 pub mod replica;
-mod settlement;
 pub mod tally;
--- a/crates/core/src/idempotency/claim/records.rs
+++ b/crates/core/src/idempotency/claim/records.rs
@@ -170,11 +170,11 @@
         };
         record.abandon(claim);
         if record.is_withdrawn() {
-            self.note_withdrawn(key);
+            self.record_withdrawn(key);
         }
     }
 
-    fn note_withdrawn(&mut self, key: IdempotencyKey) {
+    fn record_withdrawn(&mut self, key: IdempotencyKey) {
         if self.withdrawn.len() >= self.maximum_records {
             self.withdrawn.pop_front();
         }
--- a/crates/core/src/idempotency/claim/replica.rs
+++ b/crates/core/src/idempotency/claim/replica.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use crate::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId};
-use crate::idempotency::claim::handover::{Handover, Inheritance, Testimony};
+use crate::idempotency::claim::handover::{Handover, HandoverReport, InheritedState};
 use crate::idempotency::claim::message::{
-    Abandon, Abstention, Claim, Fetch, Page, PageEntry, ReplicaReply, ReplicaRequest, Standing,
-    Store, Vote, VoteReply,
+    Abandon, Abstention, Claim, Fetch, HandoverStatus, Page, PageEntry, ReplicaReply,
+    ReplicaRequest, Store, Vote, VoteReply,
 };
 use crate::idempotency::claim::records::{Ballot, CastVote, RecordStore};
 use crate::idempotency::clock::UnixMillis;
@@ -222,7 +222,7 @@
             return;
         };
         while let Some(key) = self.store.oldest() {
-            if !window.is_forgettable(key, wall) {
+            if !window.is_droppable(key, wall) {
                 return;
             }
             self.store.remove_oldest();
@@ -280,21 +280,21 @@
     }
 
     fn abandon(&mut self, wall: UnixMillis, abandon: Abandon) {
-        if self.is_out_of_reach(wall, abandon.key) {
+        if self.is_outside_window(wall, abandon.key) {
             return;
         }
         self.store.abandon(abandon.key, abandon.claim);
     }
 
     fn store_outcome(&mut self, wall: UnixMillis, store: Store) {
-        if self.is_out_of_reach(wall, store.key) {
+        if self.is_outside_window(wall, store.key) {
             return;
         }
         self.store.store_outcome(store.key, store.record);
     }
 
     /// Returns true if a record of the key would never expire or has already expired.
-    fn is_out_of_reach(&self, wall: UnixMillis, key: crate::call::IdempotencyKey) -> bool {
+    fn is_outside_window(&self, wall: UnixMillis, key: crate::call::IdempotencyKey) -> bool {
         self.group.as_ref().is_none_or(|group| {
             group.window.is_expired(key, wall) || group.window.is_unclaimable_yet(key, wall)
         })
@@ -303,12 +303,12 @@
     /// Replies to a member of a later group; stops voting in the earlier groups.
     fn page(&mut self, fetch: Fetch) -> Page {
         self.seal_below(fetch.target);
-        let standing = self.standing(fetch.target);
-        let speaks = matches!(standing, Standing::Current | Standing::Sealed);
+        let status = self.handover_status(fetch.target);
+        let provides_records = matches!(status, HandoverStatus::Current | HandoverStatus::Sealed);
         let mut records = self.store.range_after(fetch.after);
         let entries: Vec<PageEntry> = records
             .by_ref()
-            .take(if speaks {
+            .take(if provides_records {
                 self.settings.page_records
             } else {
                 0
@@ -318,28 +318,28 @@
                 record: record.clone(),
             })
             .collect();
-        let last = !speaks || records.next().is_none();
+        let last = !provides_records || records.next().is_none();
         Page {
             target: fetch.target,
             after: fetch.after,
-            standing,
+            status,
             horizon: self.horizon,
             entries,
             last,
         }
     }
 
-    fn standing(&self, target: Epoch) -> Standing {
+    fn handover_status(&self, target: Epoch) -> HandoverStatus {
         let before_target = target.number().saturating_sub(1);
         let entered = self.group.as_ref().map(|group| group.epoch.number());
         let joining_earlier = matches!(self.phase, Phase::Joining { .. })
             && entered.is_some_and(|entered| entered < target.number());
         match self.last_voted {
-            Some(voted) if voted >= target => Standing::Current,
-            Some(voted) if voted.number() == before_target => Standing::Sealed,
-            _ if joining_earlier => Standing::Unready,
-            _ if entered.is_some_and(|entered| entered >= target.number()) => Standing::Fresh,
-            _ => Standing::Unready,
+            Some(voted) if voted >= target => HandoverStatus::Current,
+            Some(voted) if voted.number() == before_target => HandoverStatus::Sealed,
+            _ if joining_earlier => HandoverStatus::Unready,
+            _ if entered.is_some_and(|entered| entered >= target.number()) => HandoverStatus::Fresh,
+            _ => HandoverStatus::Unready,
         }
     }
 
@@ -367,11 +367,13 @@
             return Vec::new();
         };
         let epoch = group.epoch;
-        let own = handover.takes_over(&self.id).then(|| self.testimony(epoch));
-        let Some(inheritance) = handover.conclude(own.as_ref()) else {
+        let own = handover
+            .takes_over(&self.id)
+            .then(|| self.own_report(epoch));
+        let Some(inherited) = handover.conclude(own.as_ref()) else {
             return Vec::new();
         };
-        self.inherit(inheritance);
+        self.apply_inherited_state(inherited);
         self.become_member(epoch);
         match self.next_group.take() {
             Some(next) => self.enter(now, next),
@@ -379,14 +381,14 @@
         }
     }
 
-    fn testimony(&self, target: Epoch) -> Testimony {
+    fn own_report(&self, target: Epoch) -> HandoverReport {
         let records = self.store.range_after(None);
-        let standing = self.standing(target);
-        Testimony {
-            standing,
+        let status = self.handover_status(target);
+        HandoverReport {
+            status,
             horizon: self.horizon,
-            records: match standing {
-                Standing::Sealed => records.map(|(key, one)| (key, one.clone())).collect(),
+            records: match status {
+                HandoverStatus::Sealed => records.map(|(key, one)| (key, one.clone())).collect(),
                 _ => BTreeMap::new(),
             },
         }
@@ -394,15 +396,15 @@
 
     /// Takes over the state of the previous group. Outcomes that were stored here during the
     /// handover are kept.
-    fn inherit(&mut self, inheritance: Inheritance) {
-        let mut records = inheritance.records;
+    fn apply_inherited_state(&mut self, inherited: InheritedState) {
+        let mut records = inherited.records;
         for (key, own) in self.store.range_after(None) {
             if let Some(outcome) = &own.outcome {
                 let record = records.entry(key).or_default();
                 record.outcome.get_or_insert_with(|| outcome.clone());
             }
         }
-        self.raise_horizon(inheritance.horizon);
+        self.raise_horizon(inherited.horizon);
         for key in self.store.replace(records) {
             self.raise_horizon(UnixMillis::of_key(key));
         }
--- a/crates/core/src/idempotency/claim/tally.rs
+++ b/crates/core/src/idempotency/claim/tally.rs
@@ -13,14 +13,14 @@
     /// It has not voted.
     Open,
     /// Unknown: no reply, or the member abstains.
-    Silent,
+    Unknown,
 }
 
 /// Votes of the members of one group on one key.
 #[derive(Clone, Debug)]
 pub struct Tally {
     votes: BTreeMap<ClaimId, usize>,
-    silent: usize,
+    unknown: usize,
     majority: usize,
 }
 
@@ -29,19 +29,19 @@
     #[must_use]
     pub fn new(observations: impl IntoIterator<Item = Observation>) -> Self {
         let mut votes = BTreeMap::new();
-        let mut silent = 0;
+        let mut unknown = 0;
         let mut members = 0;
         for observation in observations {
             members += 1;
             match observation {
                 Observation::Voted(claim) => *votes.entry(claim).or_insert(0) += 1,
                 Observation::Open => {}
-                Observation::Silent => silent += 1,
+                Observation::Unknown => unknown += 1,
             }
         }
         Self {
             votes,
-            silent,
+            unknown,
             majority: majority(members),
         }
     }
@@ -61,13 +61,13 @@
     /// Returns true if a majority may have voted for the claim when the observations were made.
     #[must_use]
     pub fn may_have_won(&self, claim: ClaimId) -> bool {
-        self.votes(claim) + self.silent >= self.majority
+        self.votes(claim) + self.unknown >= self.majority
     }
 
     /// Returns true if a claim that appears in no observation may have won.
     #[must_use]
-    pub fn may_hide_winner(&self) -> bool {
-        self.silent >= self.majority
+    pub fn may_have_unseen_winner(&self) -> bool {
+        self.unknown >= self.majority
     }
 
     /// Returns the claims that were seen and may have won.
--- a/crates/core/src/idempotency/clock.rs
+++ b/crates/core/src/idempotency/clock.rs
@@ -78,7 +78,7 @@
     /// Returns true if the record of the key may be dropped: the key stays expired even if this
     /// machine's clock is set back within the allowed skew.
     #[must_use]
-    pub fn is_forgettable(&self, key: IdempotencyKey, wall: UnixMillis) -> bool {
+    pub fn is_droppable(&self, key: IdempotencyKey, wall: UnixMillis) -> bool {
         UnixMillis::of_key(key).plus(self.retention + self.clock_skew * 2) < wall
     }
 
--- a/crates/core/src/quarantine/ledger.rs
+++ b/crates/core/src/quarantine/ledger.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    ENDS_OF_A_QUARANTINED, ENDS_OF_A_SUSPECT, QUARANTINE_TIME, RequestFingerprint, Standing,
+    QUARANTINE_TERMINATIONS, QUARANTINE_TIME, RequestFingerprint, SUSPECT_TERMINATIONS, Standing,
 };
 use crate::time::Timestamp;
 
@@ -43,7 +43,7 @@
 
 /// Terminations recorded for one request.
 #[derive(Clone, Debug, Default)]
-struct Ends {
+struct Terminations {
     /// Distinct instances; only the last ones that a decision needs.
     instances: Vec<EndedInstance>,
     was_isolated: bool,
@@ -53,28 +53,31 @@
 /// Counts terminations of instances by request.
 #[derive(Clone, Debug, Default)]
 pub struct EndLedger {
-    requests: HashMap<RequestFingerprint, Ends>,
+    requests: HashMap<RequestFingerprint, Terminations>,
 }
 
 impl EndLedger {
     /// Counts a termination and returns the resulting status of the request. A termination that is
     /// reported again counts once.
-    pub fn note(&mut self, now: Timestamp, end: RequestEnd) -> Standing {
+    pub fn note(&mut self, now: Timestamp, termination: RequestEnd) -> Standing {
         self.make_room(now);
-        let known = self.requests.entry(end.fingerprint).or_default();
+        let known = self.requests.entry(termination.fingerprint).or_default();
         if now.saturating_since(known.latest) > QUARANTINE_TIME * 2 {
-            *known = Ends::default();
+            *known = Terminations::default();
         }
         known.latest = now;
-        if !known.instances.contains(&end.instance) {
-            known.instances.push(end.instance);
-            let superfluous = known.instances.len().saturating_sub(ENDS_OF_A_QUARANTINED);
-            known.instances.drain(..superfluous);
+        if !known.instances.contains(&termination.instance) {
+            known.instances.push(termination.instance);
+            let excess = known
+                .instances
+                .len()
+                .saturating_sub(QUARANTINE_TERMINATIONS);
+            known.instances.drain(..excess);
         }
-        known.was_isolated |= end.was_isolated;
+        known.was_isolated |= termination.was_isolated;
         match known.instances.len() {
-            ENDS_OF_A_QUARANTINED.. if known.was_isolated => Standing::Quarantined,
-            ENDS_OF_A_SUSPECT.. => Standing::Suspect,
+            QUARANTINE_TERMINATIONS.. if known.was_isolated => Standing::Quarantined,
+            SUSPECT_TERMINATIONS.. => Standing::Suspect,
             _ => Standing::Unsuspected,
         }
     }
@@ -101,16 +104,20 @@
         if self.requests.len() < CAPACITY {
             return;
         }
-        let is_current = |ends: &Ends| now.saturating_since(ends.latest) <= QUARANTINE_TIME * 2;
-        self.requests.retain(|_, ends| is_current(ends));
+        let is_current = |terminations: &Terminations| {
+            now.saturating_since(terminations.latest) <= QUARANTINE_TIME * 2
+        };
+        self.requests
+            .retain(|_, terminations| is_current(terminations));
         if self.requests.len() < CAPACITY {
             return;
         }
-        let weight = |ends: &Ends| (ends.instances.len(), ends.latest);
+        let weight =
+            |terminations: &Terminations| (terminations.instances.len(), terminations.latest);
         let mut order: Vec<_> = self
             .requests
             .iter()
-            .map(|(fingerprint, ends)| (weight(ends), *fingerprint))
+            .map(|(fingerprint, terminations)| (weight(terminations), *fingerprint))
             .collect();
         order.sort_unstable();
         for (_, fingerprint) in order.into_iter().take(CAPACITY / DROPPED_SHARE) {
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -37,11 +37,11 @@
 }
 
 /// Number of instances terminated under a request from which it is a suspect everywhere.
-pub const ENDS_OF_A_SUSPECT: usize = 2;
+pub const SUSPECT_TERMINATIONS: usize = 2;
 /// Number of instances terminated under a request from which no backend gets it. Three is the
 /// number that the users accept; with fewer it could not be distinguished from a request that ran
 /// concurrently with the responsible one twice.
-pub const ENDS_OF_A_QUARANTINED: usize = 3;
+pub const QUARANTINE_TERMINATIONS: usize = 3;
 /// Time after the last termination for which a request stays a suspect, unless it gets a response
 /// before.
 pub const SUSPECT_TIME: Duration = Duration::from_secs(600);
--- a/crates/core/src/quarantine/table.rs
+++ b/crates/core/src/quarantine/table.rs
@@ -51,12 +51,12 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct StoredStatus {
     standing: ReportedStanding,
     since: Timestamp,
 }
 
-impl Known {
+impl StoredStatus {
     /// Returns the time for which the status is valid.
     const fn lifetime(self) -> Duration {
         match self.standing {
@@ -67,12 +67,12 @@
         }
     }
 
-    fn is_over(self, now: Timestamp) -> bool {
+    fn is_expired(self, now: Timestamp) -> bool {
         now >= self.since + self.lifetime()
     }
 
     fn standing(self, now: Timestamp) -> Standing {
-        if self.is_over(now) {
+        if self.is_expired(now) {
             return Standing::Unsuspected;
         }
         match self.standing {
@@ -86,7 +86,7 @@
     }
 
     /// Returns true if `newer` replaces this status.
-    fn gives_way_to(self, newer: Self) -> bool {
+    fn is_superseded_by(self, newer: Self) -> bool {
         use ReportedStanding::{Cleared, Quarantined, Suspect};
         match (self.standing, newer.standing) {
             (Suspect, Quarantined) => true,
@@ -103,7 +103,7 @@
 /// Suspect and quarantined requests known to one sidecar.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineTable {
-    known: HashMap<RequestFingerprint, Known>,
+    known: HashMap<RequestFingerprint, StoredStatus>,
 }
 
 impl QuarantineTable {
@@ -125,20 +125,21 @@
 
     /// Merges a report. Returns true if it changed the table and should be forwarded.
     pub fn learn(&mut self, now: Timestamp, report: QuarantineReport) -> bool {
-        let newer = Known {
+        let newer = StoredStatus {
             standing: report.standing,
             since: now - Duration::from_millis(report.age_ms),
         };
-        if newer.is_over(now) {
+        if newer.is_expired(now) {
             return false;
         }
         let known = self.known.get(&report.fingerprint);
-        let is_news = known.is_none_or(|known| known.is_over(now) || known.gives_way_to(newer));
-        if is_news {
+        let is_new =
+            known.is_none_or(|known| known.is_expired(now) || known.is_superseded_by(newer));
+        if is_new {
             self.make_room(now);
             self.known.insert(report.fingerprint, newer);
         }
-        is_news
+        is_new
     }
 
     /// Returns a report on every quarantined request, the newest first.
@@ -189,7 +190,7 @@
     fn current_quarantined(
         &self,
         now: Timestamp,
-    ) -> impl Iterator<Item = (RequestFingerprint, Known)> {
+    ) -> impl Iterator<Item = (RequestFingerprint, StoredStatus)> {
         let known = self
             .known
             .iter()
@@ -201,7 +202,7 @@
         if self.known.len() < CAPACITY {
             return;
         }
-        self.known.retain(|_, known| !known.is_over(now));
+        self.known.retain(|_, known| !known.is_expired(now));
         if self.known.len() < CAPACITY {
             return;
         }
--- a/crates/core/src/quota/pool.rs
+++ b/crates/core/src/quota/pool.rs
@@ -14,31 +14,35 @@
 #[derive(Clone, Debug, Default)]
 pub struct TokenPool {
     /// Expiry time of each token, the earliest first.
-    ends: VecDeque<Timestamp>,
+    expiries: VecDeque<Timestamp>,
 }
 
 impl TokenPool {
-    /// Adds a token that expires at `end`.
-    pub fn put(&mut self, end: Timestamp) {
-        let position = self.ends.partition_point(|other| *other <= end);
-        self.ends.insert(position, end);
+    /// Adds a token that expires at `expires_at`.
+    pub fn put(&mut self, expires_at: Timestamp) {
+        let position = self.expiries.partition_point(|other| *other <= expires_at);
+        self.expiries.insert(position, expires_at);
     }
 
     /// Takes the token that expires next and returns its expiry time.
     pub fn take(&mut self, now: Timestamp) -> Option<Timestamp> {
-        self.drop_ended(now);
-        self.ends.pop_front()
+        self.drop_expired(now);
+        self.expiries.pop_front()
     }
 
     /// Returns true if no valid token is left.
     pub fn is_empty(&mut self, now: Timestamp) -> bool {
-        self.drop_ended(now);
-        self.ends.is_empty()
+        self.drop_expired(now);
+        self.expiries.is_empty()
     }
 
-    fn drop_ended(&mut self, now: Timestamp) {
-        while self.ends.front().is_some_and(|end| *end <= now) {
-            self.ends.pop_front();
+    fn drop_expired(&mut self, now: Timestamp) {
+        while self
+            .expiries
+            .front()
+            .is_some_and(|expires_at| *expires_at <= now)
+        {
+            self.expiries.pop_front();
         }
     }
 }
--- a/crates/core/src/retry/decide.rs
+++ b/crates/core/src/retry/decide.rs
@@ -80,11 +80,11 @@
 
 /// Kind of a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum RetryKind {
     /// Offer the call to a sibling endpoint immediately, after a refusal that cost almost nothing.
     Offer,
     /// Execute the call again after a backoff, paid from the destination's budget.
-    Repeat,
+    Reexecute,
 }
 
 /// Decides whether a failed attempt is retried.
@@ -112,12 +112,12 @@
     if question.location == FailureLocation::Below {
         return Err(GiveUpReason::NotNearestHop);
     }
-    if kind == Kind::Offer && !question.sibling_available {
+    if kind == RetryKind::Offer && !question.sibling_available {
         return Err(GiveUpReason::NoSibling);
     }
     let after = match kind {
-        Kind::Offer => Duration::ZERO,
-        Kind::Repeat => question.backoff,
+        RetryKind::Offer => Duration::ZERO,
+        RetryKind::Reexecute => question.backoff,
     };
     if question.now + after + question.expected_latency >= question.deadline {
         return Err(GiveUpReason::Deadline);
@@ -131,7 +131,7 @@
     Ok(after)
 }
 
-fn classify(question: &RetryQuestion) -> Result<Kind, GiveUpReason> {
+fn classify(question: &RetryQuestion) -> Result<RetryKind, GiveUpReason> {
     match question.code {
         ResultCode::Answered | ResultCode::AnsweredEarlier => Err(GiveUpReason::Answered),
         ResultCode::MalformedRequest
@@ -164,10 +164,10 @@
         | ResultCode::OverQuota
         | ResultCode::ApiKeyUnconfirmed
         | ResultCode::OriginNotOpen
-        | ResultCode::QuotaUnavailable => Ok(Kind::Offer),
+        | ResultCode::QuotaUnavailable => Ok(RetryKind::Offer),
         ResultCode::DeadlineAfterDispatch => Err(GiveUpReason::Deadline),
         ResultCode::ConnectionLost | ResultCode::MalformedAnswer | ResultCode::BackendEnded => {
-            repeat(question)
+            reexecute(question)
         }
         ResultCode::ClaimUncertain | ResultCode::ClaimUndetermined => {
             Err(GiveUpReason::NotRepeatable)
@@ -175,9 +175,9 @@
     }
 }
 
-fn repeat(question: &RetryQuestion) -> Result<Kind, GiveUpReason> {
+fn reexecute(question: &RetryQuestion) -> Result<RetryKind, GiveUpReason> {
     match question.repeatability {
-        Repeatability::Repeatable => Ok(Kind::Repeat),
+        Repeatability::Repeatable => Ok(RetryKind::Reexecute),
         Repeatability::AtMostOnce => Err(GiveUpReason::NotRepeatable),
     }
 }
--- a/crates/core/src/retry/ledger.rs
+++ b/crates/core/src/retry/ledger.rs
@@ -103,10 +103,10 @@
         if !self.take_outstanding(grant) {
             return Settlement::Ignored;
         }
-        let back = returned.count().min(grant.allowance.count());
-        self.remaining += back;
-        self.spent += grant.allowance.count() - back;
-        Settlement::Settled(RetryAllowance::new(back))
+        let unspent = returned.count().min(grant.allowance.count());
+        self.remaining += unspent;
+        self.spent += grant.allowance.count() - unspent;
+        Settlement::Settled(RetryAllowance::new(unspent))
     }
 
     /// Closes a grant whose response is lost: all of it counts as spent.
@@ -134,9 +134,9 @@
         for grant in std::mem::take(&mut self.outstanding) {
             self.spent += grant.allowance.count();
         }
-        let back = std::mem::take(&mut self.remaining);
-        self.returned += back;
-        RetryAllowance::new(back)
+        let unspent = std::mem::take(&mut self.remaining);
+        self.returned += unspent;
+        RetryAllowance::new(unspent)
     }
 
     /// Returns the units that may be granted or spent now.
--- a/crates/core/src/retry/split.rs
+++ b/crates/core/src/retry/split.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum AllowanceSplit {
     /// The first child that requests a grant gets everything that is left.
-    FirstAsker,
+    FirstRequester,
     /// Each child gets half of what is left, rounded up.
     Half,
     /// Each child gets an equal part of what is left, rounded up, by the number of children that
@@ -32,7 +32,7 @@
 impl AllowanceSplit {
     /// All rules.
     pub const ALL: [Self; 5] = [
-        Self::FirstAsker,
+        Self::FirstRequester,
         Self::Half,
         Self::FairShare,
         Self::FairShareWithCaller,
@@ -55,7 +55,7 @@
         let children = u16::try_from(concurrent_children.max(1)).unwrap_or(u16::MAX);
         let keeps_reserve = initial.count() >= SMALLEST_WITH_RESERVE && left > RESERVE;
         let share = match self {
-            Self::FirstAsker => left,
+            Self::FirstRequester => left,
             Self::Half => left.div_ceil(2),
             Self::FairShareWithCaller => left.div_ceil(children.saturating_add(1)),
             Self::FairShareWithReserve if keeps_reserve => (left - RESERVE).div_ceil(children),
--- a/crates/core/src/retry/window.rs
+++ b/crates/core/src/retry/window.rs
@@ -77,8 +77,8 @@
     /// of the window cuts does not count.
     fn allowed(&mut self, now: Timestamp) -> f64 {
         let newest = self.current(now).number;
-        let whole = self.bins.iter().filter(|bin| bin.number + BINS > newest);
-        let first: u64 = whole.map(|bin| bin.first).sum();
+        let complete_bins = self.bins.iter().filter(|bin| bin.number + BINS > newest);
+        let first: u64 = complete_bins.map(|bin| bin.first).sum();
         first as f64 * self.ratio * SAFETY_SHARE
     }
 
--- a/crates/core/src/routing/suspicion.rs
+++ b/crates/core/src/routing/endpoint_stats.rs
@@ -11,7 +11,7 @@
 /// Weight of one observation in the moving averages.
 const OBSERVATION_WEIGHT: f64 = 0.1;
 /// Reported utilisation below which an endpoint claims to have free capacity.
-const CLAIMS_ROOM_BELOW: f64 = 0.8;
+const CLAIMS_CAPACITY_BELOW: f64 = 0.8;
 /// Latency, as a multiple of the siblings', that contradicts a claim of free capacity.
 const SLOW_RATIO: f64 = 2.0;
 /// Bounds of the latency ratio in the cost.
@@ -33,13 +33,13 @@
 /// Share of failures from which an endpoint is ejected.
 const EJECTION_FAILURE_SHARE: f64 = 0.5;
 /// Observations required before earlier ejections are forgotten.
-const PROVEN_OBSERVATIONS: u32 = 50;
+const RELIABLE_OBSERVATIONS: u32 = 50;
 /// Share of failures below which earlier ejections are forgotten.
-const PROVEN_FAILURE_SHARE: f64 = 0.05;
+const RELIABLE_FAILURE_SHARE: f64 = 0.05;
 
 /// Moving averages over the attempts at one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Suspicion {
+pub(super) struct EndpointStats {
     latency_micros: Option<f64>,
     contradicted: f64,
     overloaded: f64,
@@ -49,7 +49,7 @@
     observed_at: Timestamp,
 }
 
-impl Suspicion {
+impl EndpointStats {
     /// Records one attempt; `claimed` is the utilisation that the endpoint had reported before.
     pub(super) fn observe(
         &mut self,
@@ -59,9 +59,9 @@
         reference: &Reference,
     ) {
         let influence = self.influence(now);
-        self.forget_with_time(now);
-        let contradicted = claimed.is_some_and(|claimed| claimed < CLAIMS_ROOM_BELOW)
-            && contradicts_room(observation, reference);
+        self.decay(now);
+        let contradicted = claimed.is_some_and(|claimed| claimed < CLAIMS_CAPACITY_BELOW)
+            && contradicts_capacity(observation, reference);
         blend(&mut self.contradicted, contradicted);
         blend(&mut self.overloaded, observation.overloaded);
         blend(&mut self.errors, observation.error_answer);
@@ -104,12 +104,12 @@
     }
 
     /// Returns true if a long run of attempts contained almost no failure.
-    pub(super) fn is_proven(&self) -> bool {
-        self.observations >= PROVEN_OBSERVATIONS && self.failed < PROVEN_FAILURE_SHARE
+    pub(super) fn is_reliable(&self) -> bool {
+        self.observations >= RELIABLE_OBSERVATIONS && self.failed < RELIABLE_FAILURE_SHARE
     }
 
     /// Restarts the failure count after an ejection.
-    pub(super) fn pardon(&mut self) {
+    pub(super) fn reset_failures(&mut self) {
         self.failed = 0.0;
         self.observations = 0;
     }
@@ -137,7 +137,7 @@
         let latency = observation.latency.as_micros() as f64;
         let mean = self.latency_micros.unwrap_or(latency);
         let weight = OBSERVATION_WEIGHT.max(1.0 - influence);
-        let seen = match observation.outcome {
+        let sample = match observation.outcome {
             OutcomeClass::NotRun => return,
             OutcomeClass::Run if observation.error_answer && self.latency_micros.is_none() => {
                 return;
@@ -146,10 +146,10 @@
             // The attempt was cut short or gave up early, so its latency is a lower bound.
             OutcomeClass::Run | OutcomeClass::Unknown => latency.max(mean),
         };
-        self.latency_micros = Some(lerp(mean, seen, weight));
+        self.latency_micros = Some(lerp(mean, sample, weight));
     }
 
-    fn forget_with_time(&mut self, now: Timestamp) {
+    fn decay(&mut self, now: Timestamp) {
         let influence = self.influence(now);
         self.contradicted *= influence;
         self.overloaded *= influence;
@@ -166,7 +166,7 @@
     }
 }
 
-fn contradicts_room(observation: &Observation, reference: &Reference) -> bool {
+fn contradicts_capacity(observation: &Observation, reference: &Reference) -> bool {
     let is_lost = observation.outcome == OutcomeClass::Unknown;
     if observation.overloaded || observation.error_answer || is_lost {
         return true;
--- a/crates/core/src/routing/entry.rs
+++ b/crates/core/src/routing/entry.rs
@@ -6,12 +6,12 @@
 use crate::time::Timestamp;
 
 use super::endpoint::{Endpoint, UNKNOWN_INCARNATION};
-use super::heard_level::HeardLevel;
+use super::endpoint_stats::EndpointStats;
 use super::hold::{Hold, HoldReason};
 use super::observation::{Observation, ReportedLoad};
+use super::received_level::ReceivedLevel;
 use super::reference::Reference;
 use super::settings::RouterSettings;
-use super::suspicion::Suspicion;
 use super::warm_up;
 
 /// Load that an endpoint reported last.
@@ -30,14 +30,14 @@
     pub(super) in_flight: u32,
     pub(super) hold: Option<Hold>,
     pub(super) ejections: u32,
-    level: HeardLevel,
+    level: ReceivedLevel,
     report: Option<Report>,
-    suspicion: Suspicion,
+    stats: EndpointStats,
 }
 
 /// Whether ejected endpoints may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EjectedUse {
+pub(super) enum EjectedPolicy {
     /// Only endpoints that are not ejected.
     Avoid,
     /// Ejected endpoints too: an unreliable endpoint is better than none.
@@ -46,7 +46,7 @@
 
 /// Reason for which an endpoint can't take a call now, with the time until it may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unusable {
+pub(super) enum UnusableReason {
     /// The endpoint refused a call as leaving, or is ejected.
     Unavailable(Duration),
     /// All connections are in use.
@@ -64,9 +64,9 @@
             in_flight: 0,
             hold: None,
             ejections: 0,
-            level: HeardLevel::default(),
+            level: ReceivedLevel::default(),
             report: None,
-            suspicion: Suspicion::default(),
+            stats: EndpointStats::default(),
         }
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Records an incarnation that the endpoint reported.
-    pub(super) fn heard_incarnation(&mut self, now: Timestamp, incarnation: u64) {
+    pub(super) fn record_incarnation(&mut self, now: Timestamp, incarnation: u64) {
         let known = self.endpoint.incarnation;
         if known == UNKNOWN_INCARNATION {
             self.endpoint.incarnation = incarnation;
@@ -102,29 +102,29 @@
         &self,
         now: Timestamp,
         key: AdmissionKey,
-        ejected: EjectedUse,
+        ejected: EjectedPolicy,
         settings: &RouterSettings,
-    ) -> Result<(), Unusable> {
+    ) -> Result<(), UnusableReason> {
         self.check_hold(now, ejected)?;
         if self.in_flight >= self.endpoint.connections {
-            return Err(Unusable::Connections(settings.connection_hold));
+            return Err(UnusableReason::Connections(settings.connection_hold));
         }
         let wait = self.level.wait_for(now, settings.level_reopen, key);
         if wait > Duration::ZERO {
-            return Err(Unusable::Level(wait));
+            return Err(UnusableReason::Level(wait));
         }
         Ok(())
     }
 
-    fn check_hold(&self, now: Timestamp, ejected: EjectedUse) -> Result<(), Unusable> {
+    fn check_hold(&self, now: Timestamp, ejected: EjectedPolicy) -> Result<(), UnusableReason> {
         let Some(hold) = self.hold.filter(|hold| hold.is_active(now)) else {
             return Ok(());
         };
         let wait = hold.until.saturating_since(now);
         match hold.reason {
-            HoldReason::ConnectionLimit => Err(Unusable::Connections(wait)),
-            HoldReason::Ejected if ejected == EjectedUse::Accept => Ok(()),
-            HoldReason::Ejected | HoldReason::Leaving => Err(Unusable::Unavailable(wait)),
+            HoldReason::ConnectionLimit => Err(UnusableReason::Connections(wait)),
+            HoldReason::Ejected if ejected == EjectedPolicy::Accept => Ok(()),
+            HoldReason::Ejected | HoldReason::Leaving => Err(UnusableReason::Unavailable(wait)),
         }
     }
 
@@ -154,12 +154,12 @@
         reference: &Reference,
     ) {
         let claimed = self.reported_utilisation();
-        self.suspicion.observe(now, observation, claimed, reference);
-        if self.suspicion.is_proven() {
+        self.stats.observe(now, observation, claimed, reference);
+        if self.stats.is_reliable() {
             self.ejections = 0;
         }
         if let Some(level) = observation.level {
-            self.level.hear(now, level);
+            self.level.record(now, level);
         }
         if let Some(load) = observation.load {
             self.report = Some(Report {
@@ -172,12 +172,12 @@
 
     /// Returns true if enough attempts failed to eject the endpoint.
     pub(super) fn should_eject(&self) -> bool {
-        self.suspicion.should_eject()
+        self.stats.should_eject()
     }
 
     /// Resets the failure count that led to an ejection.
-    pub(super) fn pardon(&mut self) {
-        self.suspicion.pardon();
+    pub(super) fn reset_failures(&mut self) {
+        self.stats.reset_failures();
     }
 
     /// Sets a hold until `until`; an existing hold that lasts longer stays.
@@ -198,7 +198,7 @@
 
     /// Returns the mean latency of the responses, in microseconds.
     pub(super) const fn latency_micros(&self) -> Option<f64> {
-        self.suspicion.latency_micros()
+        self.stats.latency_micros()
     }
 
     /// Returns the utilisation that the endpoint reported last.
@@ -218,7 +218,7 @@
 
     /// Returns how much the endpoint's reports are discounted: 0.0 not at all, 1.0 entirely.
     pub(super) fn distrust(&self, now: Timestamp, settings: &RouterSettings) -> f64 {
-        self.suspicion.distrust(now, settings.distrust_threshold)
+        self.stats.distrust(now, settings.distrust_threshold)
     }
 
     /// Returns the expected cost of one more call here: 1.0 for an endpoint that would be filled up
@@ -230,7 +230,7 @@
         reference: &Reference,
     ) -> f64 {
         let utilisation = self.utilisation(now, settings, reference);
-        utilisation * self.suspicion.cost_factor(now, reference)
+        utilisation * self.stats.cost_factor(now, reference)
     }
 
     /// Returns the utilisation with one more call, from the report as far as it is fresh and
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -6,23 +6,23 @@
 
 mod balance;
 mod endpoint;
+mod endpoint_stats;
 mod entry;
-mod heard_level;
 mod hold;
 mod locality;
 mod observation;
 mod pick;
+mod received_level;
 mod reference;
 mod router;
 mod settings;
 mod subset;
-mod suspicion;
 mod warm_up;
 
 pub use endpoint::{Endpoint, EndpointId, EndpointState, UNKNOWN_INCARNATION, Zone};
 pub use hold::HoldReason;
 pub use observation::{Observation, ReportedLoad};
 pub use pick::{Pick, PickRequest};
-pub use router::{EndpointView, Router};
+pub use router::{EndpointStatus, Router};
 pub use settings::RouterSettings;
 pub use subset::{SubsetSettings, subset_size};
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -10,7 +10,7 @@
 
 use super::balance::Pool;
 use super::endpoint::{Endpoint, EndpointId, EndpointState, Zone};
-use super::entry::{EjectedUse, Entry, Unusable};
+use super::entry::{EjectedPolicy, Entry, UnusableReason};
 use super::hold::HoldReason;
 use super::locality::{self, Members};
 use super::observation::Observation;
@@ -36,7 +36,7 @@
 
 /// State of one endpoint in the router, for status pages.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointView {
+pub struct EndpointStatus {
     /// Identity of the endpoint.
     pub id: EndpointId,
     /// True if the endpoint belongs to this caller's subset.
@@ -106,26 +106,26 @@
     /// delayed response, is ignored.
     pub fn heard_incarnation(&mut self, now: Timestamp, endpoint: &EndpointId, incarnation: u64) {
         if let Some(entry) = self.entry_mut(endpoint) {
-            entry.heard_incarnation(now, incarnation);
+            entry.record_incarnation(now, incarnation);
         }
     }
 
     /// Picks an endpoint for a call. The driver must report its use with [`Router::dispatched`].
     pub fn pick(&self, now: Timestamp, rng: &mut impl Rng, request: &PickRequest<'_>) -> Pick {
-        let others = self.pool(now, request, EjectedUse::Avoid);
-        let all = self.pool(now, request, EjectedUse::Accept);
+        let others = self.pool(now, request, EjectedPolicy::Avoid);
+        let all = self.pool(now, request, EjectedPolicy::Accept);
         let picked = locality::pick(&others, &self.members, &self.settings, rng)
             .or_else(|| locality::pick(&all, &self.members, &self.settings, rng));
         match picked {
             Some(candidate) => Pick::Endpoint(self.entries[candidate.index].endpoint.id.clone()),
-            None => self.explain_none(now, rng, request),
+            None => self.no_endpoint(now, rng, request),
         }
     }
 
     /// Returns true if some endpoint can take the call.
     #[must_use]
     pub fn can_pick(&self, now: Timestamp, request: &PickRequest<'_>) -> bool {
-        let pool = self.pool(now, request, EjectedUse::Accept);
+        let pool = self.pool(now, request, EjectedPolicy::Accept);
         self.member_indexes().any(|index| pool.is_usable(index))
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Returns the state of each endpoint.
-    pub fn views(&self, now: Timestamp) -> impl Iterator<Item = EndpointView> {
+    pub fn views(&self, now: Timestamp) -> impl Iterator<Item = EndpointStatus> {
         let mut in_subset = vec![false; self.entries.len()];
         for index in self.member_indexes() {
             in_subset[index] = true;
@@ -200,9 +200,9 @@
         entries.map(move |(entry, in_subset)| self.view(now, entry, in_subset))
     }
 
-    fn view(&self, now: Timestamp, entry: &Entry, in_subset: bool) -> EndpointView {
+    fn view(&self, now: Timestamp, entry: &Entry, in_subset: bool) -> EndpointStatus {
         let active = entry.hold.filter(|hold| hold.is_active(now));
-        EndpointView {
+        EndpointStatus {
             id: entry.endpoint.id.clone(),
             in_subset,
             in_flight: entry.in_flight,
@@ -230,7 +230,7 @@
         &'view self,
         now: Timestamp,
         request: &'view PickRequest<'view>,
-        ejected: EjectedUse,
+        ejected: EjectedPolicy,
     ) -> PoolView<'view> {
         PoolView {
             router: self,
@@ -319,7 +319,7 @@
         let time = self.settings.ejection_base.saturating_mul(entry.ejections);
         let time = time.min(self.settings.ejection_maximum);
         entry.hold_until(now + time, HoldReason::Ejected);
-        entry.pardon();
+        entry.reset_failures();
     }
 
     /// Returns the largest number of endpoints that may be ejected at a time: at least one of two,
@@ -336,21 +336,21 @@
     }
 
     /// Returns the reason for which no endpoint can take a call, and the time until one might.
-    fn explain_none(&self, now: Timestamp, rng: &mut impl Rng, request: &PickRequest<'_>) -> Pick {
+    fn no_endpoint(&self, now: Timestamp, rng: &mut impl Rng, request: &PickRequest<'_>) -> Pick {
         let mut reason = ResultCode::NoBackend;
         let mut wait: Option<Duration> = None;
         for index in self.member_indexes() {
             let entry = &self.entries[index];
-            let check = entry.check(now, request.key, EjectedUse::Accept, &self.settings);
+            let check = entry.check(now, request.key, EjectedPolicy::Accept, &self.settings);
             let Err(unusable) = check else {
                 continue;
             };
             let (found, found_wait) = match unusable {
-                Unusable::Unavailable(wait) => (ResultCode::NoBackend, wait),
-                Unusable::Connections(wait) => (ResultCode::ConnectionLimit, wait),
-                Unusable::Level(wait) => (ResultCode::RefusedByLevel, wait),
+                UnusableReason::Unavailable(wait) => (ResultCode::NoBackend, wait),
+                UnusableReason::Connections(wait) => (ResultCode::ConnectionLimit, wait),
+                UnusableReason::Level(wait) => (ResultCode::RefusedByLevel, wait),
             };
-            reason = more_telling(reason, found);
+            reason = more_specific(reason, found);
             wait = Some(wait.map_or(found_wait, |least| least.min(found_wait)));
         }
         let wait = wait.unwrap_or(self.settings.default_retry_after);
@@ -363,7 +363,7 @@
 }
 
 /// Returns the reason of the two that is closer to an endpoint being able to take the call.
-fn more_telling(left: ResultCode, right: ResultCode) -> ResultCode {
+fn more_specific(left: ResultCode, right: ResultCode) -> ResultCode {
     let order = |code| match code {
         ResultCode::RefusedByLevel => 2,
         ResultCode::ConnectionLimit => 1,
@@ -381,7 +381,7 @@
     router: &'view Router,
     now: Timestamp,
     request: &'view PickRequest<'view>,
-    ejected: EjectedUse,
+    ejected: EjectedPolicy,
 }
 
 impl Pool for PoolView<'_> {
--- a/crates/core/src/routing/subset.rs
+++ b/crates/core/src/routing/subset.rs
@@ -47,8 +47,8 @@
 #[must_use]
 pub fn subset_size(settings: &SubsetSettings, endpoints: usize, connection_limit: u32) -> usize {
     let planned = f64::from(connection_limit) * settings.connection_share.clamp(0.0, 1.0);
-    let wanted = f64::from(settings.callers.max(1)) * f64::from(settings.connections_per_caller);
-    let share = planned / wanted.max(1.0);
+    let required = f64::from(settings.callers.max(1)) * f64::from(settings.connections_per_caller);
+    let share = planned / required.max(1.0);
     let size = (endpoints as f64 * share).floor() as usize;
     size.max(settings.minimum).min(endpoints)
 }
--- a/crates/core/tests/admission_queue.rs
+++ b/crates/core/tests/admission_queue.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use wharfquay_core::admission::queue::{Pushed, WaitQueue};
+use wharfquay_core::admission::queue::{PushResult, WaitQueue};
 use wharfquay_core::admission::{CallTicket, OfferedCall, QueueDiscipline, Standing};
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel, Priority, Rank};
 use wharfquay_core::time::Timestamp;
@@ -87,8 +87,8 @@
         let full = self.inside.len() >= self.capacity;
         let expires = self.now + Duration::from_micros(wait);
         match self.queue.push(self.now, call, expires) {
-            Pushed::Queued => assert!(!full),
-            Pushed::Displaced(waiting) => {
+            PushResult::Queued => assert!(!full),
+            PushResult::Displaced(waiting) => {
                 assert!(full);
                 if self.by_priority() {
                     let last = self.inside.last().map(|&(key, _)| key);
@@ -104,7 +104,7 @@
                 }
                 self.take(waiting.call);
             }
-            Pushed::Full => {
+            PushResult::Full => {
                 assert!(full);
                 let least = !self.inside.iter().any(|&(key, _)| key > call.key);
                 assert!(least || !self.by_priority());
--- a/crates/core/tests/drain_leaving.rs
+++ b/crates/core/tests/drain_leaving.rs
@@ -90,7 +90,7 @@
     ];
     for (in_flight, ended, now, expected) in cases {
         let mut progress = DrainProgress::begin(start, limit, in_flight);
-        (0..ended).for_each(|_| progress.call_ended());
+        (0..ended).for_each(|_| progress.call_completed());
         let state = progress.state(Timestamp::from_millis(now));
         assert_eq!(
             state, expected,
--- a/crates/core/tests/idempotency_cases.rs
+++ b/crates/core/tests/idempotency_cases.rs
@@ -10,8 +10,8 @@
 };
 use wharfquay_core::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId};
 use wharfquay_core::idempotency::claim::message::{
-    Abandon, Abstention, Claim, ClaimId, Fetch, Fingerprint, OutcomeRecord, RecordedAnswer,
-    RecordedOutcome, ReplicaReply, ReplicaRequest, Standing, Store, Vote, VoteReply,
+    Abandon, Abstention, Claim, ClaimId, Fetch, Fingerprint, HandoverStatus, OutcomeRecord,
+    RecordedAnswer, RecordedOutcome, ReplicaReply, ReplicaRequest, Store, Vote, VoteReply,
 };
 use wharfquay_core::idempotency::claim::replica::{PeerRequest, Replica, ReplicaSettings};
 use wharfquay_core::idempotency::clock::{KeyWindow, UnixMillis};
@@ -441,17 +441,32 @@
     };
     let unstated = || group(2, &["a", "b", "c"], Predecessor::Unknown);
     let cases = [
-        ("voted before", first_group(), 2, Standing::Sealed),
-        ("votes in the target", first_group(), 1, Standing::Current),
-        ("two epochs behind", first_group(), 3, Standing::Unready),
+        ("voted before", first_group(), 2, HandoverStatus::Sealed),
+        (
+            "votes in the target",
+            first_group(),
+            1,
+            HandoverStatus::Current,
+        ),
+        (
+            "two epochs behind",
+            first_group(),
+            3,
+            HandoverStatus::Unready,
+        ),
         (
             "started after the change",
             second_group(),
             2,
-            Standing::Fresh,
+            HandoverStatus::Fresh,
+        ),
+        (
+            "joins an earlier one",
+            second_group(),
+            3,
+            HandoverStatus::Unready,
         ),
-        ("joins an earlier one", second_group(), 3, Standing::Unready),
-        ("can't join", unstated(), 2, Standing::Fresh),
+        ("can't join", unstated(), 2, HandoverStatus::Fresh),
     ];
     for (name, group, target, expected) in cases {
         let mut replica = replica("b", START, group);
@@ -459,7 +474,7 @@
         let ReplicaReply::Page(page) = reply else {
             panic!("a fetch is answered by a page");
         };
-        assert_eq!(page.standing, expected, "{name}");
+        assert_eq!(page.status, expected, "{name}");
     }
 }
 
--- a/crates/core/tests/retry_ledger.rs
+++ b/crates/core/tests/retry_ledger.rs
@@ -96,8 +96,8 @@
 fn splits_divide_as_described() {
     // Allowance, children that run at the same time, what they get in turn.
     let cases: [(AllowanceSplit, u16, usize, &[u16]); 18] = [
-        (AllowanceSplit::FirstAsker, 3, 3, &[3, 0, 0]),
-        (AllowanceSplit::FirstAsker, 0, 2, &[0, 0]),
+        (AllowanceSplit::FirstRequester, 3, 3, &[3, 0, 0]),
+        (AllowanceSplit::FirstRequester, 0, 2, &[0, 0]),
         (AllowanceSplit::Half, 8, 3, &[4, 2, 1]),
         (AllowanceSplit::Half, 3, 3, &[2, 1, 0]),
         (AllowanceSplit::FairShare, 3, 3, &[1, 1, 1]),
