--- a/crates/core/examples/retry_splits.rs
+++ b/crates/core/examples/retry_splits.rs
@@ -19,7 +19,7 @@
 const MEAN_WORK_MICROS: u64 = 10_000;
 const REFUSAL_MICROS: u64 = 1_000;
 
-/// What one call does below itself.
+/// Child calls that a call makes.
 #[derive(Clone, Default)]
 struct Plan {
     children: Vec<Plan>,
@@ -46,12 +46,13 @@
     }
 }
 
-/// What a hop tells its ledger of the children that run at the same time.
+/// Number of concurrent children that a hop passes to its ledger.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Hint {
-    /// Exactly those that have still to ask.
+    /// Exactly those that have not yet received a grant.
     Exact,
-    /// The number of services that it calls, as declared in its resource, one after the other or not.
+    /// The number of services that it calls, as declared in its resource, whether sequentially or
+    /// concurrently.
     Declared,
     /// Always one.
     One,
@@ -59,28 +60,29 @@
     Two,
 }
 
-/// Probabilities per attempt.
+/// Fault probabilities per attempt.
 #[derive(Clone, Copy)]
 struct Faults {
     /// Refused before execution.
     refused: f64,
-    /// The connection is lost, half of the time before the subtree runs and half after.
+    /// The connection is lost, in half of the cases before the subtree runs and in the other half
+    /// after.
     lost: f64,
 }
 
 struct Call<'plan> {
-    parent: Option<Slot>,
+    parent: Option<ReplyTarget>,
     plan: &'plan Plan,
     ledger: Ledger,
     next_child: usize,
     running: usize,
     failed: bool,
-    answer_lost: bool,
+    response_lost: bool,
 }
 
-/// The place in its parent that an attempt answers to.
+/// Caller, child index and grant of an attempt, to which its response is delivered.
 #[derive(Clone, Copy)]
-struct Slot {
+struct ReplyTarget {
     caller: usize,
     child: usize,
     grant: Grant,
@@ -88,13 +90,13 @@
 
 enum Event {
     WorkDone(usize),
-    Answer {
-        slot: Slot,
+    Response {
+        target: ReplyTarget,
         returned: RetryAllowance,
         code: ResultCode,
         failed: bool,
     },
-    Lost(Slot),
+    Lost(ReplyTarget),
 }
 
 #[derive(Clone, Copy, Default)]
@@ -103,7 +105,7 @@
     most_retries: u32,
 }
 
-/// What one row of the table varies.
+/// Parameters of one row of the table.
 #[derive(Clone, Copy)]
 struct Rules {
     allowance: u16,
@@ -152,10 +154,10 @@
 
     fn start(
         &mut self,
-        parent: Option<Slot>,
+        parent: Option<ReplyTarget>,
         plan: &'plan Plan,
         allowance: RetryAllowance,
-        answer_lost: bool,
+        response_lost: bool,
     ) {
         self.calls.push(Call {
             parent,
@@ -164,7 +166,7 @@
             next_child: 0,
             running: 0,
             failed: false,
-            answer_lost,
+            response_lost,
         });
         let work = self.rng.random_range(0..=2 * MEAN_WORK_MICROS);
         self.schedule(work, Event::WorkDone(self.calls.len() - 1));
@@ -173,32 +175,34 @@
     fn handle(&mut self, event: usize) {
         match self.events[event] {
             Event::WorkDone(call) => self.advance(call),
-            Event::Answer {
-                slot,
+            Event::Response {
+                target,
                 returned,
                 code,
                 failed,
             } => {
-                self.calls[slot.caller].ledger.settle(slot.grant, returned);
-                self.child_ended(slot, code, failed);
+                self.calls[target.caller]
+                    .ledger
+                    .settle(target.grant, returned);
+                self.child_completed(target, code, failed);
             }
-            Event::Lost(slot) => {
-                self.calls[slot.caller].ledger.lose(slot.grant);
-                self.child_ended(slot, ResultCode::ConnectionLost, true);
+            Event::Lost(target) => {
+                self.calls[target.caller].ledger.lose(target.grant);
+                self.child_completed(target, ResultCode::ConnectionLost, true);
             }
         }
     }
 
-    fn child_ended(&mut self, slot: Slot, code: ResultCode, failed: bool) {
-        let call = &mut self.calls[slot.caller];
+    fn child_completed(&mut self, target: ReplyTarget, code: ResultCode, failed: bool) {
+        let call = &mut self.calls[target.caller];
         call.running -= 1;
-        if failed && self.may_retry(slot.caller, code) {
+        if failed && self.may_retry(target.caller, code) {
             self.retries += 1;
-            self.attempt(slot.caller, slot.child);
+            self.attempt(target.caller, target.child);
             return;
         }
-        self.calls[slot.caller].failed |= failed;
-        self.advance(slot.caller);
+        self.calls[target.caller].failed |= failed;
+        self.advance(target.caller);
     }
 
     fn may_retry(&mut self, caller: usize, code: ResultCode) -> bool {
@@ -218,7 +222,7 @@
         matches!(decide(&question), RetryDecision::Retry { .. }) && ledger.try_spend_retry()
     }
 
-    /// Starts the next children, or answers when nothing is left to do.
+    /// Starts the next children, or responds if nothing is left to do.
     fn advance(&mut self, index: usize) {
         loop {
             let call = &self.calls[index];
@@ -231,15 +235,15 @@
             self.attempt(index, child);
         }
         if self.calls[index].running == 0 {
-            self.answer(index);
+            self.respond(index);
         }
     }
 
     fn attempt(&mut self, caller: usize, child: usize) {
         let call = &mut self.calls[caller];
-        let still_to_ask = call.plan.children.len() - call.next_child;
+        let remaining_children = call.plan.children.len() - call.next_child;
         let hint = match self.rules.hint {
-            Hint::Exact if call.plan.concurrent => still_to_ask + 1,
+            Hint::Exact if call.plan.concurrent => remaining_children + 1,
             Hint::Declared => call.plan.children.len(),
             Hint::Two => 2,
             Hint::Exact | Hint::One => 1,
@@ -247,14 +251,14 @@
         let grant = call.ledger.grant(hint);
         call.running += 1;
         let plan = &call.plan.children[child];
-        let slot = Slot {
+        let target = ReplyTarget {
             caller,
             child,
             grant,
         };
         if self.rng.random::<f64>() < self.rules.faults.refused {
-            let refusal = Event::Answer {
-                slot,
+            let refusal = Event::Response {
+                target,
                 returned: grant.allowance(),
                 code: ResultCode::RefusedByLevel,
                 failed: true,
@@ -264,31 +268,31 @@
         }
         let lost = self.rng.random::<f64>() < self.rules.faults.lost;
         if lost && self.rng.random::<bool>() {
-            self.schedule(MEAN_WORK_MICROS, Event::Lost(slot));
+            self.schedule(MEAN_WORK_MICROS, Event::Lost(target));
             return;
         }
-        self.start(Some(slot), plan, grant.allowance(), lost);
+        self.start(Some(target), plan, grant.allowance(), lost);
     }
 
-    fn answer(&mut self, index: usize) {
+    fn respond(&mut self, index: usize) {
         let call = &mut self.calls[index];
         let returned = call.ledger.close();
         let failed = call.failed;
-        let Some(slot) = call.parent else {
+        let Some(target) = call.parent else {
             self.succeeded = !failed;
             return;
         };
-        if call.answer_lost {
-            self.schedule(0, Event::Lost(slot));
+        if call.response_lost {
+            self.schedule(0, Event::Lost(target));
             return;
         }
-        let answer = Event::Answer {
-            slot,
+        let respond = Event::Response {
+            target,
             returned,
             code: ResultCode::Answered,
             failed,
         };
-        self.schedule(0, answer);
+        self.schedule(0, respond);
     }
 }
 
@@ -303,7 +307,7 @@
     totals
 }
 
-/// Prints one row: the share of whole requests under each split.
+/// Prints one row: the share of successful requests for each split.
 fn print_row(name: &str, plan: &Plan, rules: Rules, seed: u64) {
     let mut most_retries = 0;
     print!("| {name} | {} | {:?} |", rules.allowance, rules.hint);
--- a/crates/core/examples/routing_balance.rs
+++ b/crates/core/examples/routing_balance.rs
@@ -1,4 +1,5 @@
-//! Compares ways to balance calls over endpoints, one of which may be slow or misreport.
+//! Compares rules for balancing calls over endpoints, one of which may be slow or misreport its
+//! load.
 //!
 //! Usage: `cargo run --release -p wharfquay-core --example routing_balance [SEED]`
 
@@ -22,13 +23,13 @@
 const QUEUE: usize = 16;
 const MEAN_SERVICE_MICROS: f64 = 10_000.0;
 const SLOW_FACTOR: f64 = 5.0;
-/// Share of the capacity of the healthy endpoints that arrives.
+/// Arrival rate as a share of the capacity of the healthy endpoints.
 const UTILISATION: f64 = 0.75;
 const IN_TIME: Duration = Duration::from_millis(100);
 const WARM_UP: Duration = Duration::from_secs(5);
-const END: Duration = Duration::from_secs(65);
+const DURATION: Duration = Duration::from_secs(65);
 
-/// How the first endpoint differs from the others.
+/// Difference of the first endpoint from the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
@@ -133,7 +134,7 @@
 
     fn run(mut self) -> Totals {
         self.schedule(0, Event::Arrival);
-        let end = END.as_micros() as u64;
+        let end = DURATION.as_micros() as u64;
         while let Some(Reverse((at, event))) = self.queue.pop() {
             if at > end {
                 break;
@@ -141,7 +142,7 @@
             self.now = at;
             match self.events[event] {
                 Event::Arrival => self.arrive(),
-                Event::Done(call) => self.done(call),
+                Event::Done(call) => self.complete(call),
             }
         }
         self.totals
@@ -177,7 +178,7 @@
             server,
             started: self.now,
         });
-        if self.counted(self.now) {
+        if self.is_counted(self.now) {
             self.totals.calls += 1;
             self.totals.to_first += u32::from(server == 0);
         }
@@ -198,11 +199,11 @@
                     .min_by(|left, right| reported[*left].total_cmp(&reported[*right]))
                     .unwrap_or(first)
             }
-            Rule::RouterTrusting | Rule::Router => self.ask_router(caller),
+            Rule::RouterTrusting | Rule::Router => self.pick_by_router(caller),
         }
     }
 
-    fn ask_router(&mut self, caller: usize) -> usize {
+    fn pick_by_router(&mut self, caller: usize) -> usize {
         let request = PickRequest {
             key: AdmissionKey::new(Priority::HIGHEST, Rank::from_number(0)),
             excluded: &[],
@@ -222,7 +223,7 @@
         let refuses = self.fault == Fault::RefusesReportsIdle && server_index == 0;
         let server = &mut self.servers[server_index];
         if refuses || server.queue.len() >= QUEUE {
-            self.answer(call, false);
+            self.record(call, false);
         } else if server.busy < SLOTS {
             server.busy += 1;
             self.serve(call);
@@ -242,23 +243,23 @@
         self.schedule(service, Event::Done(call));
     }
 
-    fn done(&mut self, call: usize) {
+    fn complete(&mut self, call: usize) {
         let server = &mut self.servers[self.calls[call].server];
         match server.queue.pop_front() {
             Some(next) => self.serve(next),
             None => server.busy -= 1,
         }
-        self.answer(call, true);
+        self.record(call, true);
     }
 
-    fn answer(&mut self, call: usize, executed: bool) {
+    fn record(&mut self, call: usize, executed: bool) {
         let Call {
             caller,
             server,
             started,
         } = self.calls[call];
         let latency = self.now - started;
-        if self.counted(started) {
+        if self.is_counted(started) {
             if executed {
                 self.totals.latencies.push(latency);
             } else {
@@ -285,12 +286,12 @@
     }
 
     fn report(&self, server: usize) -> ReportedLoad {
-        let lies = matches!(
+        let misreports = matches!(
             self.fault,
             Fault::SlowReportsIdle | Fault::RefusesReportsIdle
         );
         let server_state = &self.servers[server];
-        let (busy, queued) = match lies && server == 0 {
+        let (busy, queued) = match misreports && server == 0 {
             true => (0, 0),
             false => (server_state.busy, server_state.queue.len()),
         };
@@ -301,7 +302,7 @@
         }
     }
 
-    fn counted(&self, started: u64) -> bool {
+    fn is_counted(&self, started: u64) -> bool {
         started >= WARM_UP.as_micros() as u64
     }
 }
--- a/crates/core/examples/routing_pick_cost.rs
+++ b/crates/core/examples/routing_pick_cost.rs
@@ -1,4 +1,5 @@
-//! Measures the time of one pick, dispatch and observation, and the size of the routers of an edge.
+//! Measures the duration of one pick, dispatch and observation, and the memory used by the routers
+//! of an edge.
 //!
 //! Usage: `cargo run --release -p wharfquay-core --example routing_pick_cost`
 
@@ -76,7 +77,7 @@
     (picking / ROUNDS, start.elapsed() / ROUNDS)
 }
 
-/// Resident memory of this process in KiB, as the kernel reports it.
+/// Returns the resident memory of this process in KiB, as reported by the kernel.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -104,8 +105,8 @@
         let subset = callers.map(|callers| SubsetSettings::for_caller("caller", callers));
         let mut router = router(0, count, subset);
         let shown = router
-            .views(Timestamp::ZERO)
-            .filter(|view| view.in_subset)
+            .endpoint_statuses(Timestamp::ZERO)
+            .filter(|endpoint_status| endpoint_status.in_subset)
             .count();
         let (pick, round) = time_rounds(&mut router);
         println!(
--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -31,13 +31,14 @@
     pub key: AdmissionKey,
     /// Time after which its response is of no use to the caller.
     pub deadline: Timestamp,
-    /// Whether work was already done for its originating request.
+    /// Progress of its originating request.
     pub standing: Standing,
     /// Admission level that the originating request passed at its edge.
     pub admitted_below: AdmissionLevel,
 }
 
-/// Whether refusing a call would waste work already done.
+/// Progress of the originating request of a call that requests admission. It determines whether a
+/// refusal would waste work already done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Standing {
     /// No work was done for the request yet; the admission level applies.
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -22,9 +22,9 @@
     pub maximum_queue_wait: Duration,
     /// Order in which waiting calls are served.
     pub discipline: QueueDiscipline,
-    /// Whether the admission level adapts to the load; otherwise it stays open.
+    /// True if the admission level adapts to the load; otherwise it stays open.
     pub adaptive_level: bool,
-    /// Whether slots are reserved for calls whose kind is refused elsewhere on its path.
+    /// True if slots are reserved for calls whose kind is refused elsewhere on its path.
     pub reserve: bool,
     /// Interval between two adjustments of the admission level.
     pub level_interval: Duration,
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -125,7 +125,7 @@
     pub deadline: Timestamp,
     /// Retries that this call and all calls below it may spend.
     pub allowance: RetryAllowance,
-    /// Whether the call may be executed more than once.
+    /// Policy on executing the call more than once.
     pub repeatability: Repeatability,
     /// Idempotency key; `None` if the request carries none.
     pub idempotency_key: Option<IdempotencyKey>,
--- a/crates/core/src/idempotency/claim/coordinator.rs
+++ b/crates/core/src/idempotency/claim/coordinator.rs
@@ -9,10 +9,10 @@
 use rand::{Rng, RngExt};
 
 use crate::idempotency::claim::delivery::Delivery;
-pub use crate::idempotency::claim::exchange::{
+use crate::idempotency::claim::group::{Group, ReplicaId};
+pub use crate::idempotency::claim::interface::{
     ClaimedRequest, CoordinatorEffect, CoordinatorSettings, ExecutionOutcome,
 };
-use crate::idempotency::claim::group::{Group, ReplicaId};
 use crate::idempotency::claim::message::{
     Abandon, Claim, ClaimId, OutcomeRecord, RecordedOutcome, ReplicaReply, ReplicaRequest, Store,
     Vote, VoteReply,
@@ -104,8 +104,8 @@
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let step = self.is_undecided().then_some(self.next_step);
-        let deliver = self.deliveries.iter().map(Delivery::next_send);
-        deliver.chain(step).min()
+        let next_sends = self.deliveries.iter().map(Delivery::next_send);
+        next_sends.chain(step).min()
     }
 
     /// Applies a configured group; an epoch that is not newer changes nothing.
@@ -378,7 +378,7 @@
             request,
             replicas,
             self.settings.retransmit_after,
-            self.settings.settle_timeout,
+            self.settings.delivery_timeout,
         );
         let effects = delivery.advance(now);
         self.deliveries.push(delivery);
--- a/crates/core/src/idempotency/claim/handover.rs
+++ b/crates/core/src/idempotency/claim/handover.rs
@@ -16,7 +16,7 @@
 /// Report of one replica about the previous group.
 #[derive(Clone, Debug)]
 pub struct HandoverReport {
-    /// Authority of the replica's records for that group.
+    /// Status of the replica with respect to that group.
     pub status: HandoverStatus,
     /// The replica has no information on keys created up to this time.
     pub horizon: UnixMillis,
--- a/crates/core/src/idempotency/claim/exchange.rs
+++ b/crates/core/src/idempotency/claim/interface.rs
@@ -19,7 +19,7 @@
     pub maximum_retransmit_after: Duration,
     /// Time for which withdrawals and outcomes are retransmitted until every replica acknowledged
     /// them.
-    pub settle_timeout: Duration,
+    pub delivery_timeout: Duration,
     /// Value for the Retry-After header of a refusal.
     pub retry_after: Duration,
 }
@@ -30,7 +30,7 @@
             claim_timeout: Duration::from_millis(500),
             retransmit_after: Duration::from_millis(20),
             maximum_retransmit_after: Duration::from_millis(200),
-            settle_timeout: Duration::from_secs(10),
+            delivery_timeout: Duration::from_secs(10),
             retry_after: Duration::from_secs(1),
         }
     }
--- a/crates/core/src/idempotency/claim/message.rs
+++ b/crates/core/src/idempotency/claim/message.rs
@@ -203,8 +203,8 @@
     pub vote: Vote,
 }
 
-/// Authority of a replica that replies to a [`Fetch`]: how far its records represent the group
-/// before the target epoch.
+/// Status of a replica that replies to a [`Fetch`]: how far its records represent the group before
+/// the target epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoverStatus {
     /// It votes in the target epoch, so it has completed its own handover.
@@ -242,7 +242,7 @@
     /// Key after which this page starts, copied from the request.
     #[serde(rename = "a")]
     pub after: Option<IdempotencyKey>,
-    /// Authority of the replying replica's records for the previous group.
+    /// Status of the replying replica with respect to the previous group.
     #[serde(rename = "s")]
     pub status: HandoverStatus,
     /// The replying replica abstains on keys created up to this time.
--- a/crates/core/src/idempotency/claim/mod.rs
+++ b/crates/core/src/idempotency/claim/mod.rs
@@ -7,9 +7,9 @@
 
 pub mod coordinator;
 mod delivery;
-pub mod exchange;
 pub mod group;
 pub mod handover;
+pub mod interface;
 pub mod message;
 pub mod records;
 pub mod replica;
--- a/crates/core/src/retry/decide.rs
+++ b/crates/core/src/retry/decide.rs
@@ -28,7 +28,7 @@
     pub code: ResultCode,
     /// Position on the path at which it failed.
     pub location: FailureLocation,
-    /// Whether the call may be executed more than once.
+    /// Policy on executing the call more than once.
     pub repeatability: Repeatability,
     /// True if an endpoint that was not tried yet can be picked and admits the call.
     pub sibling_available: bool,
--- a/crates/core/src/routing/entry.rs
+++ b/crates/core/src/routing/entry.rs
@@ -35,7 +35,7 @@
     stats: EndpointStats,
 }
 
-/// Whether ejected endpoints may be used.
+/// Policy on using ejected endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectedPolicy {
     /// Only endpoints that are not ejected.
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -191,16 +191,16 @@
     }
 
     /// Returns the state of each endpoint.
-    pub fn views(&self, now: Timestamp) -> impl Iterator<Item = EndpointStatus> {
+    pub fn endpoint_statuses(&self, now: Timestamp) -> impl Iterator<Item = EndpointStatus> {
         let mut in_subset = vec![false; self.entries.len()];
         for index in self.member_indexes() {
             in_subset[index] = true;
         }
         let entries = self.entries.iter().zip(in_subset);
-        entries.map(move |(entry, in_subset)| self.view(now, entry, in_subset))
+        entries.map(move |(entry, in_subset)| self.endpoint_status(now, entry, in_subset))
     }
 
-    fn view(&self, now: Timestamp, entry: &Entry, in_subset: bool) -> EndpointStatus {
+    fn endpoint_status(&self, now: Timestamp, entry: &Entry, in_subset: bool) -> EndpointStatus {
         let active = entry.hold.filter(|hold| hold.is_active(now));
         EndpointStatus {
             id: entry.endpoint.id.clone(),
--- a/crates/core/tests/admission_controller.rs
+++ b/crates/core/tests/admission_controller.rs
@@ -16,7 +16,7 @@
     Offer {
         priority: u8,
         rank: u16,
-        patience: u64,
+        time_left: u64,
     },
     Complete {
         index: usize,
@@ -39,7 +39,7 @@
 fn input() -> impl Strategy<Value = Input> {
     prop_oneof![
         40 => (0_u8..8, 0_u16..4096, 1_u64..200_000)
-            .prop_map(|(priority, rank, patience)| Input::Offer { priority, rank, patience }),
+            .prop_map(|(priority, rank, time_left)| Input::Offer { priority, rank, time_left }),
         30 => (0_usize..16, any::<bool>())
             .prop_map(|(index, failed)| Input::Complete { index, failed }),
         10 => (0_u64..200).prop_map(|ticket| Input::Cancel { ticket }),
@@ -61,15 +61,15 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum CallState {
     Waiting,
     Executing,
-    Ended,
+    Concluded,
 }
 
 struct Driver {
     controller: AdmissionController,
-    fates: BTreeMap<u64, Fate>,
+    states: BTreeMap<u64, CallState>,
     now: Timestamp,
     draining: bool,
 }
@@ -78,7 +78,7 @@
     fn new(settings: AdmissionSettings) -> Self {
         Self {
             controller: AdmissionController::new(settings, Timestamp::ZERO),
-            fates: BTreeMap::new(),
+            states: BTreeMap::new(),
             now: Timestamp::ZERO,
             draining: false,
         }
@@ -89,8 +89,8 @@
             Input::Offer {
                 priority,
                 rank,
-                patience,
-            } => self.offer(priority, rank, patience),
+                time_left,
+            } => self.offer(priority, rank, time_left),
             Input::Complete { index, failed } => self.complete(index, failed),
             Input::Cancel { ticket } => self.cancel(ticket),
             Input::Downstream { index, started } => self.downstream(index, started),
@@ -101,29 +101,29 @@
         self.check();
     }
 
-    fn offer(&mut self, priority: u8, rank: u16, patience: u64) {
-        let ticket = self.fates.len() as u64;
-        self.fates.insert(ticket, Fate::Waiting);
+    fn offer(&mut self, priority: u8, rank: u16, time_left: u64) {
+        let ticket = self.states.len() as u64;
+        self.states.insert(ticket, CallState::Waiting);
         let priority = Priority::new(priority).expect("in range");
         let call = OfferedCall {
             ticket: CallTicket(ticket),
             key: AdmissionKey::new(priority, Rank::from_number(rank)),
-            deadline: self.now + Duration::from_micros(patience),
+            deadline: self.now + Duration::from_micros(time_left),
             standing: Standing::New,
             admitted_below: AdmissionLevel::OPEN,
         };
         let effects = self.controller.offer(self.now, call);
         self.take(&effects);
-        let ended = self.fates[&ticket] == Fate::Ended;
-        assert!(ended || !self.draining, "no new work while draining");
+        let concluded = self.states[&ticket] == CallState::Concluded;
+        assert!(concluded || !self.draining, "no new work while draining");
     }
 
-    /// The ticket of one of the calls in execution.
+    /// Returns the ticket of one of the calls in execution.
     fn executing(&self, index: usize) -> Option<CallTicket> {
         let executing: Vec<_> = self
-            .fates
+            .states
             .iter()
-            .filter(|&(_, &fate)| fate == Fate::Executing)
+            .filter(|&(_, &state)| state == CallState::Executing)
             .map(|(&ticket, _)| CallTicket(ticket))
             .collect();
         executing.get(index % executing.len().max(1)).copied()
@@ -133,7 +133,7 @@
         let Some(ticket) = self.executing(index) else {
             return;
         };
-        self.fates.insert(ticket.0, Fate::Ended);
+        self.states.insert(ticket.0, CallState::Concluded);
         let completion = if failed {
             Completion::Failed
         } else {
@@ -144,15 +144,15 @@
     }
 
     fn cancel(&mut self, ticket: u64) {
-        let expected = match self.fates.get(&ticket) {
-            Some(Fate::Waiting) => Cancellation::RemovedFromQueue,
-            Some(Fate::Executing) => Cancellation::AlreadyDispatched,
-            Some(Fate::Ended) | None => Cancellation::NotFound,
+        let expected = match self.states.get(&ticket) {
+            Some(CallState::Waiting) => Cancellation::RemovedFromQueue,
+            Some(CallState::Executing) => Cancellation::AlreadyDispatched,
+            Some(CallState::Concluded) | None => Cancellation::NotFound,
         };
         let found = self.controller.cancel(self.now, CallTicket(ticket));
         assert_eq!(found, expected);
         if expected == Cancellation::RemovedFromQueue {
-            self.fates.insert(ticket, Fate::Ended);
+            self.states.insert(ticket, CallState::Concluded);
         }
     }
 
@@ -181,34 +181,47 @@
         self.draining = true;
         let effects = self.controller.begin_drain(self.now);
         self.take(&effects);
-        assert!(!self.fates.values().any(|&fate| fate == Fate::Waiting));
+        assert!(
+            !self
+                .states
+                .values()
+                .any(|&state| state == CallState::Waiting)
+        );
     }
 
-    /// Each ticket gets exactly one effect, and only while it waits.
+    /// Checks that each ticket gets exactly one effect, and only while it waits.
     fn take(&mut self, effects: &[AdmissionEffect]) {
         let mut seen = BTreeSet::new();
         for effect in effects {
-            let (ticket, fate) = match *effect {
-                AdmissionEffect::Dispatch(ticket) => (ticket, Fate::Executing),
+            let (ticket, state) = match *effect {
+                AdmissionEffect::Dispatch(ticket) => (ticket, CallState::Executing),
                 AdmissionEffect::Refuse {
                     ticket,
                     retry_after,
                     ..
                 } => {
                     assert!(retry_after > Duration::ZERO);
-                    (ticket, Fate::Ended)
+                    (ticket, CallState::Concluded)
                 }
             };
             assert!(seen.insert(ticket), "two effects for one ticket");
-            assert_eq!(self.fates.insert(ticket.0, fate), Some(Fate::Waiting));
+            assert_eq!(
+                self.states.insert(ticket.0, state),
+                Some(CallState::Waiting)
+            );
         }
     }
 
     fn check(&self) {
         let load = self.controller.load();
-        let count = |wanted| self.fates.values().filter(|&&fate| fate == wanted).count();
-        assert_eq!(load.in_flight as usize, count(Fate::Executing));
-        assert_eq!(load.queued as usize, count(Fate::Waiting));
+        let count = |wanted| {
+            self.states
+                .values()
+                .filter(|&&state| state == wanted)
+                .count()
+        };
+        assert_eq!(load.in_flight as usize, count(CallState::Executing));
+        assert_eq!(load.queued as usize, count(CallState::Waiting));
     }
 }
 
--- a/crates/core/tests/admission_decisions.rs
+++ b/crates/core/tests/admission_decisions.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the admission controller, fault cases in tables.
+//! Single decisions of the admission controller, with fault cases in tables.
 
 use std::time::Duration;
 
@@ -45,11 +45,12 @@
 }
 
 #[test]
-fn each_refusal_has_its_code_and_says_not_run() {
-    let far = millis(60_000);
-    // One slot is taken by ticket 0. What is done then, and who is refused with which code.
-    type Act = fn(&mut AdmissionController, Timestamp) -> Vec<AdmissionEffect>;
-    let cases: [(&str, Act, (u64, ResultCode)); 6] = [
+fn each_refusal_has_its_code_and_outcome_not_run() {
+    let distant = millis(60_000);
+    // Ticket 0 occupies the only slot. Each case: name, inputs that follow, refused ticket and its
+    // code.
+    type Inputs = fn(&mut AdmissionController, Timestamp) -> Vec<AdmissionEffect>;
+    let cases: [(&str, Inputs, (u64, ResultCode)); 6] = [
         (
             "the deadline has passed",
             |controller, _| controller.offer(millis(5), call(1, 2, millis(5))),
@@ -57,30 +58,30 @@
         ),
         (
             "the queue holds more important calls",
-            |controller, far| {
-                controller.offer(millis(1), call(1, 1, far));
-                controller.offer(millis(1), call(2, 2, far))
+            |controller, distant| {
+                controller.offer(millis(1), call(1, 1, distant));
+                controller.offer(millis(1), call(2, 2, distant))
             },
             (2, ResultCode::RefusedQueueFull),
         ),
         (
             "a more important call arrives",
-            |controller, far| {
-                controller.offer(millis(1), call(1, 2, far));
-                controller.offer(millis(1), call(2, 1, far))
+            |controller, distant| {
+                controller.offer(millis(1), call(1, 2, distant));
+                controller.offer(millis(1), call(2, 1, distant))
             },
             (1, ResultCode::DisplacedFromQueue),
         ),
         (
             "the wait is too long",
-            |controller, far| {
-                controller.offer(millis(1), call(1, 2, far));
+            |controller, distant| {
+                controller.offer(millis(1), call(1, 2, distant));
                 controller.advance(millis(51))
             },
             (1, ResultCode::QueueTimeout),
         ),
         (
-            "the deadline comes in the queue",
+            "the deadline passes in the queue",
             |controller, _| {
                 controller.offer(millis(1), call(1, 2, millis(20)));
                 controller.advance(millis(20))
@@ -88,19 +89,19 @@
             (1, ResultCode::DeadlineUnreachable),
         ),
         (
-            "the back end leaves",
-            |controller, far| {
+            "the backend is leaving",
+            |controller, distant| {
                 controller.begin_drain(millis(1));
-                controller.offer(millis(2), call(1, 0, far))
+                controller.offer(millis(2), call(1, 0, distant))
             },
             (1, ResultCode::Draining),
         ),
     ];
-    for (name, act, expected) in cases {
+    for (name, inputs, expected) in cases {
         let mut controller = controller(1, 1);
-        let first = controller.offer(Timestamp::ZERO, call(0, 0, far));
+        let first = controller.offer(Timestamp::ZERO, call(0, 0, distant));
         assert_eq!(first, [AdmissionEffect::Dispatch(CallTicket(0))], "{name}");
-        let refused = refusals(&act(&mut controller, far));
+        let refused = refusals(&inputs(&mut controller, distant));
         assert_eq!(refused, [expected], "{name}");
         assert_eq!(expected.1.outcome(), OutcomeClass::NotRun, "{name}");
     }
@@ -123,8 +124,8 @@
 }
 
 #[test]
-fn time_in_deeper_calls_does_not_shrink_the_limit() {
-    for (deeper, shrinks) in [(true, false), (false, true)] {
+fn time_in_downstream_calls_does_not_shrink_the_limit() {
+    for (downstream, shrinks) in [(true, false), (false, true)] {
         let settings = AdmissionSettings {
             algorithm: LimitAlgorithm::Aimd,
             initial_limit: 16,
@@ -135,36 +136,40 @@
         let mut shrank = false;
         for round in 0..400_u64 {
             // The first calls take 10 ms, the later ones 50 ms.
-            let long = round > 100;
+            let slow = round > 100;
             let start = millis(round * 60);
             let ticket = CallTicket(round);
             controller.offer(start, call(round, 2, start + Duration::from_secs(10)));
-            if long && deeper {
+            if slow && downstream {
                 controller.downstream_started(start + Duration::from_millis(10), ticket);
                 controller.downstream_ended(start + Duration::from_millis(50), ticket);
             }
-            let latency = if long { 50 } else { 10 };
+            let latency = if slow { 50 } else { 10 };
             let end = start + Duration::from_millis(latency);
             controller.complete(end, ticket, Completion::Succeeded);
             shrank |= controller.load().limit < last;
             last = controller.load().limit;
         }
-        assert_eq!(shrank, shrinks, "waiting for deeper calls: {deeper}");
+        assert_eq!(
+            shrank, shrinks,
+            "waiting for downstream calls: {downstream}"
+        );
     }
 }
 
-/// Offers two priorities at a rate above capacity for a second of virtual time. Each call runs for
-/// ten milliseconds in one of four slots, so 400 calls fit. Returns how many were refused of each.
+/// Offers calls of two priorities at the given rates for one second of simulated time. Each call
+/// runs for ten milliseconds in one of four slots, which gives a capacity of 400 calls. Returns the
+/// number of refused calls of each priority.
 fn overload(calls_per_second: [u64; 2]) -> ([u64; 2], AdmissionController) {
     let mut controller = controller(4, 64);
     let mut refused = [0; 2];
     let mut priorities = std::collections::BTreeMap::new();
-    let mut ends: std::collections::VecDeque<(Timestamp, CallTicket)> = Default::default();
+    let mut running: std::collections::VecDeque<(Timestamp, CallTicket)> = Default::default();
     let mut tickets = 0;
     for tick in 0..1_000_u64 {
         let now = millis(tick);
         let mut effects = controller.advance(now);
-        while let Some((_, ticket)) = ends.pop_front_if(|(end, _)| *end <= now) {
+        while let Some((_, ticket)) = running.pop_front_if(|(end, _)| *end <= now) {
             effects.extend(controller.complete(now, ticket, Completion::Succeeded));
         }
         for (index, rate) in calls_per_second.into_iter().enumerate() {
@@ -179,7 +184,7 @@
         for effect in effects {
             match effect {
                 AdmissionEffect::Dispatch(ticket) => {
-                    ends.push_back((now + Duration::from_millis(10), ticket));
+                    running.push_back((now + Duration::from_millis(10), ticket));
                 }
                 AdmissionEffect::Refuse { ticket, .. } => refused[priorities[&ticket.0]] += 1,
             }
@@ -189,7 +194,7 @@
 }
 
 #[test]
-fn the_less_important_are_refused_first() {
+fn less_important_calls_are_refused_first() {
     for (rates, important_refused) in [([200, 200], false), ([300, 900], false), ([900, 300], true)]
     {
         let (refused, controller) = overload(rates);
@@ -209,7 +214,7 @@
 }
 
 #[test]
-fn the_level_reopens_within_a_second_after_the_load() {
+fn the_level_reopens_within_a_second_after_overload() {
     let (_, mut controller) = overload([900, 900]);
     assert!(controller.level() < AdmissionLevel::OPEN);
     for tick in 1_000..2_000 {
@@ -222,13 +227,13 @@
     assert_eq!(
         controller.next_wakeup(),
         None,
-        "an idle controller wants no wakeup"
+        "an idle controller needs no wakeup"
     );
 }
 
 proptest! {
     #[test]
-    fn what_is_refused_by_level_is_less_important_than_what_is_admitted(
+    fn calls_refused_by_level_are_less_important_than_admitted_ones(
         rates in (0_u64..1_000, 0_u64..1_000),
     ) {
         let (_, controller) = overload([rates.0, rates.1]);
--- a/crates/core/tests/admission_limit.rs
+++ b/crates/core/tests/admission_limit.rs
@@ -1,4 +1,4 @@
-//! Adaptive limits under steady, rising and failing back ends.
+//! Adaptive limits with steady, slowing and failing backends.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     LimitAlgorithm::QueueDelay,
 ];
 
-/// Feeds one second of samples with a latency that follows from the limit.
+/// Feeds one second of samples whose latency is a function of the limit.
 fn feed(limit: &mut Limit, start: Timestamp, latency: impl Fn(u32) -> Duration, failed: bool) {
     for step in 0..2_000 {
         let now = start + Duration::from_micros(step * 500);
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn limits_follow_the_back_end() {
+fn limits_adapt_to_backend_latency() {
     let flat = |_: u32| Duration::from_millis(10);
     let slower = |_: u32| Duration::from_millis(40);
-    // Algorithm, whether it grows at flat latency in use, whether it shrinks on a jump.
+    // Algorithm, whether it grows at constant latency while in use, whether it shrinks on a jump.
     let cases = [
         (LimitAlgorithm::Fixed, false, false),
         (LimitAlgorithm::Aimd, true, true),
@@ -73,7 +73,7 @@
 
 proptest! {
     #[test]
-    fn no_sample_drives_a_limit_out_of_its_bounds(
+    fn limits_stay_within_bounds_for_any_samples(
         samples in prop::collection::vec((0_u64..5_000_000, 0_u32..100, any::<bool>()), 1..2_000),
     ) {
         for algorithm in ALGORITHMS {
--- a/crates/core/tests/admission_path.rs
+++ b/crates/core/tests/admission_path.rs
@@ -1,4 +1,5 @@
-//! Levels reported by callees: per kind, the middle one of the fresh ones, reopening with time.
+//! Levels received from callees: kept per request kind, median of the fresh levels, reopening with
+//! time.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn a_level_counts_for_its_service_and_kind_only() {
+fn a_level_applies_only_to_its_service_and_request_kind() {
     let mut levels = PathLevels::new();
     levels.observe(NOW, "record", "export", AdmissionLevel::CLOSED);
     let cases = [
@@ -32,13 +33,13 @@
     }
 }
 
-/// One endpoint that reports no shortage, or one that is cut off, must not decide for all.
+/// Guards against one endpoint deciding for all, be it an unloaded one or a partitioned one.
 #[test]
-fn the_middle_one_of_the_fresh_endpoints_decides() {
+fn the_median_of_fresh_levels_applies() {
     let closed = AdmissionLevel::CLOSED;
     let open = AdmissionLevel::OPEN;
     let stale = NOW + Duration::from_millis(150);
-    // What three back ends reported, when the third one did, and the level then.
+    // Levels reported by three backends, time of the third report, resulting level at that time.
     let cases = [
         ([closed, HALF, open], NOW, HALF),
         ([open, closed, HALF], NOW, HALF),
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_level_that_is_not_heard_again_reopens_step_by_step() {
+fn a_level_that_is_not_received_again_reopens_gradually() {
     let mut levels = PathLevels::new();
     levels.observe(NOW, "record", "book", AdmissionLevel::CLOSED);
     let mut last = AdmissionLevel::CLOSED;
@@ -68,27 +69,27 @@
 }
 
 #[test]
-fn refusals_follow_priority_and_carry_spread_advice() {
+fn refusals_follow_priority_and_carry_retry_after_with_jitter() {
     let mut levels = PathLevels::new();
     levels.observe(NOW, "record", "book", HALF);
-    let mut advice = Vec::new();
+    let mut retry_afters = Vec::new();
     for priority in 0..8 {
         let admitted = levels.admits(NOW, "record", "book", key(priority));
         assert_eq!(admitted.is_ok(), priority < 4, "priority {priority}");
-        advice.extend(admitted.err().map(|refusal| refusal.retry_after));
+        retry_afters.extend(admitted.err().map(|refusal| refusal.retry_after));
     }
     assert!(
-        advice
+        retry_afters
             .iter()
             .all(|after| *after >= Duration::from_millis(200))
     );
-    advice.dedup();
-    assert_eq!(advice.len(), 4, "the advice is spread");
+    retry_afters.dedup();
+    assert_eq!(retry_afters.len(), 4, "Retry-After has jitter");
 }
 
-/// What an answer says about the path below the back end that gave it.
+/// Derives the level of the path below a backend from the levels in the backend's response.
 #[test]
-fn the_level_below_is_known_unless_the_back_end_hides_it() {
+fn the_level_below_is_known_unless_the_backend_is_strictest() {
     let open = AdmissionLevel::OPEN;
     let level = AdmissionLevel::new;
     let cases = [
--- a/crates/core/tests/admission_queue.rs
+++ b/crates/core/tests/admission_queue.rs
@@ -50,17 +50,17 @@
     }
 }
 
-/// The queue beside the set of calls that must be in it.
-struct Checked {
+/// The queue together with the set of calls that it must contain.
+struct CheckedQueue {
     discipline: QueueDiscipline,
     queue: WaitQueue,
-    inside: BTreeSet<(AdmissionKey, u64)>,
+    expected: BTreeSet<(AdmissionKey, u64)>,
     now: Timestamp,
     next_ticket: u64,
     capacity: usize,
 }
 
-impl Checked {
+impl CheckedQueue {
     fn apply(&mut self, operation: Operation) {
         match operation {
             Operation::Push {
@@ -73,7 +73,7 @@
             Operation::Expire { after } => self.expire(after),
             Operation::Shrink { capacity } => self.shrink(capacity),
         }
-        assert_eq!(self.queue.len(), self.inside.len());
+        assert_eq!(self.queue.len(), self.expected.len());
         assert!(self.queue.len() <= self.capacity);
     }
 
@@ -84,50 +84,53 @@
     fn push(&mut self, priority: u8, rank: u16, wait: u64) {
         let call = offered(self.next_ticket, priority, rank);
         self.next_ticket += 1;
-        let full = self.inside.len() >= self.capacity;
+        let full = self.expected.len() >= self.capacity;
         let expires = self.now + Duration::from_micros(wait);
         match self.queue.push(self.now, call, expires) {
             PushResult::Queued => assert!(!full),
             PushResult::Displaced(waiting) => {
                 assert!(full);
                 if self.by_priority() {
-                    let last = self.inside.last().map(|&(key, _)| key);
+                    let last = self.expected.last().map(|&(key, _)| key);
                     assert!(
                         waiting.call.key > call.key,
-                        "only the less important gives way"
+                        "only a less important call is displaced"
                     );
                     assert_eq!(
                         Some(waiting.call.key),
                         last,
-                        "the least important gives way"
+                        "the least important call is displaced"
                     );
                 }
                 self.take(waiting.call);
             }
             PushResult::Full => {
                 assert!(full);
-                let least = !self.inside.iter().any(|&(key, _)| key > call.key);
+                let least = !self.expected.iter().any(|&(key, _)| key > call.key);
                 assert!(least || !self.by_priority());
                 return;
             }
         }
-        self.inside.insert((call.key, call.ticket.0));
+        self.expected.insert((call.key, call.ticket.0));
     }
 
     fn pop(&mut self) {
         let Some(waiting) = self.queue.pop() else {
-            assert!(self.inside.is_empty());
+            assert!(self.expected.is_empty());
             return;
         };
         if self.by_priority() {
-            let first = self.inside.first().copied();
+            let first = self.expected.first().copied();
             assert_eq!(first, Some((waiting.call.key, waiting.call.ticket.0)));
         }
         self.take(waiting.call);
     }
 
     fn remove(&mut self, ticket: u64) {
-        let expected = self.inside.iter().any(|&(_, inside)| inside == ticket);
+        let expected = self
+            .expected
+            .iter()
+            .any(|&(_, expected)| expected == ticket);
         let removed = self.queue.remove(CallTicket(ticket));
         assert_eq!(removed.is_some(), expected);
         if let Some(waiting) = removed {
@@ -152,28 +155,28 @@
         self.capacity = capacity;
     }
 
-    /// A call leaves exactly once.
+    /// Checks that a call leaves the queue exactly once.
     fn take(&mut self, call: OfferedCall) {
-        assert!(self.inside.remove(&(call.key, call.ticket.0)));
+        assert!(self.expected.remove(&(call.key, call.ticket.0)));
     }
 }
 
 proptest! {
     #[test]
-    fn order_bound_and_displacement_hold(
+    fn order_capacity_and_displacement_hold(
         discipline in discipline(),
         operations in prop::collection::vec(operation(), 1..200),
     ) {
-        let mut checked = Checked {
+        let mut queue_under_test = CheckedQueue {
             discipline,
             queue: WaitQueue::new(discipline, CAPACITY),
-            inside: BTreeSet::new(),
+            expected: BTreeSet::new(),
             now: Timestamp::ZERO,
             next_ticket: 0,
             capacity: CAPACITY,
         };
         for operation in operations {
-            checked.apply(operation);
+            queue_under_test.apply(operation);
         }
     }
 }
--- a/crates/core/tests/admission_trees.rs
+++ b/crates/core/tests/admission_trees.rs
@@ -1,5 +1,6 @@
-//! A gate at the end of call trees, and the edges that follow its level with a delay: what the edges admit is
-//! carried to its end, and requests that come to the gate directly get their part.
+//! An admission gate at the end of call trees, behind edges that apply its level with a delay.
+//! Trees that an edge admits must complete, and requests sent directly to the gate must get their
+//! share.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,28 +15,28 @@
 use wharfquay_core::time::Timestamp;
 
 const SLOTS: u32 = 18;
-/// Time in execution of a call, in milliseconds.
-const WORK: u64 = 22;
-/// Calls of a tree at the gate, one after the other.
+/// Execution time of a call, in milliseconds.
+const EXECUTION: u64 = 22;
+/// Sequential calls of a tree at the gate.
 const CALLS: u8 = 4;
 /// Time between the edge's decision and the first call at the gate, in milliseconds.
-const UPSTREAM: u64 = 200;
-/// Age of the level that edges know, in milliseconds.
+const UPSTREAM_DELAY: u64 = 200;
+/// Age of the level that the edges apply, in milliseconds.
 const LEVEL_AGE: u64 = 60;
-/// Milliseconds that are played, and those that don't count at the start.
-const PLAYED: u64 = 20_000;
-const SETTLING: u64 = 3_000;
-const PATIENCE_IN_PROGRESS: Duration = Duration::from_millis(400);
-const PATIENCE_NEW: Duration = Duration::from_millis(100);
+/// Simulated time, and the initial part that is not evaluated, in milliseconds.
+const DURATION: u64 = 20_000;
+const WARM_UP: u64 = 3_000;
+const MAX_WAIT_IN_PROGRESS: Duration = Duration::from_millis(400);
+const MAX_WAIT_NEW: Duration = Duration::from_millis(100);
 
-/// A request on its way.
+/// A request in flight.
 #[derive(Clone, Copy)]
 struct Request {
     key: AdmissionKey,
     admitted_below: AdmissionLevel,
     calls_left: u8,
     is_tree: bool,
-    counts: bool,
+    is_counted: bool,
 }
 
 #[derive(Default)]
@@ -45,7 +46,7 @@
     served: u32,
 }
 
-struct World {
+struct Simulation {
     gate: AdmissionController,
     requests: BTreeMap<u64, Request>,
     running: VecDeque<(u64, u64)>,
@@ -55,7 +56,7 @@
     direct: Counts,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let settings = AdmissionSettings {
             initial_limit: SLOTS,
@@ -82,35 +83,35 @@
         }
     }
 
-    /// A request comes to an edge.
-    fn come(&mut self, now: u64, number: u64, is_tree: bool) {
+    /// Decides on a request that arrives at an edge.
+    fn arrive(&mut self, now: u64, number: u64, is_tree: bool) {
         let rank = Rank::of(OriginId::from_u128(u128::from(number) << 17));
         let key = AdmissionKey::new(Priority::new(2).unwrap(), rank);
-        let known = self.levels.front().copied().unwrap_or(AdmissionLevel::OPEN);
-        let counts = now >= SETTLING;
-        self.counts(is_tree).offered += u32::from(counts);
-        if !known.admits(key) {
+        let edge_level = self.levels.front().copied().unwrap_or(AdmissionLevel::OPEN);
+        let is_counted = now >= WARM_UP;
+        self.counts(is_tree).offered += u32::from(is_counted);
+        if !edge_level.admits(key) {
             return;
         }
-        self.counts(is_tree).admitted += u32::from(counts);
+        self.counts(is_tree).admitted += u32::from(is_counted);
         let request = Request {
             key,
-            admitted_below: known,
+            admitted_below: edge_level,
             calls_left: if is_tree { CALLS } else { 1 },
             is_tree,
-            counts,
+            is_counted,
         };
         self.requests.insert(number, request);
-        let delay = if is_tree { UPSTREAM } else { 1 };
+        let delay = if is_tree { UPSTREAM_DELAY } else { 1 };
         self.arriving.push_back((now + delay, number));
     }
 
     fn call(&mut self, now: u64, number: u64) {
         let request = self.requests[&number];
-        let (standing, patience) = if request.is_tree {
-            (Standing::InProgress, PATIENCE_IN_PROGRESS)
+        let (standing, max_wait) = if request.is_tree {
+            (Standing::InProgress, MAX_WAIT_IN_PROGRESS)
         } else {
-            (Standing::New, PATIENCE_NEW)
+            (Standing::New, MAX_WAIT_NEW)
         };
         let call = OfferedCall {
             ticket: CallTicket(number * 8 + u64::from(request.calls_left)),
@@ -120,14 +121,16 @@
             admitted_below: request.admitted_below,
         };
         let at = Timestamp::from_millis(now);
-        let effects = self.gate.offer_within(at, call, patience);
-        self.carry_out(now, effects);
+        let effects = self.gate.offer_within(at, call, max_wait);
+        self.apply_effects(now, effects);
     }
 
-    fn carry_out(&mut self, now: u64, effects: Vec<AdmissionEffect>) {
+    fn apply_effects(&mut self, now: u64, effects: Vec<AdmissionEffect>) {
         for effect in effects {
             match effect {
-                AdmissionEffect::Dispatch(ticket) => self.running.push_back((now + WORK, ticket.0)),
+                AdmissionEffect::Dispatch(ticket) => {
+                    self.running.push_back((now + EXECUTION, ticket.0))
+                }
                 AdmissionEffect::Refuse { ticket, code, .. } => {
                     assert_ne!(code, ResultCode::Draining);
                     self.requests.remove(&(ticket.0 / 8));
@@ -136,7 +139,7 @@
         }
     }
 
-    fn end_executions(&mut self, now: u64) {
+    fn complete_executions(&mut self, now: u64) {
         while let Some(&(end, ticket)) = self.running.front()
             && end <= now
         {
@@ -145,12 +148,12 @@
             let effects = self
                 .gate
                 .complete(at, CallTicket(ticket), Completion::Succeeded);
-            self.carry_out(now, effects);
-            self.end_call(now, ticket / 8);
+            self.apply_effects(now, effects);
+            self.complete_call(now, ticket / 8);
         }
     }
 
-    fn end_call(&mut self, now: u64, number: u64) {
+    fn complete_call(&mut self, now: u64, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -161,13 +164,13 @@
         }
         let request = *request;
         self.requests.remove(&number);
-        self.counts(request.is_tree).served += u32::from(request.counts);
+        self.counts(request.is_tree).served += u32::from(request.is_counted);
     }
 
     fn step(&mut self, now: u64) {
-        self.end_executions(now);
+        self.complete_executions(now);
         let effects = self.gate.advance(Timestamp::from_millis(now));
-        self.carry_out(now, effects);
+        self.apply_effects(now, effects);
         let due: Vec<u64> = self
             .arriving
             .iter()
@@ -185,31 +188,32 @@
     }
 }
 
-/// Plays trees that ask for `overload` times what the gate can do, and a tenth as many direct requests.
-fn play(overload: f64) -> World {
-    let mut world = World::new();
-    let capacity = f64::from(SLOTS) / WORK as f64 / f64::from(CALLS);
+/// Simulates trees that request `overload` times the capacity of the gate, and a tenth as many
+/// direct requests.
+fn simulate(overload: f64) -> Simulation {
+    let mut simulation = Simulation::new();
+    let capacity = f64::from(SLOTS) / EXECUTION as f64 / f64::from(CALLS);
     let (mut due, mut number) = (0.0, 0);
-    for now in 0..PLAYED {
-        world.step(now);
+    for now in 0..DURATION {
+        simulation.step(now);
         due += capacity * overload;
         while due >= 1.0 {
             due -= 1.0;
             number += 1;
-            world.come(now, number, true);
+            simulation.arrive(now, number, true);
             if number % 10 == 0 {
-                world.come(now, 10_000_000 + number, false);
+                simulation.arrive(now, 10_000_000 + number, false);
             }
         }
     }
-    world
+    simulation
 }
 
 #[test]
-fn trees_that_an_edge_admits_are_served_under_lasting_overload() {
+fn trees_admitted_by_an_edge_are_served_under_sustained_overload() {
     for overload in [1.5, 2.0, 3.0, 6.0] {
-        let world = play(overload);
-        let trees = &world.trees;
+        let simulation = simulate(overload);
+        let trees = &simulation.trees;
         let wasted = 1.0 - f64::from(trees.served) / f64::from(trees.admitted);
         assert!(
             wasted < 0.25,
@@ -225,11 +229,11 @@
 }
 
 #[test]
-fn direct_requests_get_their_part_beside_trees() {
+fn direct_requests_get_a_fair_share_beside_trees() {
     for overload in [1.5, 2.0, 3.0] {
-        let world = play(overload);
+        let simulation = simulate(overload);
         let share = |counts: &Counts| f64::from(counts.served) / f64::from(counts.offered);
-        let (trees, direct) = (share(&world.trees), share(&world.direct));
+        let (trees, direct) = (share(&simulation.trees), share(&simulation.direct));
         assert!(
             direct > trees * 0.5,
             "overload {overload}: {direct:.2} of the direct requests beside {trees:.2} of the trees"
--- a/crates/core/tests/common_level.rs
+++ b/crates/core/tests/common_level.rs
@@ -1,9 +1,10 @@
-//! The level of a service is what its back ends together have room for.
+//! The level of a service reflects the capacity of all its backends together.
 
 use wharfquay_core::priority::{AdmissionLevel, Rank};
 
-/// The level that cuts a priority to a share of its ranks, given in hundredths.
-fn cut(priority: u16, hundredths: u16) -> u16 {
+/// Returns the level that admits a share of a priority's ranks, in hundredths, and all higher
+/// priorities.
+fn level_within(priority: u16, hundredths: u16) -> u16 {
     priority * Rank::COUNT + Rank::COUNT / 100 * hundredths
 }
 
@@ -14,24 +15,37 @@
 const OPEN: u16 = AdmissionLevel::OPEN.number();
 
 #[test]
-fn the_mean_decides_where_all_cut_the_same_priority() {
-    assert_eq!(common(&[cut(2, 10), cut(2, 20), cut(2, 60)]), cut(2, 30));
+fn the_mean_applies_if_all_refuse_within_the_same_priority() {
+    assert_eq!(
+        common(&[
+            level_within(2, 10),
+            level_within(2, 20),
+            level_within(2, 60)
+        ]),
+        level_within(2, 30)
+    );
 }
 
 #[test]
-fn one_back_end_with_room_opens_no_more_than_its_own_share() {
-    let level = common(&[cut(2, 0), cut(2, 0), cut(2, 0), cut(2, 0), OPEN]);
+fn one_open_backend_opens_no_more_than_its_share() {
+    let level = common(&[
+        level_within(2, 0),
+        level_within(2, 0),
+        level_within(2, 0),
+        level_within(2, 0),
+        OPEN,
+    ]);
     assert_eq!(level, 2 * Rank::COUNT + Rank::COUNT / 5);
 }
 
 #[test]
-fn one_back_end_that_is_shut_cuts_less_than_its_own_share() {
+fn one_closed_backend_lowers_the_level_by_its_share() {
     let level = common(&[0, OPEN, OPEN, OPEN, OPEN]);
     assert_eq!(u32::from(level), u32::from(OPEN) * 4 / 5);
 }
 
 #[test]
-fn a_service_without_back_ends_and_one_without_cuts_are_open() {
+fn a_service_without_backends_or_refusals_is_open() {
     assert_eq!(common(&[]), OPEN);
     assert_eq!(common(&[OPEN, OPEN]), OPEN);
 }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! A configuration is never taken to be newer than it is, whatever is delayed, lost or repeated.
+//! A configuration is never considered newer than it is, under delay, loss and duplication.
 
 use proptest::prelude::*;
 use wharfquay_core::freshness::Freshness;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_confirmation_of_a_later_version_counts_once_that_is_in_force() {
+fn a_confirmation_of_a_later_version_applies_once_it_is_in_force() {
     let mut freshness = Freshness::default();
     assert_eq!(freshness.confirmed_at(3), None);
     freshness.confirm(3, at(10), 3);
@@ -19,25 +19,26 @@
 }
 
 #[test]
-fn a_late_confirmation_takes_nothing_back() {
+fn an_older_confirmation_changes_nothing() {
     let mut freshness = Freshness::default();
     freshness.confirm(3, at(30), 3);
     freshness.confirm(2, at(10), 3);
     assert_eq!(freshness.confirmed_at(3), Some(at(30)));
 }
 
-/// One step of a deployment in which each process has a clock of its own.
+/// One step of a deployment in which each process has its own clock.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The operator puts a version in force.
+    /// The operator publishes a version.
     Publish,
-    /// A process asks the store; the store answers after the first delay, the answer arrives after the second.
+    /// A process queries the store, which replies after the first delay; the reply arrives after
+    /// the second.
     Read(usize, u64, u64),
-    /// A process asks another one, likewise.
-    Ask(usize, usize, u64, u64),
-    /// A process takes over the newest version, or one that is behind by so much.
+    /// A process queries another process, with the same two delays.
+    Query(usize, usize, u64, u64),
+    /// A process adopts the newest version, or one that is this many versions older.
     Adopt(usize, u64),
-    /// A process loses its memory.
+    /// A process restarts and loses its state.
     Restart(usize),
     Pass(u64),
 }
@@ -50,10 +51,14 @@
     let step = prop_oneof![
         1 => Just(Step::Publish),
         2 => (process.clone(), delay.clone(), delay.clone())
-            .prop_map(|(who, there, back)| Step::Read(who, there, back)),
+            .prop_map(|(requester, request_delay, reply_delay)| {
+                Step::Read(requester, request_delay, reply_delay)
+            }),
         4 => (process.clone(), process.clone(), delay.clone(), delay.clone())
-            .prop_map(|(who, whom, there, back)| Step::Ask(who, whom, there, back)),
-        3 => (process.clone(), 0_u64..3).prop_map(|(who, behind)| Step::Adopt(who, behind)),
+            .prop_map(|(requester, responder, request_delay, reply_delay)| {
+                Step::Query(requester, responder, request_delay, reply_delay)
+            }),
+        3 => (process.clone(), 0_u64..3).prop_map(|(process, behind)| Step::Adopt(process, behind)),
         1 => process.prop_map(Step::Restart),
         6 => (1_u64..1_500).prop_map(Step::Pass),
     ];
@@ -64,46 +69,47 @@
 struct Process {
     freshness: Freshness,
     in_force: u64,
-    life: u32,
+    incarnation: u32,
 }
 
-/// A message under way: a question until it is answered, then an answer.
+/// A message in flight: first a request, then the reply to it.
 #[derive(Clone, Copy, Debug)]
-struct Question {
-    asker: usize,
-    life: u32,
-    asked_at: u64,
-    answerer: Option<usize>,
-    answered_at: u64,
+struct Message {
+    requester: usize,
+    incarnation: u32,
+    sent_at: u64,
+    responder: Option<usize>,
+    replied_at: u64,
     arrives_at: u64,
 }
 
-/// Offset of a process's clock: no two can be compared.
+/// Returns the time on a process's clock. Each clock has a different offset, so no two can be
+/// compared.
 fn clock(process: usize, now: u64) -> Timestamp {
     at(now + 100_000 * process as u64)
 }
 
 proptest! {
     #[test]
-    fn what_is_confirmed_was_the_newest_then(steps in steps()) {
+    fn a_confirmed_version_was_the_newest_at_that_time(steps in steps()) {
         let mut now = 10_000;
         let mut published = vec![(0, 1_u64)];
         let mut processes = [Process { in_force: 1, ..Process::default() }; PROCESSES];
-        let mut questions: Vec<Question> = Vec::new();
-        let mut answers: Vec<(Question, u64, Timestamp)> = Vec::new();
+        let mut requests: Vec<Message> = Vec::new();
+        let mut replies: Vec<(Message, u64, Timestamp)> = Vec::new();
         for step in steps {
             match step {
                 Step::Publish => {
                     let version = published.last().unwrap().1 + 1;
                     published.push((now, version));
                 }
-                Step::Read(asker, there, back) => questions.push(Question {
-                    asker, life: processes[asker].life, asked_at: now, answerer: None,
-                    answered_at: now + there, arrives_at: now + there + back,
+                Step::Read(requester, request_delay, reply_delay) => requests.push(Message {
+                    requester, incarnation: processes[requester].incarnation, sent_at: now, responder: None,
+                    replied_at: now + request_delay, arrives_at: now + request_delay + reply_delay,
                 }),
-                Step::Ask(asker, answerer, there, back) => questions.push(Question {
-                    asker, life: processes[asker].life, asked_at: now, answerer: Some(answerer),
-                    answered_at: now + there, arrives_at: now + there + back,
+                Step::Query(requester, responder, request_delay, reply_delay) => requests.push(Message {
+                    requester, incarnation: processes[requester].incarnation, sent_at: now, responder: Some(responder),
+                    replied_at: now + request_delay, arrives_at: now + request_delay + reply_delay,
                 }),
                 Step::Adopt(process, behind) => {
                     let version = published.last().unwrap().1.saturating_sub(behind).max(1);
@@ -111,32 +117,32 @@
                     process.in_force = process.in_force.max(version);
                 }
                 Step::Restart(process) => {
-                    let life = processes[process].life + 1;
-                    processes[process] = Process { in_force: 1, life, ..Process::default() };
+                    let incarnation = processes[process].incarnation + 1;
+                    processes[process] = Process { in_force: 1, incarnation, ..Process::default() };
                 }
                 Step::Pass(millis) => now += millis,
             }
             let newest = published.last().unwrap().1;
-            let due: Vec<Question> = questions.iter().copied().filter(|q| q.answered_at <= now).collect();
-            questions.retain(|question| question.answered_at > now);
-            for question in due {
-                let asked_at = clock(question.asker, question.asked_at);
-                match question.answerer {
-                    None => answers.push((question, newest, asked_at)),
-                    Some(answerer) => {
-                        let process = &mut processes[answerer];
+            let due: Vec<Message> = requests.iter().copied().filter(|q| q.replied_at <= now).collect();
+            requests.retain(|request| request.replied_at > now);
+            for request in due {
+                let sent_at = clock(request.requester, request.sent_at);
+                match request.responder {
+                    None => replies.push((request, newest, sent_at)),
+                    Some(responder) => {
+                        let process = &mut processes[responder];
                         if let Some(confirmed) = process.freshness.confirmed_at(process.in_force) {
-                            let age = clock(answerer, now).saturating_since(confirmed);
-                            answers.push((question, process.in_force, asked_at - age));
+                            let age = clock(responder, now).saturating_since(confirmed);
+                            replies.push((request, process.in_force, sent_at - age));
                         }
                     }
                 }
             }
-            let arrived: Vec<_> = answers.iter().copied().filter(|(q, ..)| q.arrives_at <= now).collect();
-            answers.retain(|(question, ..)| question.arrives_at > now);
-            for (question, version, confirmed_at) in arrived {
-                let process = &mut processes[question.asker];
-                if process.life == question.life {
+            let arrived: Vec<_> = replies.iter().copied().filter(|(q, ..)| q.arrives_at <= now).collect();
+            replies.retain(|(request, ..)| request.arrives_at > now);
+            for (request, version, confirmed_at) in arrived {
+                let process = &mut processes[request.requester];
+                if process.incarnation == request.incarnation {
                     process.freshness.confirm(version, confirmed_at, process.in_force);
                 }
             }
--- a/crates/core/tests/idempotency_cases.rs
+++ b/crates/core/tests/idempotency_cases.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the claim protocol, fault by fault.
+//! Single decisions of the claim protocol, by fault.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 const SKEW: u64 = 400;
 const RETENTION: u64 = 6_000;
 const START: u64 = 100_000;
-/// A time at which a replica that started at [`START`] votes on keys minted now.
+/// A time at which a replica that started at [`START`] votes on keys created then.
 const READY: u64 = START + 10 * SKEW;
 const REQUEST: Fingerprint = Fingerprint::from_u128(1);
 const OTHER_REQUEST: Fingerprint = Fingerprint::from_u128(2);
@@ -50,9 +50,9 @@
     group(1, &["a", "b", "c"], Predecessor::None)
 }
 
-fn replacing(epoch: u64, members: &[&str], before: &[&str]) -> Group {
-    let before = before.iter().copied().map(ReplicaId::new).collect();
-    group(epoch, members, Predecessor::Members(before))
+fn replacing(epoch: u64, members: &[&str], previous: &[&str]) -> Group {
+    let previous = previous.iter().copied().map(ReplicaId::new).collect();
+    group(epoch, members, Predecessor::Members(previous))
 }
 
 fn replica(id: &str, started: u64, group: Group) -> Replica {
@@ -70,7 +70,7 @@
 fn claim(replica: &mut Replica, wall: u64, claim: &Claim) -> Vote {
     let reply = replica.handle(UnixMillis::new(wall), ReplicaRequest::Claim(*claim));
     let ReplicaReply::Vote(VoteReply { vote, .. }) = reply else {
-        panic!("a claim is answered by a vote");
+        panic!("the reply to a claim is a vote");
     };
     vote
 }
@@ -149,13 +149,14 @@
     }
 }
 
-/// The vote was given by a machine whose clock leads by the skew, on a key that leads by another.
+/// The vote was granted on a machine whose clock is ahead by the skew, on a key that is ahead of
+/// that clock by another skew.
 #[test]
-fn a_successor_with_a_slower_clock_abstains_on_what_was_voted() {
+fn a_restarted_replica_with_a_slower_clock_abstains_on_earlier_votes() {
     let restart = READY;
     let key = key_minted_at(restart + 2 * SKEW);
-    let mut before = replica("a", START, first_group());
-    let vote = claim(&mut before, restart + SKEW, &claim_on(key, 1));
+    let mut previous = replica("a", START, first_group());
+    let vote = claim(&mut previous, restart + SKEW, &claim_on(key, 1));
     assert_eq!(vote, Vote::Granted);
     let mut successor = replica("a", restart, first_group());
     for wall in [restart + SKEW, restart + 2 * SKEW, restart + 3 * SKEW] {
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn a_replica_gives_a_key_to_one_claim() {
+fn a_replica_votes_for_one_claim_per_key() {
     let key = key_minted_at(READY);
     let mut replica = replica("a", START, first_group());
     assert_eq!(claim(&mut replica, READY, &claim_on(key, 1)), Vote::Granted);
@@ -189,11 +190,15 @@
     assert_eq!(
         claim(&mut replica, READY, &claim_on(key, 3)),
         held(true),
-        "another's withdrawal"
+        "withdrawal of another claim"
     );
     abandon(&mut replica, key, 1);
-    let late = claim(&mut replica, READY, &claim_on(key, 1));
-    assert_eq!(late, Vote::Abstained(Abstention::Abandoned), "late message");
+    let delayed = claim(&mut replica, READY, &claim_on(key, 1));
+    assert_eq!(
+        delayed,
+        Vote::Abstained(Abstention::Abandoned),
+        "delayed message"
+    );
     assert_eq!(claim(&mut replica, READY, &claim_on(key, 3)), Vote::Granted);
 }
 
@@ -217,7 +222,7 @@
 }
 
 #[test]
-fn a_full_replica_refuses_new_keys_and_keeps_what_it_has() {
+fn a_full_replica_refuses_new_keys_and_keeps_its_records() {
     let keys = [READY, READY + 1, READY + 2].map(key_minted_at);
     let mut replica = replica("a", START, first_group());
     for key in &keys[..2] {
@@ -247,7 +252,7 @@
     assert_eq!(
         replica.store().content_bytes(),
         5,
-        "the second answer found no room"
+        "there is no room for the second response"
     );
     let vote = claim(&mut replica, READY, &claim_on(keys[1], 3));
     let Vote::Recorded(record) = vote else {
@@ -263,11 +268,11 @@
     assert_eq!(
         claim(&mut replica, later, &fresh),
         Vote::Granted,
-        "expired ones make room"
+        "expired records make room"
     );
 }
 
-/// Carries the fetches of one replica to the others until it has nothing more to ask.
+/// Delivers the fetches of one replica to the others until it has none left.
 fn hand_over(joining: &mut Replica, others: &mut [(&str, &mut Replica)], wall: u64) {
     let mut requests: Vec<PeerRequest> = joining.advance(Timestamp::from_millis(wall));
     while let Some(PeerRequest { to, fetch }) = requests.pop() {
@@ -277,7 +282,7 @@
         };
         let reply = peer.handle(UnixMillis::new(wall), ReplicaRequest::Fetch(fetch));
         let ReplicaReply::Page(page) = reply else {
-            panic!("a fetch is answered by a page");
+            panic!("the reply to a fetch is a page");
         };
         requests.extend(joining.receive_page(Timestamp::from_millis(wall), &to, page));
     }
@@ -295,7 +300,7 @@
 }
 
 #[test]
-fn a_new_member_holds_what_the_group_before_decided() {
+fn a_new_member_takes_over_the_decisions_of_the_previous_group() {
     let key = key_minted_at(READY);
     let mut a = replica("a", START, first_group());
     let mut b = replica("b", START, first_group());
@@ -303,7 +308,7 @@
     assert_eq!(claim(&mut a, READY, &claim_on(key, 1)), Vote::Granted);
     assert_eq!(claim(&mut b, READY, &claim_on(key, 1)), Vote::Granted);
     hand_over(&mut d, &mut [("b", &mut b)], READY);
-    assert!(!d.is_voting(), "one of three is no majority");
+    assert!(!d.is_voting(), "one of three is not a majority");
     hand_over(&mut d, &mut [("a", &mut a), ("b", &mut b)], READY + 1_000);
     assert!(d.is_voting());
     let rival = in_second_epoch(claim_on(key, 2));
@@ -313,17 +318,17 @@
     };
     assert_eq!(claim(&mut d, READY, &rival), held);
     let sealed = Vote::Abstained(Abstention::OtherEpoch);
-    let late = claim_on(key_minted_at(READY + 1), 3);
+    let delayed = claim_on(key_minted_at(READY + 1), 3);
     for old in [&mut a, &mut b] {
-        assert_eq!(claim(old, READY, &late), sealed, "sealed by the fetch");
+        assert_eq!(claim(old, READY, &delayed), sealed, "sealed by the fetch");
     }
     let fresh = in_second_epoch(claim_on(key_minted_at(READY + 1), 3));
     assert_eq!(claim(&mut d, READY, &fresh), Vote::Granted);
 }
 
-/// Two of the old members lost their votes; what the third knows is no majority's knowledge.
+/// Two of the old members lost their votes, and the votes of the third alone are no majority.
 #[test]
-fn a_new_member_abstains_where_the_old_majority_forgot() {
+fn a_new_member_abstains_if_the_old_majority_lost_its_votes() {
     let key = key_minted_at(READY);
     let restart = READY + SKEW;
     let mut a = replica("a", START, first_group());
@@ -335,7 +340,8 @@
     assert_eq!(vote, Vote::Abstained(Abstention::BeforeHorizon));
 }
 
-/// The votes that a member gave in its new group before a restart are not in what it copies.
+/// The votes that a member granted in its new group before a restart are not part of the records
+/// that it copies from a peer.
 #[test]
 fn a_restarted_member_keeps_its_own_horizon() {
     let restart = READY + RETENTION / 2;
@@ -346,14 +352,18 @@
     hand_over(&mut d, &mut [("a", &mut a), ("b", &mut b)], READY);
     let mut c = replica("c", restart, second_group());
     hand_over(&mut c, &mut [("d", &mut d)], restart);
-    assert!(c.is_voting(), "one peer that votes in the group is enough");
+    assert!(
+        c.is_voting(),
+        "one peer that votes in the group is sufficient"
+    );
     let vote = claim(&mut c, restart, &in_second_epoch(claim_on(key, 2)));
     assert_eq!(vote, Vote::Abstained(Abstention::BeforeHorizon));
 }
 
-/// What a handover brings beyond the capacity is forgotten, and never voted on again.
+/// Records of a handover beyond the capacity are dropped, and the replica never votes on their
+/// keys.
 #[test]
-fn a_new_member_abstains_on_what_it_has_no_room_for() {
+fn a_new_member_abstains_on_records_beyond_its_capacity() {
     let keys = [1, 2, 3, 4].map(|offset| key_minted_at(READY + offset));
     let mut a = replica("a", START, first_group());
     let mut b = replica("b", START, first_group());
@@ -376,7 +386,7 @@
 #[test]
 fn a_split_vote_is_resolved_or_contested_at_handover() {
     let key = key_minted_at(READY);
-    // Which votes the three old members gave, which of them answer, and what the new member holds.
+    // Votes of the three old members, members that reply, vote of the new member.
     let contested = Vote::Abstained(Abstention::Contested);
     let held = |number| Vote::Held {
         by: claim_id(number),
@@ -384,7 +394,7 @@
     };
     let cases = [
         (
-            "nobody can have won",
+            "no claim can have won",
             [0, 0, 1],
             vec!["a", "b"],
             Vote::Granted,
@@ -393,7 +403,7 @@
         ("one may have won", [1, 0, 1], vec!["a", "b"], held(1)),
         ("one has won", [2, 2, 1], vec!["a", "b"], held(2)),
     ];
-    for (name, votes, answering, expected) in cases {
+    for (name, votes, replying, expected) in cases {
         let mut old = ["a", "b", "c"].map(|id| replica(id, START, first_group()));
         for (replica, number) in old.iter_mut().zip(votes) {
             if number > 0 {
@@ -405,7 +415,7 @@
         let mut all = [("a", a), ("b", b), ("c", c)];
         let mut others: Vec<_> = all
             .iter_mut()
-            .filter(|(id, _)| answering.contains(id))
+            .filter(|(id, _)| replying.contains(id))
             .map(|(id, replica)| (*id, &mut **replica))
             .collect();
         hand_over(&mut joining, &mut others, READY);
@@ -416,7 +426,7 @@
 }
 
 #[test]
-fn other_members_under_the_same_epoch_stop_the_vote() {
+fn a_replica_stops_voting_on_other_members_with_the_same_epoch() {
     let key = key_minted_at(READY);
     let mut a = replica("a", START, first_group());
     a.configure(Timestamp::ZERO, first_group());
@@ -428,11 +438,14 @@
     let vote = claim(&mut a, READY, &claim_on(key, 1));
     assert_eq!(vote, Vote::Abstained(Abstention::OtherEpoch));
     a.configure(Timestamp::ZERO, first_group());
-    assert!(!a.is_voting(), "not even when the first one comes back");
+    assert!(
+        !a.is_voting(),
+        "not even if the first group is configured again"
+    );
 }
 
 #[test]
-fn a_replica_says_how_far_it_speaks_for_the_group_before() {
+fn a_replica_reports_its_handover_status() {
     let fetch = |target| {
         ReplicaRequest::Fetch(Fetch {
             target: Epoch::new(target),
@@ -441,7 +454,12 @@
     };
     let unstated = || group(2, &["a", "b", "c"], Predecessor::Unknown);
     let cases = [
-        ("voted before", first_group(), 2, HandoverStatus::Sealed),
+        (
+            "voted in the previous epoch",
+            first_group(),
+            2,
+            HandoverStatus::Sealed,
+        ),
         (
             "votes in the target",
             first_group(),
@@ -461,25 +479,25 @@
             HandoverStatus::Fresh,
         ),
         (
-            "joins an earlier one",
+            "joins an earlier group",
             second_group(),
             3,
             HandoverStatus::Unready,
         ),
-        ("can't join", unstated(), 2, HandoverStatus::Fresh),
+        ("predecessor unknown", unstated(), 2, HandoverStatus::Fresh),
     ];
     for (name, group, target, expected) in cases {
         let mut replica = replica("b", START, group);
         let reply = replica.handle(UnixMillis::new(READY), fetch(target));
         let ReplicaReply::Page(page) = reply else {
-            panic!("a fetch is answered by a page");
+            panic!("the reply to a fetch is a page");
         };
         assert_eq!(page.status, expected, "{name}");
     }
 }
 
 #[test]
-fn members_that_all_started_anew_prove_nothing() {
+fn a_handover_from_restarted_members_only_does_not_complete() {
     let mut b = replica("b", START, second_group());
     let mut c = replica("c", START, second_group());
     let mut d = replica("d", START, second_group());
@@ -489,7 +507,7 @@
     d.configure(Timestamp::from_millis(READY), stated);
     assert!(
         d.is_voting(),
-        "the operator states that no earlier replica runs"
+        "the operator asserts that no earlier replica runs"
     );
 }
 
@@ -515,7 +533,7 @@
             UnixMillis::new(READY),
             &mut rng,
         );
-        let sent = sent_claim(&effects).expect("a claim is sent at once");
+        let sent = sent_claim(&effects).expect("a claim is sent immediately");
         Self {
             coordinator,
             rng,
@@ -534,8 +552,8 @@
         self.coordinator.receive(now, &from, reply, &mut self.rng)
     }
 
-    /// Lets time pass up to the caller's deadline; gives the first answer to the caller.
-    fn wait_for_answer(&mut self) -> Option<ResultCode> {
+    /// Advances the time up to the caller's deadline and returns the code of the first refusal.
+    fn wait_for_refusal(&mut self) -> Option<ResultCode> {
         (0..=1_000).step_by(10).find_map(|millis| {
             let now = Timestamp::from_millis(millis);
             refusal(&self.coordinator.advance(now, &mut self.rng))
@@ -561,7 +579,7 @@
 }
 
 #[test]
-fn a_coordinator_without_a_majority_says_only_what_it_knows() {
+fn a_coordinator_without_a_majority_refuses_with_the_matching_code() {
     let held = |number, same_request| {
         Some(Vote::Held {
             by: claim_id(number),
@@ -580,12 +598,12 @@
     let full = || Some(Vote::Full);
     let cases = [
         (
-            "nobody answers",
+            "no reply",
             [None, None, None],
             ResultCode::ClaimUndetermined,
         ),
         (
-            "one answers",
+            "one reply",
             [full(), None, None],
             ResultCode::ClaimUndetermined,
         ),
@@ -635,20 +653,20 @@
             ResultCode::ClaimUncertain,
         ),
         (
-            "another request is on record",
+            "another request is recorded",
             [recorded, None, None],
             ResultCode::IdempotencyKeyReused,
         ),
     ];
     for (name, votes, expected) in cases {
         let mut claimant = Claimant::start();
-        let mut told = None;
+        let mut code = None;
         for (from, vote) in ["a", "b", "c"].into_iter().zip(votes) {
             let effects = vote.map(|vote| claimant.receive(1, from, vote));
-            told = told.or_else(|| refusal(&effects.unwrap_or_default()));
+            code = code.or_else(|| refusal(&effects.unwrap_or_default()));
         }
-        let told = told.or_else(|| claimant.wait_for_answer());
-        assert_eq!(told, Some(expected), "{name}");
+        let code = code.or_else(|| claimant.wait_for_refusal());
+        assert_eq!(code, Some(expected), "{name}");
     }
 }
 
@@ -662,7 +680,7 @@
 }
 
 #[test]
-fn a_majority_dispatches_once_and_settles_the_outcome() {
+fn a_majority_dispatches_once_and_delivers_the_outcome() {
     let answer = RecordedAnswer {
         status: 200,
         content: None,
@@ -688,8 +706,8 @@
             "{name}: third vote"
         );
         let now = Timestamp::from_millis(5);
-        let settled = claimant.coordinator.complete(now, outcome.clone());
-        let sent: Vec<&str> = settled.iter().map(settlement_name).collect();
+        let delivered = claimant.coordinator.complete(now, outcome.clone());
+        let sent: Vec<&str> = delivered.iter().map(delivery_name).collect();
         assert_eq!(sent, [expected; 3], "{name}");
         assert_eq!(
             claimant.coordinator.complete(now, outcome),
@@ -707,7 +725,7 @@
     }
 }
 
-fn settlement_name(effect: &CoordinatorEffect) -> &'static str {
+fn delivery_name(effect: &CoordinatorEffect) -> &'static str {
     match effect {
         CoordinatorEffect::Send {
             request: ReplicaRequest::Store(_),
--- a/crates/core/tests/idempotency_protocol.rs
+++ b/crates/core/tests/idempotency_protocol.rs
@@ -1,4 +1,4 @@
-//! The promises of the claim protocol under arbitrary schedules and faults.
+//! Invariants of the claim protocol under arbitrary schedules and faults.
 
 mod idempotency_support;
 
@@ -42,12 +42,12 @@
         4 => (0..POOL, clock_offset())
             .prop_map(|(replica, offset)| Action::RestartReplica { replica, offset }),
         1 => (0..EDGES).prop_map(Action::RestartEdge),
-        1 => (0..POOL).prop_map(Action::FreezeReplica),
-        2 => (0..POOL).prop_map(Action::ThawReplica),
-        1 => (0..EDGES).prop_map(Action::FreezeEdge),
-        2 => (0..EDGES).prop_map(Action::ThawEdge),
-        2 => (0..ZONES, 0..ZONES).prop_map(|(first, second)| Action::CutZones(first, second)),
-        2 => Just(Action::JoinZones),
+        1 => (0..POOL).prop_map(Action::PauseReplica),
+        2 => (0..POOL).prop_map(Action::ResumeReplica),
+        1 => (0..EDGES).prop_map(Action::PauseEdge),
+        2 => (0..EDGES).prop_map(Action::ResumeEdge),
+        2 => (0..ZONES, 0..ZONES).prop_map(|(first, second)| Action::PartitionZones(first, second)),
+        2 => Just(Action::EndPartitions),
         1 => (0..POOL, clock_offset())
             .prop_map(|(replica, offset)| Action::SetReplicaClock { replica, offset }),
         1 => (0..EDGES, clock_offset())
@@ -57,7 +57,7 @@
 
 fn epoch_actions() -> impl Strategy<Value = Action> {
     prop_oneof![
-        1 => (0..POOL, 0_usize..4).prop_map(|(first, size)| Action::Regroup { first, size }),
+        1 => (0..POOL, 0_usize..4).prop_map(|(first, size)| Action::ReplaceGroup { first, size }),
         4 => (0..POOL).prop_map(Action::ConfigureReplica),
         2 => (0..EDGES).prop_map(Action::ConfigureEdge),
     ]
@@ -91,9 +91,9 @@
 proptest! {
     #![proptest_config(config(1_000))]
 
-    /// No schedule leads to two effects, a false "not run" or a foreign answer.
+    /// No schedule leads to two effects, a false "not run" or the response of another request.
     #[test]
-    fn keeps_its_promises_in_one_group(
+    fn invariants_hold_in_one_group(
         seed in any::<u64>(),
         members in prop_oneof![Just(1_usize), Just(3), Just(5)],
         actions in schedule(false),
@@ -102,9 +102,9 @@
         actions.iter().for_each(|action| world.apply(action));
     }
 
-    /// The same while the group is replaced, again and again.
+    /// The same while the group is replaced repeatedly.
     #[test]
-    fn keeps_its_promises_over_epoch_changes(seed in any::<u64>(), actions in schedule(true)) {
+    fn invariants_hold_over_epoch_changes(seed in any::<u64>(), actions in schedule(true)) {
         let mut world = World::new(seed, 3);
         actions.iter().for_each(|action| world.apply(action));
     }
@@ -113,20 +113,20 @@
 proptest! {
     #![proptest_config(config(200))]
 
-    /// Whatever went before, once the network is quiet a new key gets through and its repeat is
+    /// After any history, once faults have ended, a new key is dispatched and its repeat is
     /// answered from the record.
     #[test]
     fn serves_a_fresh_key_after_any_history(seed in any::<u64>(), actions in schedule(false)) {
         let mut world = World::new(seed, 3);
         actions.iter().for_each(|action| world.apply(action));
-        world.heal();
-        world.mint(KEYS);
+        world.end_faults();
+        world.create_key(KEYS);
         let first = world.call(0, KEYS, 0);
-        world.run_quietly(200);
+        world.run_without_faults(200);
         prop_assert_eq!(world.state(first), &CallState::Dispatched);
         world.complete_all(2);
         let repeat = world.call(1, KEYS, 0);
-        world.run_quietly(500);
+        world.run_without_faults(500);
         prop_assert!(matches!(world.state(repeat), CallState::Replayed(_)));
     }
 }
--- a/crates/core/tests/idempotency_support/mod.rs
+++ b/crates/core/tests/idempotency_support/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated deployment of replicas, edges and callers under arbitrary faults, which checks the
-//! promises of the claim protocol after each step.
+//! A simulated deployment of replicas, edges and callers under arbitrary faults. The invariants of
+//! the claim protocol are checked after each step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,13 +23,13 @@
 pub(crate) const RETENTION_MILLIS: u64 = 6_000;
 pub(crate) const POOL: usize = 6;
 pub(crate) const EDGES: usize = 3;
-/// Replicas and edges are spread over the zones in turn.
+/// Replicas and edges are distributed over the zones in turn.
 pub(crate) const ZONES: usize = 3;
 const START_MILLIS: u64 = 1_000_000;
-/// More messages in flight than this are not worth their time; the oldest are lost.
+/// Limit on messages in flight, which bounds the run time; beyond it the oldest are lost.
 const MAXIMUM_IN_FLIGHT: usize = 300;
 
-/// One step of a run. Indices are folded into the range of what there is.
+/// One step of a run. Indices are taken modulo the number of items.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     /// A caller sends a request with one of its keys through an edge.
@@ -38,28 +38,28 @@
         key: usize,
         variant: u8,
     },
-    /// A message in flight arrives; any one may be the next.
+    /// A message in flight arrives; any one may be next.
     Deliver(usize),
     /// The oldest messages arrive in order.
     DeliverOldest(usize),
     Lose(usize),
     Duplicate(usize),
-    /// A back end's answer reaches the edge: 0 not run, 1 unknown, else run.
+    /// The backend's response reaches the edge: 0 not run, 1 unknown, otherwise run.
     Complete {
         dispatch: usize,
         outcome: u8,
     },
     Advance(u64),
-    /// A replica starts anew, maybe on a machine with another clock.
+    /// A replica restarts, possibly on a machine with another clock.
     RestartReplica {
         replica: usize,
         offset: u64,
     },
     RestartEdge(usize),
-    FreezeReplica(usize),
-    ThawReplica(usize),
-    FreezeEdge(usize),
-    ThawEdge(usize),
+    PauseReplica(usize),
+    ResumeReplica(usize),
+    PauseEdge(usize),
+    ResumeEdge(usize),
     SetReplicaClock {
         replica: usize,
         offset: u64,
@@ -68,11 +68,11 @@
         edge: usize,
         offset: u64,
     },
-    /// Nothing crosses between two zones, or inside one, until they are joined again.
-    CutZones(usize, usize),
-    JoinZones,
+    /// No message passes between two zones, or inside one, until the partitions end.
+    PartitionZones(usize, usize),
+    EndPartitions,
     /// The operator replaces the group.
-    Regroup {
+    ReplaceGroup {
         first: usize,
         size: usize,
     },
@@ -107,24 +107,24 @@
 struct ReplicaNode {
     replica: Replica,
     clock_offset: u64,
-    frozen: bool,
+    paused: bool,
     configured: usize,
 }
 
 struct Edge {
     clock_offset: u64,
-    frozen: bool,
+    paused: bool,
     configured: usize,
 }
 
-/// What became of a caller's request, as the caller sees it.
+/// State of a caller's request, as seen by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallState {
     Open,
     Dispatched,
     Replayed(RecordedAnswer),
     Refused(ResultCode),
-    /// The back end's answer reached the edge.
+    /// The backend's response reached the edge.
     Completed,
 }
 
@@ -135,8 +135,8 @@
     variant: u8,
     arrived: u64,
     state: CallState,
-    /// Whether the edge has not restarted since.
-    alive: bool,
+    /// False once the edge has restarted.
+    edge_running: bool,
 }
 
 struct Dispatch {
@@ -159,7 +159,7 @@
     calls: Vec<Call>,
     dispatches: Vec<Dispatch>,
     messages: Vec<Message>,
-    cuts: BTreeSet<(usize, usize)>,
+    partitions: BTreeSet<(usize, usize)>,
 }
 
 fn replica_id(index: usize) -> ReplicaId {
@@ -200,7 +200,7 @@
             calls: Vec::new(),
             dispatches: Vec::new(),
             messages: Vec::new(),
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
         };
         for index in 0..POOL {
             let offset = world.rng.random_range(0..=1) * SKEW_MILLIS;
@@ -209,7 +209,7 @@
         }
         world.edges.extend((0..EDGES).map(|_| Edge {
             clock_offset: SKEW_MILLIS / 2,
-            frozen: false,
+            paused: false,
             configured: 0,
         }));
         // Every replica abstains until its horizon has passed.
@@ -221,12 +221,13 @@
         Timestamp::from_millis(self.millis)
     }
 
-    /// The wall clock of a machine: off by `offset`, 0 to the allowed skew, from a common base.
+    /// Returns the wall clock of a machine, which is ahead of a common base by `offset`, 0 to the
+    /// allowed skew.
     fn wall(&self, offset: u64) -> UnixMillis {
         UnixMillis::new(self.millis + offset)
     }
 
-    /// A process that starts takes up the newest group that any process has adopted.
+    /// Starts a replica, which adopts the newest group that any process has adopted.
     fn start_replica(&mut self, index: usize, clock_offset: u64) -> ReplicaNode {
         let wall = self.wall(clock_offset);
         let settings = ReplicaSettings {
@@ -242,7 +243,7 @@
         ReplicaNode {
             replica,
             clock_offset,
-            frozen: false,
+            paused: false,
             configured: self.newest_adopted,
         }
     }
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Does one step and checks every promise.
+    /// Performs one step and checks every invariant.
     pub(crate) fn apply(&mut self, action: &Action) {
         self.step += 1;
         match *action {
@@ -274,22 +275,23 @@
                 self.restart_replica(replica % POOL, offset % (SKEW_MILLIS + 1));
             }
             Action::RestartEdge(edge) => self.restart_edge(edge % EDGES),
-            Action::FreezeReplica(index) => self.replicas[index % POOL].frozen = true,
-            Action::ThawReplica(index) => self.replicas[index % POOL].frozen = false,
-            Action::FreezeEdge(edge) => self.edges[edge % EDGES].frozen = true,
-            Action::ThawEdge(edge) => self.edges[edge % EDGES].frozen = false,
+            Action::PauseReplica(index) => self.replicas[index % POOL].paused = true,
+            Action::ResumeReplica(index) => self.replicas[index % POOL].paused = false,
+            Action::PauseEdge(edge) => self.edges[edge % EDGES].paused = true,
+            Action::ResumeEdge(edge) => self.edges[edge % EDGES].paused = false,
             Action::SetReplicaClock { replica, offset } => {
                 self.replicas[replica % POOL].clock_offset = offset % (SKEW_MILLIS + 1);
             }
             Action::SetEdgeClock { edge, offset } => {
                 self.edges[edge % EDGES].clock_offset = offset % (SKEW_MILLIS + 1);
             }
-            Action::CutZones(first, second) => {
+            Action::PartitionZones(first, second) => {
                 let pair = (first % ZONES, second % ZONES);
-                self.cuts.insert((pair.0.min(pair.1), pair.0.max(pair.1)));
+                self.partitions
+                    .insert((pair.0.min(pair.1), pair.0.max(pair.1)));
             }
-            Action::JoinZones => self.cuts.clear(),
-            Action::Regroup { first, size } => self.regroup(first, size),
+            Action::EndPartitions => self.partitions.clear(),
+            Action::ReplaceGroup { first, size } => self.replace_group(first, size),
             Action::ConfigureReplica(index) => self.configure_replica(index % POOL),
             Action::ConfigureEdge(edge) => self.configure_edge(edge % EDGES),
         }
@@ -298,25 +300,26 @@
         self.check_effects();
     }
 
-    /// A caller's own clock is off by up to three times the skew allowed to the system.
+    /// Returns the caller's key, created on first use by a clock that is off by up to three times
+    /// the skew allowed to the system.
     fn key(&mut self, key: usize) -> IdempotencyKey {
         if let Some(known) = self.keys.get(&key) {
             return *known;
         }
         let offset = self.rng.random_range(0..=3 * SKEW_MILLIS);
-        let minted = self.millis + offset - SKEW_MILLIS;
+        let created_at = self.millis + offset - SKEW_MILLIS;
         let low: u128 = self.rng.random::<u64>().into();
-        let minted_key = IdempotencyKey::from_u128((u128::from(minted) << 80) | low);
-        self.keys.insert(key, minted_key);
-        minted_key
+        let created_key = IdempotencyKey::from_u128((u128::from(created_at) << 80) | low);
+        self.keys.insert(key, created_key);
+        created_key
     }
 
-    /// A key that the caller mints now with an accurate clock.
-    pub(crate) fn mint(&mut self, key: usize) {
+    /// Creates a key now, with an accurate clock.
+    pub(crate) fn create_key(&mut self, key: usize) {
         let low: u128 = self.rng.random::<u64>().into();
-        let minted = u128::from(self.millis + SKEW_MILLIS / 2);
+        let created_at = u128::from(self.millis + SKEW_MILLIS / 2);
         self.keys
-            .insert(key, IdempotencyKey::from_u128((minted << 80) | low));
+            .insert(key, IdempotencyKey::from_u128((created_at << 80) | low));
     }
 
     pub(crate) fn call(&mut self, edge: usize, key: usize, variant: u8) -> usize {
@@ -340,7 +343,7 @@
             variant,
             arrived: self.step,
             state: CallState::Open,
-            alive: true,
+            edge_running: true,
         });
         let call = self.calls.len() - 1;
         self.apply_effects(call, effects);
@@ -371,7 +374,7 @@
         });
     }
 
-    /// Dispatches of a key that are not proved to have had no effect.
+    /// Returns the dispatches of a key that are not proved to have had no effect.
     fn effects_of(&self, key: usize) -> impl Iterator<Item = &Dispatch> {
         self.dispatches
             .iter()
@@ -385,34 +388,38 @@
         }
     }
 
-    /// "Not run" must be true of this request: neither this attempt nor one of the same request
-    /// before it was dispatched.
+    /// Checks that "not run" is true of the request: neither this attempt nor an earlier one of the
+    /// same request was dispatched.
     fn check_refusal(&mut self, call: usize, code: ResultCode) {
         self.calls[call].state = CallState::Refused(code);
         if code.outcome() != OutcomeClass::NotRun {
             return;
         }
-        let asked = &self.calls[call];
-        let ran = self.effects_of(asked.key).any(|one| {
-            let same_request = self.calls[one.call].variant == asked.variant;
-            one.call == call || (same_request && one.at < asked.arrived)
+        let checked = &self.calls[call];
+        let ran = self.effects_of(checked.key).any(|one| {
+            let same_request = self.calls[one.call].variant == checked.variant;
+            one.call == call || (same_request && one.at < checked.arrived)
         });
         assert!(
             !ran,
-            "{} said of key {} which was dispatched",
+            "{} was returned for key {}, which was dispatched",
             code.name(),
-            asked.key
+            checked.key
         );
     }
 
     fn check_replay(&mut self, call: usize, answer: RecordedAnswer) {
-        let asked = &self.calls[call];
-        let given = self.effects_of(asked.key).any(|one| {
-            let same_request = self.calls[one.call].variant == asked.variant;
+        let checked = &self.calls[call];
+        let recorded = self.effects_of(checked.key).any(|one| {
+            let same_request = self.calls[one.call].variant == checked.variant;
             let status = one.answer.as_ref().map(|kept| kept.status);
             same_request && status == Some(answer.status)
         });
-        assert!(given, "key {} got an answer that is not its own", asked.key);
+        assert!(
+            recorded,
+            "key {} got the response of another request",
+            checked.key
+        );
         self.calls[call].state = CallState::Replayed(answer);
     }
 
@@ -443,10 +450,10 @@
         self.apply_effects(call, effects);
     }
 
-    /// Whether the edge still waits for the back end's answer.
+    /// Returns true if the edge still waits for the backend's response.
     fn is_open(&self, dispatch: usize) -> bool {
         let call = &self.calls[self.dispatches[dispatch].call];
-        call.state == CallState::Dispatched && call.alive && !self.edges[call.edge].frozen
+        call.state == CallState::Dispatched && call.edge_running && !self.edges[call.edge].paused
     }
 
     fn take_message(&mut self, index: usize) -> Option<Message> {
@@ -461,42 +468,43 @@
         }
     }
 
-    /// Delivers a message; what is sent to a frozen process waits until it is thawed.
+    /// Delivers a message; a message to a paused process waits until it resumes.
     fn deliver_at(&mut self, index: usize) {
         let Some(message) = self.take_message(index) else {
             return;
         };
-        if self.is_cut(&message) {
+        if self.is_partitioned(&message) {
             return;
         }
-        let frozen = match &message {
+        let paused = match &message {
             Message::ToReplica { to, .. }
             | Message::Fetch { to, .. }
-            | Message::Page { to, .. } => self.replicas[*to].frozen,
-            Message::ToCall { call, .. } => self.edges[self.calls[*call].edge].frozen,
+            | Message::Page { to, .. } => self.replicas[*to].paused,
+            Message::ToCall { call, .. } => self.edges[self.calls[*call].edge].paused,
         };
-        if frozen {
+        if paused {
             self.messages.push(message);
         } else {
             self.deliver(message);
         }
     }
 
-    fn is_cut(&self, message: &Message) -> bool {
+    fn is_partitioned(&self, message: &Message) -> bool {
         let (first, second) = match *message {
             Message::ToReplica { to, call, .. } => (to, self.calls[call].edge),
             Message::ToCall { call, from, .. } => (from, self.calls[call].edge),
             Message::Fetch { to, from, .. } | Message::Page { to, from, .. } => (to, from),
         };
         let (first, second) = (first % ZONES, second % ZONES);
-        self.cuts.contains(&(first.min(second), first.max(second)))
+        self.partitions
+            .contains(&(first.min(second), first.max(second)))
     }
 
     fn deliver(&mut self, message: Message) {
         let now = self.now();
         match message {
             Message::ToReplica { to, call, request } => {
-                let reply = self.ask_replica(to, request);
+                let reply = self.send_to_replica(to, request);
                 self.messages.push(Message::ToCall {
                     call,
                     from: to,
@@ -504,7 +512,7 @@
                 });
             }
             Message::Fetch { to, from, fetch } => {
-                let reply = self.ask_replica(to, ReplicaRequest::Fetch(fetch));
+                let reply = self.send_to_replica(to, ReplicaRequest::Fetch(fetch));
                 if let ReplicaReply::Page(page) = reply {
                     let (to, from) = (from, to);
                     self.messages.push(Message::Page { to, from, page });
@@ -516,7 +524,7 @@
                 self.send_fetches(to, requests);
             }
             Message::ToCall { call, from, reply } => {
-                if !self.calls[call].alive {
+                if !self.calls[call].edge_running {
                     return;
                 }
                 let from = replica_id(from);
@@ -527,7 +535,7 @@
         }
     }
 
-    fn ask_replica(&mut self, index: usize, request: ReplicaRequest) -> ReplicaReply {
+    fn send_to_replica(&mut self, index: usize, request: ReplicaRequest) -> ReplicaReply {
         let wall = self.wall(self.replicas[index].clock_offset);
         self.replicas[index].replica.handle(wall, request)
     }
@@ -536,16 +544,16 @@
         self.millis += millis;
         let now = self.now();
         for index in 0..POOL {
-            if !self.replicas[index].frozen {
+            if !self.replicas[index].paused {
                 let requests = self.replicas[index].replica.advance(now);
                 self.send_fetches(index, requests);
             }
         }
         for call in 0..self.calls.len() {
-            let frozen = self.edges[self.calls[call].edge].frozen;
+            let paused = self.edges[self.calls[call].edge].paused;
             let due = self.calls[call].coordinator.next_wakeup();
             let due = due.is_some_and(|due| due <= now);
-            if due && !frozen && self.calls[call].alive {
+            if due && !paused && self.calls[call].edge_running {
                 let coordinator = &mut self.calls[call].coordinator;
                 let effects = coordinator.advance(now, &mut self.rng);
                 self.apply_effects(call, effects);
@@ -557,18 +565,18 @@
         self.replicas[index] = self.start_replica(index, offset);
     }
 
-    /// The edge's calls are lost with it; a dispatched request may still have its effect.
+    /// Restarts an edge. Its calls are lost, but a dispatched request may still take effect.
     fn restart_edge(&mut self, edge: usize) {
         for call in &mut self.calls {
             if call.edge == edge {
-                call.alive = false;
+                call.edge_running = false;
             }
         }
-        self.edges[edge].frozen = false;
+        self.edges[edge].paused = false;
         self.edges[edge].configured = self.newest_adopted;
     }
 
-    pub(crate) fn regroup(&mut self, first: usize, size: usize) {
+    pub(crate) fn replace_group(&mut self, first: usize, size: usize) {
         let size = [3, 5, 1, 3][size % 4];
         let members = (0..size).map(|offset| (first + offset) % POOL).collect();
         let last = self.groups.last().expect("there is a first group");
@@ -580,7 +588,7 @@
     pub(crate) fn configure_replica(&mut self, index: usize) {
         let newest = self.groups.len() - 1;
         let node = &mut self.replicas[index];
-        if node.frozen {
+        if node.paused {
             return;
         }
         node.configured = newest;
@@ -592,7 +600,7 @@
     }
 
     pub(crate) fn configure_edge(&mut self, edge: usize) {
-        if self.edges[edge].frozen {
+        if self.edges[edge].paused {
             return;
         }
         let newest = self.groups.len() - 1;
@@ -600,7 +608,7 @@
         self.newest_adopted = newest;
         let now = self.now();
         for call in 0..self.calls.len() {
-            if self.calls[call].edge == edge && self.calls[call].alive {
+            if self.calls[call].edge == edge && self.calls[call].edge_running {
                 let group = self.groups[newest].clone();
                 let coordinator = &mut self.calls[call].coordinator;
                 let effects = coordinator.configure(now, group, &mut self.rng);
@@ -609,22 +617,22 @@
         }
     }
 
-    /// Ends every fault and lets the network be quiet for a while.
-    pub(crate) fn heal(&mut self) {
-        self.cuts.clear();
+    /// Ends every fault and runs without faults for some time.
+    pub(crate) fn end_faults(&mut self) {
+        self.partitions.clear();
         for edge in 0..EDGES {
-            self.edges[edge].frozen = false;
+            self.edges[edge].paused = false;
             self.configure_edge(edge);
         }
         for index in 0..POOL {
-            self.replicas[index].frozen = false;
+            self.replicas[index].paused = false;
             self.configure_replica(index);
         }
-        self.run_quietly(2 * RETENTION_MILLIS);
+        self.run_without_faults(2 * RETENTION_MILLIS);
     }
 
-    /// Delivers every message in order, one millisecond a hop.
-    pub(crate) fn run_quietly(&mut self, millis: u64) {
+    /// Delivers every message in order, in steps of 10 ms.
+    pub(crate) fn run_without_faults(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.step += 1;
             for _ in 0..self.messages.len() {
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from back ends, in whatever order ends and reports come.
+//! Requests that are quarantined, for any order of terminations and reports.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_third_end_quarantines_a_request_that_was_isolated_at_one() {
+fn the_third_termination_quarantines_a_request_isolated_at_one() {
     let mut ledger = EndLedger::default();
     assert_eq!(ledger.note(at(0), end(1, false)), Standing::Unsuspected);
     assert_eq!(ledger.note(at(1), end(2, true)), Standing::Suspect);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_that_only_ran_beside_others_is_isolated_and_not_refused() {
+fn a_request_that_only_ran_concurrently_is_isolated_and_not_refused() {
     let mut ledger = EndLedger::default();
     for instance in 0..9 {
         ledger.note(at(instance), end(instance, false));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_end_that_is_told_again_counts_once() {
+fn a_termination_reported_again_counts_once() {
     let mut ledger = EndLedger::default();
     for _ in 0..5 {
         assert_eq!(ledger.note(at(0), end(1, true)), Standing::Unsuspected);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_answer_clears_what_was_counted() {
+fn a_response_clears_the_count() {
     let mut ledger = EndLedger::default();
     ledger.note(at(0), end(1, true));
     ledger.note(at(0), end(2, true));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_quarantined_request_is_tried_again_after_its_time_at_the_cost_of_one_back_end() {
+fn a_quarantined_request_is_executed_again_after_its_time_at_the_cost_of_one_backend() {
     let mut ledger = EndLedger::default();
     let mut table = QuarantineTable::default();
     for instance in 0..3 {
@@ -148,7 +148,8 @@
 }
 
 proptest! {
-    /// Whatever the order in which reports of different times arrive: the sidecars agree whether the request is refused.
+    /// For any order in which reports of different times arrive, the sidecars agree on refusing the
+    /// request.
     #[test]
     fn reports_in_any_order_lead_to_the_same_refusal(
         found in prop::collection::vec(any_standing(), 1..8),
@@ -170,7 +171,8 @@
         let in_order: Vec<usize> = (0..found.len()).collect();
         let last_cleared = found.iter().rposition(|standing| *standing == ReportedStanding::Cleared);
         let last_quarantined = found.iter().rposition(|standing| *standing == ReportedStanding::Quarantined);
-        // A clearing that is remembered for half a minute only can't undo an older report that comes later than that.
+        // A cleared request is remembered for half a minute only, which can't undo an older report
+        // that arrives later than that.
         prop_assume!(last_cleared.is_none() || last_quarantined > last_cleared);
         prop_assert_eq!(refused(&in_order), last_quarantined.is_some());
         prop_assert_eq!(refused(&order), last_quarantined.is_some());
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,4 +1,5 @@
-//! What owners grant and processes hold never exceeds a limit by more than a token's lifetime brings.
+//! The tokens that owners grant and processes hold exceed a limit by at most the tokens of one
+//! token lifetime.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 };
 
 #[test]
-fn a_bucket_gives_whole_tokens_and_fills_up_to_its_capacity() {
+fn a_bucket_grants_whole_tokens_and_fills_up_to_its_capacity() {
     let mut bucket = TokenBucket::full(at(0), RATE);
     assert_eq!(bucket.take(at(0), 3), 3);
     assert_eq!(bucket.take(at(0), 3), 2);
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_lower_rate_takes_what_is_above_its_capacity() {
+fn a_lower_rate_drops_tokens_above_its_capacity() {
     let mut bucket = TokenBucket::full(at(0), RATE);
     let lower = TokenRate {
         per_second: 1.0,
@@ -40,13 +41,13 @@
 }
 
 #[test]
-fn a_restarted_owner_begins_with_what_came_since_its_start() {
+fn a_restarted_owner_starts_with_the_tokens_since_its_start() {
     let mut bucket = TokenBucket::filled_since(at(1_200), at(1_000), RATE);
     assert_eq!(bucket.take(at(1_200), 9), 2);
 }
 
 #[test]
-fn a_held_token_ends() {
+fn a_held_token_expires() {
     let mut pool = TokenPool::default();
     pool.put(at(300));
     pool.put(at(100));
@@ -57,10 +58,10 @@
 }
 
 proptest! {
-    /// Whatever the order of requests, returned tokens and restarts of owners: what runs in any window of five
-    /// seconds stays below rate x (window + lifetime of a token) + burst.
+    /// For any order of requests, returned tokens and restarts of owners, the requests in any
+    /// window of five seconds stay below rate x (window + lifetime of a token) + burst.
     #[test]
-    fn what_runs_in_a_window_stays_below_the_limit(
+    fn requests_in_a_window_stay_below_the_limit(
         steps in prop::collection::vec((0_u64..120, 0_usize..4, 0_u32..6, any::<bool>()), 1..400),
         restarts in prop::collection::vec(0_usize..400, 0..4),
     ) {
@@ -70,20 +71,20 @@
         let mut pool = TokenPool::default();
         let mut runs: Vec<Timestamp> = Vec::new();
         let mut millis = 0;
-        for (number, (pause, owner, requests, returns)) in steps.into_iter().enumerate() {
+        for (number, (pause, owner, requests, is_returned)) in steps.into_iter().enumerate() {
             millis += pause;
             let now = at(millis);
             if restarts.contains(&number) {
                 owners[owner] = TokenBucket::filled_since(now, now, RATE);
             }
             for _ in 0..requests {
-                let end = match pool.take(now) {
-                    Some(end) => end,
+                let expires_at = match pool.take(now) {
+                    Some(expires_at) => expires_at,
                     None if owners[owner].take(now, 1) == 1 => now + TOKEN_LIFETIME,
                     None => continue,
                 };
-                if returns {
-                    pool.put(end);
+                if is_returned {
+                    pool.put(expires_at);
                 } else {
                     runs.push(now);
                 }
--- a/crates/core/tests/result_codes.rs
+++ b/crates/core/tests/result_codes.rs
@@ -1,4 +1,4 @@
-//! The table in `docs/RESULT_CODES.md` says what the code says.
+//! The table in `docs/RESULT_CODES.md` matches the code.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn number_range_tells_the_outcome_class() {
+fn number_range_matches_the_outcome_class() {
     for code in ResultCode::ALL {
         let expected = match code.number() / 1_000 {
             1 => OutcomeClass::Run,
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of a destination and the waits before retries.
+//! The budget of a destination and the delays before retries.
 
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_floor_pays_however_often_it_is_asked() {
+fn frequent_withdrawals_lose_nothing_of_the_floor() {
     let settings = BudgetSettings {
         ratio: 0.0,
         floor_per_second: 0.1,
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn changed_settings_keep_what_is_saved_up() {
+fn changed_settings_keep_accumulated_tokens() {
     let mut budget = DestinationBudget::new(0.5, Timestamp::ZERO);
     (0..20).for_each(|_| budget.record_success(Timestamp::ZERO));
     let smaller = BudgetSettings {
--- a/crates/core/tests/retry_decide.rs
+++ b/crates/core/tests/retry_decide.rs
@@ -12,7 +12,7 @@
 
 const BACKOFF: Duration = Duration::from_millis(7);
 
-/// A question in which nothing stands against a retry except, perhaps, the result.
+/// Returns an input that allows a retry unless the result code excludes it.
 fn question(code: ResultCode) -> RetryQuestion {
     RetryQuestion {
         now: Timestamp::from_millis(100),
@@ -42,7 +42,7 @@
     use ResultCode as Code;
     let offer = retry(Duration::ZERO);
     let repeat = retry(BACKOFF);
-    // Codes, decision for a repeatable call, decision for one that must run at most once.
+    // Codes, decision for a repeatable call, decision for one that must be executed at most once.
     let cases: [(&[Code], RetryDecision, RetryDecision); 8] = [
         (
             &[Code::Answered, Code::AnsweredEarlier],
@@ -138,7 +138,8 @@
 fn each_bound_stops_a_retry() {
     use GiveUpReason::{AllowanceSpent, BudgetSpent, Deadline, NoSibling, NotNearestHop};
     type Change = fn(&mut RetryQuestion);
-    // What differs from a question that nothing stands against, decision on an offer, on a repeat.
+    // Name, difference from an input that allows a retry, decision on an offer, decision on a
+    // reexecution.
     #[rustfmt::skip]
     let cases: [(&str, Change, RetryDecision, RetryDecision); 8] = [
         ("below", |question| question.location = FailureLocation::Below, give_up(NotNearestHop), give_up(NotNearestHop)),
--- a/crates/core/tests/retry_ledger.rs
+++ b/crates/core/tests/retry_ledger.rs
@@ -1,4 +1,4 @@
-//! The conserved allowance under every order of grants, answers and losses.
+//! The conserved allowance under every order of grants, responses and losses.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -94,7 +94,7 @@
 
 #[test]
 fn splits_divide_as_described() {
-    // Allowance, children that run at the same time, what they get in turn.
+    // Allowance, concurrent children, their grants in order.
     let cases: [(AllowanceSplit, u16, usize, &[u16]); 18] = [
         (AllowanceSplit::FirstRequester, 3, 3, &[3, 0, 0]),
         (AllowanceSplit::FirstRequester, 0, 2, &[0, 0]),
@@ -123,23 +123,23 @@
     for (split, allowance, children, expected) in cases {
         let mut ledger = Ledger::with_split(RetryAllowance::new(allowance), split);
         let shares: Vec<u16> = (0..children)
-            .map(|asked| ledger.grant(children - asked).allowance().count())
+            .map(|granted| ledger.grant(children - granted).allowance().count())
             .collect();
         assert_eq!(shares, expected, "{split:?} of {allowance}");
     }
 }
 
 #[test]
-fn late_and_repeated_answers_change_nothing() {
+fn late_and_duplicated_responses_change_nothing() {
     let mut ledger = Ledger::with_split(RetryAllowance::new(4), AllowanceSplit::FairShare);
     let lost = ledger.grant(2);
-    let answered = ledger.grant(1);
+    let responded = ledger.grant(1);
     ledger.lose(lost);
     assert_eq!(ledger.settle(lost, lost.allowance()), Settlement::Ignored);
-    let back = ledger.settle(answered, RetryAllowance::new(u16::MAX));
-    assert_eq!(back, Settlement::Settled(RetryAllowance::new(2)));
+    let result = ledger.settle(responded, RetryAllowance::new(u16::MAX));
+    assert_eq!(result, Settlement::Settled(RetryAllowance::new(2)));
     assert_eq!(
-        ledger.settle(answered, answered.allowance()),
+        ledger.settle(responded, responded.allowance()),
         Settlement::Ignored
     );
     assert_eq!(ledger.remaining(), RetryAllowance::new(2));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_closed_ledger_gives_nothing_more() {
+fn a_closed_ledger_grants_nothing() {
     let mut ledger = Ledger::new(RetryAllowance::new(4));
     let outstanding = ledger.grant(2);
     assert_eq!(ledger.close(), RetryAllowance::new(2));
--- a/crates/core/tests/retry_support/call_tree.rs
+++ b/crates/core/tests/retry_support/call_tree.rs
@@ -1,4 +1,4 @@
-//! A tree of calls whose attempts, answers, losses and crashes happen in any order.
+//! A tree of calls whose attempts, responses, losses and crashes happen in any order.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 };
 use wharfquay_core::time::Timestamp;
 
-/// Steps after which a run is cut off; a tree that is still growing then is a fault.
+/// Steps after which a run is aborted; a tree that is still running then is a fault.
 const MAXIMUM_STEPS: usize = 20_000;
 
 /// Shape and faults of one tree.
@@ -22,24 +22,26 @@
     pub(crate) split: AllowanceSplit,
     pub(crate) depth: usize,
     pub(crate) fan_out: usize,
-    /// Out of 100 attempts: refused before execution.
+    /// Percentage of attempts that are refused before execution.
     pub(crate) refused: u32,
-    /// Out of 100 answers: lost, though the attempt ran.
+    /// Percentage of responses that are lost, although the attempt was executed.
     pub(crate) lost: u32,
-    /// Out of 100 answers: delivered twice.
+    /// Percentage of responses that are delivered twice.
     pub(crate) duplicated: u32,
-    /// Out of 100 scheduler steps: some running call crashes without an answer.
+    /// Percentage of scheduler steps in which a running call crashes without a response.
     pub(crate) crashed: u32,
-    /// Out of 100 scheduler steps: some caller stops waiting for an attempt that still runs.
+    /// Percentage of scheduler steps in which a caller stops waiting for an attempt that still
+    /// runs.
     pub(crate) timed_out: u32,
 }
 
-/// What one run of a tree did.
+/// Results of one run of a tree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct TreeReport {
     pub(crate) attempts: usize,
     pub(crate) retries: usize,
-    /// Most units that existed at any time: spent on retries, held by ledgers or on their way back.
+    /// Largest number of units that existed at any time: spent on retries, held by ledgers or in
+    /// flight in responses.
     pub(crate) most_units: usize,
 }
 
@@ -52,20 +54,20 @@
     running: bool,
 }
 
-struct Answer {
+struct Response {
     to: usize,
     grant: Grant,
     returned: RetryAllowance,
     code: ResultCode,
 }
 
-/// The tree with every call that was ever made and every answer under way.
+/// The tree with every call that was ever made and every response in flight.
 pub(crate) struct CallTree {
     settings: TreeSettings,
     rng: Pcg64Mcg,
     budget: DestinationBudget,
     calls: Vec<Call>,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
     report: TreeReport,
 }
 
@@ -82,7 +84,7 @@
             rng,
             budget,
             calls: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             report: TreeReport::default(),
             settings,
         };
@@ -91,7 +93,7 @@
         tree
     }
 
-    /// Runs the tree to its end.
+    /// Runs the tree until no call runs and no response is in flight.
     pub(crate) fn run(mut self) -> TreeReport {
         for _ in 0..MAXIMUM_STEPS {
             self.check_units();
@@ -107,7 +109,7 @@
 
     fn step(&mut self) -> bool {
         let running: Vec<usize> = self.indexes(|call| call.running);
-        if running.is_empty() && self.answers.is_empty() {
+        if running.is_empty() && self.responses.is_empty() {
             return false;
         }
         if self.happens(self.settings.crashed) && !running.is_empty() {
@@ -121,11 +123,11 @@
             self.time_out(caller);
             return true;
         }
-        let deliver = !self.answers.is_empty() && (running.is_empty() || self.happens(50));
+        let deliver = !self.responses.is_empty() && (running.is_empty() || self.happens(50));
         if deliver {
-            let chosen = self.rng.random_range(0..self.answers.len());
-            let answer = self.answers.swap_remove(chosen);
-            self.deliver(answer);
+            let chosen = self.rng.random_range(0..self.responses.len());
+            let response = self.responses.swap_remove(chosen);
+            self.deliver(response);
             return true;
         }
         let call = self.one_of(&running);
@@ -133,7 +135,7 @@
         true
     }
 
-    /// Starts a child, ends the call, or waits for children.
+    /// Starts a child, finishes the call, or waits for children.
     fn advance(&mut self, index: usize) {
         let call = &self.calls[index];
         if call.children_to_start > 0 {
@@ -145,12 +147,12 @@
             self.finish(index);
             return;
         }
-        if self.answers.is_empty() && !self.progress_possible() {
+        if self.responses.is_empty() && !self.progress_possible() {
             self.time_out(index);
         }
     }
 
-    /// Whether some call can act without an answer that will never come.
+    /// Returns true if some call can make progress without a response that will never arrive.
     fn progress_possible(&self) -> bool {
         let can_act = |call: &Call| call.children_to_start > 0 || call.waiting.is_empty();
         self.calls.iter().any(|call| call.running && can_act(call))
@@ -163,7 +165,7 @@
         let height = call.height - 1;
         if self.happens(self.settings.refused) {
             self.report.attempts += 1;
-            self.send(Answer {
+            self.send(Response {
                 to: caller,
                 grant,
                 returned: grant.allowance(),
@@ -202,7 +204,7 @@
         let Some((to, grant)) = call.parent else {
             return;
         };
-        self.send(Answer {
+        self.send(Response {
             to,
             grant,
             returned,
@@ -210,23 +212,23 @@
         });
     }
 
-    fn send(&mut self, answer: Answer) {
+    fn send(&mut self, response: Response) {
         if self.happens(self.settings.lost) {
             return;
         }
         if self.happens(self.settings.duplicated) {
-            self.answers.push(Answer { ..answer });
+            self.responses.push(Response { ..response });
         }
-        self.answers.push(answer);
+        self.responses.push(response);
     }
 
-    fn deliver(&mut self, answer: Answer) {
-        let call = &mut self.calls[answer.to];
-        call.ledger.settle(answer.grant, answer.returned);
-        if !stop_waiting(&mut call.waiting, answer.grant) || !call.running {
+    fn deliver(&mut self, response: Response) {
+        let call = &mut self.calls[response.to];
+        call.ledger.settle(response.grant, response.returned);
+        if !stop_waiting(&mut call.waiting, response.grant) || !call.running {
             return;
         }
-        self.consider_retry(answer.to, answer.code);
+        self.consider_retry(response.to, response.code);
     }
 
     fn time_out(&mut self, caller: usize) {
@@ -239,7 +241,7 @@
 
     fn crash(&mut self, index: usize) {
         self.calls[index].running = false;
-        // What the process held is gone; its children go on with what they got.
+        // The units held by the process are lost; its children keep their grants.
         self.calls[index].ledger = Ledger::new(RetryAllowance::NONE);
     }
 
@@ -263,24 +265,24 @@
         }
     }
 
-    /// Counts every unit that can still be spent, or was.
+    /// Counts every unit that was spent or can still be spent.
     fn check_units(&mut self) {
         let held: usize = self
             .calls
             .iter()
             .map(|call| usize::from(call.ledger.remaining().count()))
             .sum();
-        let mut on_their_way: Vec<(usize, Grant, u16)> = self
-            .answers
+        let mut in_flight: Vec<(usize, Grant, u16)> = self
+            .responses
             .iter()
-            .filter(|answer| self.calls[answer.to].waiting.contains(&answer.grant))
-            .map(|answer| (answer.to, answer.grant, answer.returned.count()))
+            .filter(|response| self.calls[response.to].waiting.contains(&response.grant))
+            .map(|response| (response.to, response.grant, response.returned.count()))
             .collect();
-        on_their_way.sort_unstable_by_key(|(to, grant, _)| (*to, format!("{grant:?}")));
-        on_their_way.dedup_by_key(|(to, grant, _)| (*to, *grant));
-        let returning: usize = on_their_way
+        in_flight.sort_unstable_by_key(|(to, grant, _)| (*to, format!("{grant:?}")));
+        in_flight.dedup_by_key(|(to, grant, _)| (*to, *grant));
+        let returning: usize = in_flight
             .iter()
-            .map(|answer| usize::from(answer.2))
+            .map(|response| usize::from(response.2))
             .sum();
         let units = self.report.retries + held + returning;
         self.report.most_units = self.report.most_units.max(units);
--- a/crates/core/tests/retry_tree.rs
+++ b/crates/core/tests/retry_tree.rs
@@ -1,4 +1,4 @@
-//! The retry bound of whole call trees.
+//! The retry limit of whole call trees.
 
 #[path = "retry_support/call_tree.rs"]
 mod call_tree;
--- a/crates/core/tests/retry_window.rs
+++ b/crates/core/tests/retry_window.rs
@@ -1,5 +1,6 @@
-//! The bound on repeats, kept by each receiving side for itself, holds in sum: for any number of back ends, any
-//! spread of calls over them and over time, and when some of them forget what they counted.
+//! The limit on repeats holds in sum although each backend's side enforces it separately: for any
+//! number of backends, any distribution of calls over them and over time, and when some of them
+//! lose their counts.
 
 use std::time::Duration;
 
@@ -11,17 +12,17 @@
 const RATIO: f64 = 0.2;
 const WINDOW: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(100);
-/// What deployments allow in a window beside the ratio; the smallest one seen.
+/// Smallest number of repeats that a deployment allows in a window in addition to the ratio.
 const EXTRA: f64 = 49.0;
 
-/// What happens at one back end in one step: first arrivals, repeats that callers would like to send.
+/// Activity at one backend in one step: first arrivals, repeats that callers want to send.
 type Activity = (u8, u8);
 
 fn window() -> RepeatWindow {
     RepeatWindow::new(RATIO, WINDOW)
 }
 
-/// Asserts the deployment's bound for every window that ends with a step.
+/// Asserts the deployment's limit for every window that ends with a step.
 fn assert_bound(history: &[(f64, f64)]) -> Result<(), TestCaseError> {
     let steps = (WINDOW.as_millis() / STEP.as_millis()) as usize;
     let first =
@@ -49,20 +50,20 @@
     #![proptest_config(ProptestConfig::with_cases(128))]
 
     #[test]
-    fn repeats_stay_within_the_bound_in_every_window(
-        back_ends in 1_usize..20,
+    fn repeats_stay_within_the_limit_in_every_window(
+        backends in 1_usize..20,
         activity in proptest::collection::vec((0_u8..20, 0_u8..20), 50..500),
         shift in 0_usize..1_000,
         restarts in proptest::collection::vec((0_usize..500, 0_usize..20), 0..6),
     ) {
-        let mut windows: Vec<RepeatWindow> = (0..back_ends).map(|_| window()).collect();
+        let mut windows: Vec<RepeatWindow> = (0..backends).map(|_| window()).collect();
         let mut history = Vec::new();
         let mut now = Timestamp::ZERO;
         for step in 0..activity.len() {
             now = now + STEP;
-            for (at, back_end) in &restarts {
+            for (at, backend) in &restarts {
                 if *at == step {
-                    windows[back_end % back_ends] = window();
+                    windows[backend % backends] = window();
                 }
             }
             let (mut firsts, mut repeats) = (0.0, 0.0);
@@ -83,7 +84,7 @@
     }
 }
 
-/// Admits as many repeats as the window lets pass in ten seconds of steady traffic; gives them and the calls.
+/// Returns the number of calls and of admitted repeats in ten seconds of steady traffic.
 fn steady(priority: Priority) -> (u32, u32) {
     let mut window = window();
     let (mut calls, mut repeats) = (0, 0);
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_lasting_need_for_repeats_uses_most_of_the_bound() {
+fn sustained_demand_for_repeats_uses_most_of_the_limit() {
     let (calls, repeats) = steady(Priority::HIGHEST);
     let share = f64::from(repeats) / (f64::from(calls) * RATIO);
     assert!(
@@ -112,13 +113,13 @@
 }
 
 #[test]
-fn less_important_calls_leave_a_part_of_the_bound_to_the_most_important_ones() {
+fn less_important_calls_leave_a_part_of_the_limit_to_the_most_important_ones() {
     let lowest = steady(Priority::LOWEST).1;
     let highest = steady(Priority::HIGHEST).1;
     assert!(lowest * 10 <= highest * 7, "{lowest} beside {highest}");
 }
 
 #[test]
-fn a_back_end_to_which_nothing_came_gets_no_repeat() {
+fn a_backend_without_first_arrivals_gets_no_repeat() {
     assert!(!window().admit_repeat(Timestamp::ZERO, Priority::HIGHEST));
 }
--- a/crates/core/tests/routing_learning.rs
+++ b/crates/core/tests/routing_learning.rs
@@ -1,4 +1,5 @@
-//! How a router reacts to what it observes: lies, slowness, failures, cold starts and distance.
+//! Reactions of a router to its observations: misreported load, slowness, failures, cold starts and
+//! distance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,18 +18,18 @@
 const LIMIT: u32 = 10;
 /// Share of each of four equal endpoints.
 const FAIR_SHARE: f64 = 0.25;
-/// Largest share of calls that only look for headroom: 1,000 calls in 5 s, two endpoints, each tried
-/// once in the lifetime of a report (1 s).
-const PROBES: f64 = 0.012;
+/// Largest share of calls that only probe for headroom: 1,000 calls in 5 s, two endpoints, each
+/// probed once in the lifetime of a report (1 s).
+const PROBE_SHARE: f64 = 0.012;
 const HEALTHY: Behaviour = Behaviour {
     latency_ms: 10,
     outcome: OutcomeClass::Run,
     error_answer: false,
     overloaded: false,
-    reported: Reported::Honest(2),
+    reported: Reported::Actual(2),
 };
 
-/// How an endpoint answers.
+/// Behaviour of an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Behaviour {
     latency_ms: u64,
@@ -38,23 +39,23 @@
     reported: Reported,
 }
 
-/// What an endpoint says of its load.
+/// Load that an endpoint reports.
 #[derive(Clone, Copy, Debug)]
 enum Reported {
-    /// Calls of other callers, plus the router's own.
-    Honest(u32),
-    /// Always the same.
+    /// The calls of other callers plus the router's own.
+    Actual(u32),
+    /// A constant value.
     Fixed(u32),
 }
 
-/// A call that has not ended.
+/// A call that has not completed.
 struct Running {
-    ends_at: Timestamp,
+    completes_at: Timestamp,
     endpoint: EndpointId,
     behaviour: Behaviour,
 }
 
-/// A router whose calls end after what the endpoint's behaviour says.
+/// A router whose calls complete according to the behaviour of their endpoint.
 struct Harness {
     running: Vec<Running>,
     router: Router,
@@ -77,13 +78,13 @@
             .map(|(name, zone, _)| endpoint(name, zone))
             .collect();
         for (name, _, behaviour) in endpoints {
-            harness.behave(name, *behaviour);
+            harness.set_behaviour(name, *behaviour);
         }
         harness.router.set_endpoints(harness.now, listed);
         harness
     }
 
-    fn behave(&mut self, name: &str, behaviour: Behaviour) {
+    fn set_behaviour(&mut self, name: &str, behaviour: Behaviour) {
         self.behaviours.insert(EndpointId::from(name), behaviour);
     }
 
@@ -98,17 +99,17 @@
         }
     }
 
-    /// Starts calls at a fixed rate and counts where they went.
+    /// Starts calls at a fixed rate and counts them by endpoint.
     fn call(&mut self, calls: u32, apart: Duration) -> BTreeMap<EndpointId, u32> {
         let mut counts = BTreeMap::new();
         for _ in 0..calls {
             self.now = self.now + apart;
-            self.end_calls();
+            self.complete_calls();
             let endpoint = self.pick();
             self.router.dispatched(self.now, &endpoint);
             let behaviour = self.behaviours[&endpoint];
             self.running.push(Running {
-                ends_at: self.now + Duration::from_millis(behaviour.latency_ms),
+                completes_at: self.now + Duration::from_millis(behaviour.latency_ms),
                 endpoint: endpoint.clone(),
                 behaviour,
             });
@@ -117,19 +118,19 @@
         counts
     }
 
-    fn end_calls(&mut self) {
+    fn complete_calls(&mut self) {
         let now = self.now;
-        let ended: Vec<Running> = self
+        let completed: Vec<Running> = self
             .running
-            .extract_if(.., |call| call.ends_at <= now)
+            .extract_if(.., |call| call.completes_at <= now)
             .collect();
-        for call in ended {
+        for call in completed {
             let others = self.running.iter();
             let own = others
                 .filter(|other| other.endpoint == call.endpoint)
                 .count();
             let in_flight = match call.behaviour.reported {
-                Reported::Honest(base) => base + own as u32,
+                Reported::Actual(base) => base + own as u32,
                 Reported::Fixed(fixed) => fixed,
             };
             let observation = Observation {
@@ -148,14 +149,14 @@
         }
     }
 
-    /// Share of `calls` calls that goes to one endpoint.
+    /// Returns the share of `calls` calls that one endpoint gets.
     fn share(&mut self, name: &str, calls: u32) -> f64 {
         let counts = self.call(calls, Duration::from_millis(1));
         let count = counts.get(&EndpointId::from(name)).copied().unwrap_or(0);
         f64::from(count) / f64::from(calls)
     }
 
-    /// Ends calls to one endpoint without an answer.
+    /// Completes calls to one endpoint without a response.
     fn fail(&mut self, name: &str, calls: u32) {
         let endpoint = EndpointId::from(name);
         let lost = Observation {
@@ -173,9 +174,9 @@
     }
 
     fn ejected(&self) -> usize {
-        let views = self.router.views(self.now);
-        views
-            .filter(|view| view.hold == Some(HoldReason::Ejected))
+        let endpoint_statuses = self.router.endpoint_statuses(self.now);
+        endpoint_statuses
+            .filter(|endpoint_status| endpoint_status.hold == Some(HoldReason::Ejected))
             .count()
     }
 }
@@ -192,8 +193,8 @@
     }
 }
 
-/// Four endpoints of the router's own zone, the first of which behaves as given.
-fn four(first: Behaviour) -> Harness {
+/// Creates four endpoints in the router's zone, the first of which has the given behaviour.
+fn four_endpoints(first: Behaviour) -> Harness {
     Harness::new(&[
         ("slot-0", "ikeja", first),
         ("slot-1", "ikeja", HEALTHY),
@@ -204,12 +205,12 @@
 
 #[test]
 fn misbehaving_endpoints_lose_their_share() {
-    let slow_liar = Behaviour {
+    let slow_reports_idle = Behaviour {
         latency_ms: 100,
         reported: Reported::Fixed(0),
         ..HEALTHY
     };
-    let refusing_liar = Behaviour {
+    let refusing_reports_idle = Behaviour {
         latency_ms: 1,
         outcome: OutcomeClass::NotRun,
         error_answer: false,
@@ -236,13 +237,13 @@
     let cases = [
         ("fast failure", fast_failure, 0.05),
         ("healthy", HEALTHY, 0.30),
-        ("slow, reports no load", slow_liar, 0.06),
-        ("refuses, reports no load", refusing_liar, 0.06),
+        ("slow, reports no load", slow_reports_idle, 0.06),
+        ("refuses, reports no load", refusing_reports_idle, 0.06),
         ("loses every call", broken, 0.03),
-        ("can't be connected to", unreachable, 0.03),
+        ("refuses connections", unreachable, 0.03),
     ];
     for (name, behaviour, most) in cases {
-        let mut harness = four(behaviour);
+        let mut harness = four_endpoints(behaviour);
         harness.call(400, Duration::from_millis(1));
         let share = harness.share("slot-0", 2_000);
         println!("{name}: share {share:.3}");
@@ -252,7 +253,7 @@
 
 #[test]
 fn an_endpoint_that_recovers_gets_its_share_back() {
-    let slow_liar = Behaviour {
+    let slow_reports_idle = Behaviour {
         latency_ms: 100,
         reported: Reported::Fixed(0),
         ..HEALTHY
@@ -262,10 +263,13 @@
         reported: Reported::Fixed(0),
         ..HEALTHY
     };
-    for (name, behaviour) in [("slow liar", slow_liar), ("broken", broken)] {
-        let mut harness = four(behaviour);
+    for (name, behaviour) in [
+        ("slow, reports no load", slow_reports_idle),
+        ("broken", broken),
+    ] {
+        let mut harness = four_endpoints(behaviour);
         harness.call(1_000, Duration::from_millis(1));
-        harness.behave("slot-0", HEALTHY);
+        harness.set_behaviour("slot-0", HEALTHY);
         harness.call(2_000, Duration::from_millis(10));
         let share = harness.share("slot-0", 2_000);
         println!("{name}: share after recovery {share:.3}");
@@ -300,7 +304,7 @@
 
 #[test]
 fn an_ejected_endpoint_is_used_when_the_others_are_gone() {
-    let mut harness = four(HEALTHY);
+    let mut harness = four_endpoints(HEALTHY);
     harness.fail("slot-0", 5);
     assert_eq!(harness.ejected(), 1);
     harness
@@ -310,14 +314,14 @@
 }
 
 #[test]
-fn a_new_incarnation_has_no_past() {
+fn a_new_incarnation_starts_without_observations() {
     let broken = Behaviour {
         outcome: OutcomeClass::Unknown,
         ..HEALTHY
     };
-    let mut harness = four(broken);
+    let mut harness = four_endpoints(broken);
     harness.call(200, Duration::from_millis(1));
-    harness.behave("slot-0", HEALTHY);
+    harness.set_behaviour("slot-0", HEALTHY);
     let restarted = Endpoint {
         incarnation: 2,
         ..endpoint("slot-0", "ikeja")
@@ -331,7 +335,7 @@
 
 #[test]
 fn a_cold_endpoint_ramps_up() {
-    let mut harness = four(HEALTHY);
+    let mut harness = four_endpoints(HEALTHY);
     let started_at = Some(harness.now);
     let cold = Endpoint {
         started_at,
@@ -355,17 +359,17 @@
         reported: Reported::Fixed(reported),
         ..HEALTHY
     };
-    // Reported load of the own zone and of the other, bounds of the other zone's share. A zone under
-    // pressure tries each endpoint of the other now and then, to learn of headroom.
+    // Reported load of the local zone and of the other, bounds of the other zone's share. A loaded
+    // zone occasionally probes each endpoint of the other one for headroom.
     let cases = [
         (0, 0, 0.0, 0.0),
         (4, 0, 0.0, 0.0),
         (4, 9, 0.0, 0.0),
-        (9, 9, 0.0, PROBES),
-        (10, 9, 0.0, PROBES),
+        (9, 9, 0.0, PROBE_SHARE),
+        (10, 9, 0.0, PROBE_SHARE),
         (10, 4, 0.9, 1.0),
         (15, 2, 0.9, 1.0),
-        (15, 15, 0.0, PROBES),
+        (15, 15, 0.0, PROBE_SHARE),
     ];
     for (near, far, least, most) in cases {
         let mut harness = Harness::new(&[
@@ -383,13 +387,13 @@
         let share = f64::from(remote) / 1_000.0;
         assert!(
             (least..=most).contains(&share),
-            "own zone {near}, other zone {far} of {LIMIT}: share {share} (seed {SEED})"
+            "local zone {near}, other zone {far} of {LIMIT}: share {share} (seed {SEED})"
         );
     }
 }
 
 #[test]
-fn a_zone_that_fails_whole_is_left() {
+fn a_zone_that_fails_entirely_is_avoided() {
     let broken = Behaviour {
         outcome: OutcomeClass::Unknown,
         ..HEALTHY
@@ -408,10 +412,10 @@
     );
 }
 
-/// Incarnations of one endpoint in the order in which they are heard, and whether what was learned
-/// before the last one is kept.
+/// Incarnations of one endpoint in the order in which they are received, and whether observations
+/// made before the last one are kept.
 #[test]
-fn only_a_later_incarnation_forgets_the_past() {
+fn only_a_later_incarnation_drops_observations() {
     let cases: [(&[u64], bool); 5] = [
         (&[0], true),
         (&[7], true),
@@ -441,9 +445,12 @@
         for incarnation in incarnations {
             router.heard_incarnation(now, &listed.id, *incarnation);
         }
-        let view = router.views(now).next().expect("one endpoint is listed");
-        let kept = view.level == AdmissionLevel::CLOSED;
+        let endpoint_status = router
+            .endpoint_statuses(now)
+            .next()
+            .expect("one endpoint is listed");
+        let kept = endpoint_status.level == AdmissionLevel::CLOSED;
         assert_eq!(kept, is_kept, "{incarnations:?}");
-        assert_eq!(view.weight >= 1.0, is_kept, "{incarnations:?}");
+        assert_eq!(endpoint_status.weight >= 1.0, is_kept, "{incarnations:?}");
     }
 }
--- a/crates/core/tests/routing_pick.rs
+++ b/crates/core/tests/routing_pick.rs
@@ -1,4 +1,4 @@
-//! What a router may pick, under any order of lists, picks, answers and refusals.
+//! Endpoints that a router may pick, under any order of lists, picks, responses and refusals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -37,9 +37,9 @@
     Wait(u64),
 }
 
-/// What the test knows of one endpoint by itself.
+/// Expected state of one endpoint.
 #[derive(Clone, Debug)]
-struct Known {
+struct Expected {
     listed: Listed,
     in_flight: u32,
     held_until: Timestamp,
@@ -92,7 +92,8 @@
     prop_oneof![
         1 => prop::collection::vec(listed(), 0..6).prop_map(Step::List),
         8 => (0..8_u8, excluded).prop_map(|(priority, excluded)| Step::Pick { priority, excluded }),
-        6 => (0..20_usize, observation()).prop_map(|(call, seen)| Step::End(call, seen)),
+        6 => (0..20_usize, observation())
+            .prop_map(|(call, observation)| Step::End(call, observation)),
         1 => (0..6_u8).prop_map(Step::RefusedAsLeaving),
         1 => (0..6_u8).prop_map(Step::ConnectionRefused),
         2 => (0..3_000_u64).prop_map(Step::Wait),
@@ -108,13 +109,13 @@
     AdmissionKey::new(priority, Rank::from_number(7))
 }
 
-/// The router beside the test's own record of what it was told.
+/// The router together with the expected state of its endpoints.
 struct Harness {
     router: Router,
     settings: RouterSettings,
     rng: Pcg64Mcg,
     now: Timestamp,
-    known: BTreeMap<EndpointId, Known>,
+    expected: BTreeMap<EndpointId, Expected>,
     calls: Vec<EndpointId>,
 }
 
@@ -126,7 +127,7 @@
             settings,
             rng: Pcg64Mcg::seed_from_u64(SEED),
             now: Timestamp::from_millis(10_000),
-            known: BTreeMap::new(),
+            expected: BTreeMap::new(),
             calls: Vec::new(),
         }
     }
@@ -135,7 +136,7 @@
         match step {
             Step::List(list) => self.list(list),
             Step::Pick { priority, excluded } => self.pick(priority, &excluded),
-            Step::End(call, seen) => self.end(call, seen),
+            Step::End(call, observation) => self.end(call, observation),
             Step::RefusedAsLeaving(name) => {
                 self.router.refused_as_leaving(self.now, &id(name));
                 self.hold(name, self.settings.leaving_hold);
@@ -151,9 +152,9 @@
     fn list(&mut self, mut list: Vec<Listed>) {
         list.sort_by_key(|listed| listed.name);
         list.dedup_by_key(|listed| listed.name);
-        let old = std::mem::take(&mut self.known);
+        let old = std::mem::take(&mut self.expected);
         for listed in &list {
-            let fresh = Known {
+            let fresh = Expected {
                 listed: listed.clone(),
                 in_flight: 0,
                 held_until: Timestamp::ZERO,
@@ -161,18 +162,18 @@
             };
             let same = old
                 .get(&id(listed.name))
-                .filter(|known| known.listed.incarnation == listed.incarnation);
-            let known = same.map_or(fresh.clone(), |known| Known {
+                .filter(|expected| expected.listed.incarnation == listed.incarnation);
+            let expected = same.map_or(fresh.clone(), |expected| Expected {
                 listed: listed.clone(),
-                ..known.clone()
+                ..expected.clone()
             });
-            self.known.insert(id(listed.name), known);
+            self.expected.insert(id(listed.name), expected);
         }
-        // Calls to an incarnation that is gone end with it.
-        let known = &self.known;
-        let goes_on =
-            |endpoint: &EndpointId| known.get(endpoint).is_some_and(|it| it.in_flight > 0);
-        self.calls.retain(goes_on);
+        // Calls to an incarnation that is no longer listed are dropped.
+        let expected = &self.expected;
+        let is_current =
+            |endpoint: &EndpointId| expected.get(endpoint).is_some_and(|it| it.in_flight > 0);
+        self.calls.retain(is_current);
         let endpoints = list.iter().map(|listed| Endpoint {
             id: id(listed.name),
             zone: Zone::from(ZONES[listed.zone]),
@@ -202,8 +203,8 @@
                 assert!(possible, "{endpoint} picked though nothing can be picked");
                 self.check_picked(&endpoint, &request);
                 self.router.dispatched(self.now, &endpoint);
-                let known = self.known.get_mut(&endpoint).expect("checked before");
-                known.in_flight += 1;
+                let expected = self.expected.get_mut(&endpoint).expect("checked before");
+                expected.in_flight += 1;
                 self.calls.push(endpoint);
             }
             Pick::None {
@@ -215,26 +216,26 @@
                 assert!(retry_after > Duration::ZERO, "{reason:?}");
                 assert!(
                     !self.some_is_free(&request),
-                    "live and free endpoint left out"
+                    "a live and free endpoint was not picked"
                 );
             }
         }
     }
 
     fn check_picked(&self, endpoint: &EndpointId, request: &PickRequest<'_>) {
-        let known = self.known.get(endpoint).expect("a listed endpoint");
-        assert!(!known.listed.leaving, "{endpoint} is leaving");
+        let expected = self.expected.get(endpoint).expect("a listed endpoint");
+        assert!(!expected.listed.leaving, "{endpoint} is leaving");
         assert!(
             !request.excluded.contains(endpoint),
             "{endpoint} is excluded"
         );
         assert!(
-            known.in_flight < known.listed.connections,
+            expected.in_flight < expected.listed.connections,
             "{endpoint} is full"
         );
-        assert!(known.held_until <= self.now, "{endpoint} is held");
-        if let Some((heard_at, level)) = known.closed
-            && heard_at == self.now
+        assert!(expected.held_until <= self.now, "{endpoint} is on hold");
+        if let Some((received_at, level)) = expected.closed
+            && received_at == self.now
         {
             assert!(
                 level.admits(request.key),
@@ -243,42 +244,42 @@
         }
     }
 
-    /// Whether some endpoint could take the call by everything that the test knows.
+    /// Returns true if some endpoint can take the call according to the expected state.
     fn some_is_free(&self, request: &PickRequest<'_>) -> bool {
-        let reopened = |known: &Known| {
-            known.closed.is_none_or(|(heard_at, level)| {
-                level.admits(request.key) || self.now >= heard_at + self.settings.level_reopen
+        let reopened = |expected: &Expected| {
+            expected.closed.is_none_or(|(received_at, level)| {
+                level.admits(request.key) || self.now >= received_at + self.settings.level_reopen
             })
         };
-        self.known.iter().any(|(endpoint, known)| {
-            !known.listed.leaving
+        self.expected.iter().any(|(endpoint, expected)| {
+            !expected.listed.leaving
                 && !request.excluded.contains(endpoint)
-                && known.in_flight < known.listed.connections
-                && known.held_until <= self.now
-                && reopened(known)
+                && expected.in_flight < expected.listed.connections
+                && expected.held_until <= self.now
+                && reopened(expected)
         })
     }
 
-    fn end(&mut self, call: usize, seen: Observation) {
+    fn end(&mut self, call: usize, observation: Observation) {
         if call >= self.calls.len() {
             return;
         }
         let endpoint = self.calls.swap_remove(call);
-        self.router.observe(self.now, &endpoint, seen);
-        let known = self
-            .known
+        self.router.observe(self.now, &endpoint, observation);
+        let expected = self
+            .expected
             .get_mut(&endpoint)
-            .expect("calls end with their endpoint");
-        known.in_flight -= 1;
-        if let Some(level) = seen.level {
-            known.closed = Some((self.now, level));
+            .expect("calls are dropped with their endpoint");
+        expected.in_flight -= 1;
+        if let Some(level) = observation.level {
+            expected.closed = Some((self.now, level));
         }
     }
 
     fn hold(&mut self, name: u8, time: Duration) {
         let until = self.now + time;
-        if let Some(known) = self.known.get_mut(&id(name)) {
-            known.held_until = known.held_until.max(until);
+        if let Some(expected) = self.expected.get_mut(&id(name)) {
+            expected.held_until = expected.held_until.max(until);
         }
     }
 }
--- a/crates/core/tests/routing_refusal.rs
+++ b/crates/core/tests/routing_refusal.rs
@@ -1,4 +1,4 @@
-//! What a router answers when no endpoint can take a call, and whom it asks instead.
+//! Results of a router when no endpoint can take a call, and the endpoints that it picks instead.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     level: Some(AdmissionLevel::CLOSED),
 };
 
-/// A router with one endpoint, of one connection, for each state.
+/// Creates a router with one endpoint, of one connection, for each state.
 fn router(states: &[EndpointState]) -> Router {
     let mut router = Router::new(RouterSettings::default(), Zone::from("ikeja"));
     let numbered = states.iter().enumerate();
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn the_reason_for_no_pick_names_what_is_short() {
-    // Endpoints, those that are closed, those that are full, those that were tried, reason.
+fn the_reason_for_no_pick_names_the_exhausted_resource() {
+    // Endpoints, closed ones, full ones, ones already tried, expected reason.
     type Numbers = &'static [usize];
     type Case = (
         &'static [EndpointState],
@@ -117,8 +117,8 @@
 }
 
 #[test]
-fn the_level_of_a_service_is_that_of_its_most_open_endpoint() {
-    // Endpoints, those that are closed, whether the service's level is closed.
+fn a_service_is_closed_only_if_all_its_live_endpoints_are() {
+    // Endpoints, closed ones, whether the service's level is closed.
     #[rustfmt::skip]
     let cases: [(&[EndpointState], &[usize], bool); 5] = [
         (&[], &[], false),
@@ -160,7 +160,7 @@
     }
 }
 
-/// An endpoint that gets no calls says nothing about what its service admits.
+/// The level of an endpoint that gets no calls is not current and must not affect its service.
 #[test]
 fn an_endpoint_on_hold_does_not_open_its_service() {
     let mut router = router(&[Live, Live, Live]);
@@ -171,5 +171,9 @@
     router.connection_refused(NOW, &id(2));
     assert_eq!(router.level(NOW), AdmissionLevel::CLOSED);
     router.refused_as_leaving(NOW, &id(0));
-    assert_eq!(router.level(NOW), AdmissionLevel::OPEN, "nothing is known");
+    assert_eq!(
+        router.level(NOW),
+        AdmissionLevel::OPEN,
+        "no endpoint is counted"
+    );
 }
--- a/crates/core/tests/routing_subset.rs
+++ b/crates/core/tests/routing_subset.rs
@@ -1,4 +1,4 @@
-//! The part of the endpoints that one caller uses, and the connections that follow from it.
+//! The endpoints that one caller uses, and the resulting number of connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,10 +34,10 @@
     let zone = Zone::from(ZONES[caller % ZONES.len()]);
     let mut router = Router::new(settings, zone);
     router.set_endpoints(Timestamp::ZERO, endpoints);
-    let views = router.views(Timestamp::ZERO);
-    views
-        .filter(|view| view.in_subset)
-        .map(|view| view.id)
+    let endpoint_statuses = router.endpoint_statuses(Timestamp::ZERO);
+    endpoint_statuses
+        .filter(|endpoint_status| endpoint_status.in_subset)
+        .map(|endpoint_status| endpoint_status.id)
         .collect()
 }
 
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn an_endpoint_that_goes_changes_one_place() {
+fn a_removed_endpoint_changes_one_position() {
     let all = endpoints(40, 120);
     for caller in 0..50 {
         let before = subset(caller, 600, all.clone());
-        let gone = before.first().expect("a subset is not empty").clone();
-        let mut left = all.clone();
-        left.retain(|endpoint| endpoint.id != gone);
-        let after = subset(caller, 600, left);
+        let removed = before.first().expect("a subset is not empty").clone();
+        let mut remaining = all.clone();
+        remaining.retain(|endpoint| endpoint.id != removed);
+        let after = subset(caller, 600, remaining);
         let kept = before.intersection(&after).count();
         assert!(
             kept + 1 >= before.len().min(after.len()),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn leaving_endpoints_take_no_place() {
+fn leaving_endpoints_take_no_position() {
     let mut all = endpoints(20, 120);
     let before = subset(3, 400, all.clone());
     for endpoint in &mut all {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_own_zone_fills_the_subset_first_and_leaves_room_for_others() {
+fn the_local_zone_fills_the_subset_first_and_leaves_room_for_others() {
     let chosen = subset(0, 400, endpoints(40, 120));
     let zone_of = |id: &EndpointId| {
         let number: usize = id
