--- a/crates/core/examples/retry_splits.rs
+++ b/crates/core/examples/retry_splits.rs
@@ -286,13 +286,13 @@
             self.schedule(0, Event::Lost(target));
             return;
         }
-        let respond = Event::Response {
+        let response = Event::Response {
             target,
             returned,
             code: ResultCode::Answered,
             failed,
         };
-        self.schedule(0, respond);
+        self.schedule(0, response);
     }
 }
 
@@ -372,7 +372,7 @@
         ),
     ];
     let splits: Vec<String> = AllowanceSplit::ALL.map(|split| format!("{split:?}")).into();
-    println!("seed {seed}, {REQUESTS} requests a cell, share of requests answered whole");
+    println!("seed {seed}, {REQUESTS} requests a cell, share of requests with a complete response");
     println!(
         "| call tree, faults | R | hint | {} | most retries |",
         splits.join(" | ")
--- a/crates/core/examples/routing_pick_cost.rs
+++ b/crates/core/examples/routing_pick_cost.rs
@@ -106,7 +106,7 @@
         let mut router = router(0, count, subset);
         let shown = router
             .endpoint_statuses(Timestamp::ZERO)
-            .filter(|endpoint_status| endpoint_status.in_subset)
+            .filter(|status| status.in_subset)
             .count();
         let (pick, round) = time_rounds(&mut router);
         println!(
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -71,7 +71,7 @@
 
     /// Returns the Unix time in milliseconds at which the key was created.
     #[must_use]
-    pub const fn minted_at_unix_millis(self) -> u64 {
+    pub const fn created_at_unix_millis(self) -> u64 {
         (self.0 >> Self::TIMESTAMP_SHIFT) as u64
     }
 }
--- a/crates/core/src/idempotency/claim/coordinator.rs
+++ b/crates/core/src/idempotency/claim/coordinator.rs
@@ -32,7 +32,7 @@
     /// Won; the request is dispatched and its outcome is not known yet.
     Dispatched,
     /// The response to the caller is decided.
-    Answered,
+    Concluded,
 }
 
 /// Claims one key for one request.
@@ -97,7 +97,7 @@
     /// withdrawals and the outcome, or their delivery was given up.
     #[must_use]
     pub const fn is_finished(&self) -> bool {
-        matches!(self.phase, Phase::Answered) && self.deliveries.is_empty()
+        matches!(self.phase, Phase::Concluded) && self.deliveries.is_empty()
     }
 
     /// Returns the time at which [`Self::advance`] has work to do.
@@ -235,7 +235,7 @@
             _ if !same_request => self.refuse(ResultCode::IdempotencyKeyReused),
             RecordedOutcome::Lost => self.refuse(ResultCode::ClaimUncertain),
             RecordedOutcome::Answered(answer) => {
-                self.phase = Phase::Answered;
+                self.phase = Phase::Concluded;
                 CoordinatorEffect::Replay(answer)
             }
         });
@@ -250,8 +250,8 @@
         lost.then_some(ResultCode::IdempotencyKeyReused)
     }
 
-    /// Returns true if the votes are split and another claim has more votes, or as many and a
-    /// greater id. Of two claims that see each other, exactly one yields.
+    /// Returns true if this claim has votes, no claim has won and another claim has more votes, or
+    /// as many and a greater id. Of two claims that see each other, exactly one yields.
     fn must_yield(&self, tally: &Tally) -> bool {
         let own = (tally.votes(self.claim), self.claim);
         let decided = tally.seen().any(|(claim, _)| tally.has_won(claim));
@@ -342,7 +342,7 @@
     }
 
     fn refuse(&mut self, code: ResultCode) -> CoordinatorEffect {
-        self.phase = Phase::Answered;
+        self.phase = Phase::Concluded;
         CoordinatorEffect::Refuse {
             code,
             retry_after: self.settings.retry_after,
@@ -394,7 +394,7 @@
         if self.phase != Phase::Dispatched {
             return Vec::new();
         }
-        self.phase = Phase::Answered;
+        self.phase = Phase::Concluded;
         let outcome = match outcome {
             ExecutionOutcome::NotRun => return self.withdraw(now),
             ExecutionOutcome::Unknown => RecordedOutcome::Lost,
--- a/crates/core/src/idempotency/clock.rs
+++ b/crates/core/src/idempotency/clock.rs
@@ -36,7 +36,7 @@
     /// Returns the time at which the caller created a key.
     #[must_use]
     pub const fn of_key(key: IdempotencyKey) -> Self {
-        Self(key.minted_at_unix_millis())
+        Self(key.created_at_unix_millis())
     }
 }
 
--- a/crates/core/src/quarantine/ledger.rs
+++ b/crates/core/src/quarantine/ledger.rs
@@ -15,7 +15,7 @@
 const CAPACITY: usize = 8_192;
 /// Reciprocal of the share of requests dropped together when the ledger is full. Dropping many at a
 /// time costs a flood one sort per that many requests.
-const DROPPED_SHARE: usize = 8;
+const EVICTION_DIVISOR: usize = 8;
 
 /// A terminated instance, identified by a hash of its identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -120,7 +120,7 @@
             .map(|(fingerprint, terminations)| (weight(terminations), *fingerprint))
             .collect();
         order.sort_unstable();
-        for (_, fingerprint) in order.into_iter().take(CAPACITY / DROPPED_SHARE) {
+        for (_, fingerprint) in order.into_iter().take(CAPACITY / EVICTION_DIVISOR) {
             self.requests.remove(&fingerprint);
         }
     }
--- a/crates/core/src/quarantine/table.rs
+++ b/crates/core/src/quarantine/table.rs
@@ -12,7 +12,7 @@
 /// dropped first, then suspects, the oldest first.
 const CAPACITY: usize = 4_096;
 /// Reciprocal of the share of requests dropped together when the table is full.
-const DROPPED_SHARE: usize = 8;
+const EVICTION_DIVISOR: usize = 8;
 /// Time for which a cleared request is remembered, which prevents delayed reports from making it a
 /// suspect again.
 const CLEARED_TIME: Duration = Duration::from_secs(30);
@@ -212,7 +212,7 @@
             .map(|(fingerprint, known)| (known.standing, known.since, *fingerprint))
             .collect();
         order.sort_unstable();
-        for (_, _, fingerprint) in order.into_iter().take(CAPACITY / DROPPED_SHARE) {
+        for (_, _, fingerprint) in order.into_iter().take(CAPACITY / EVICTION_DIVISOR) {
             self.known.remove(&fingerprint);
         }
     }
--- a/crates/core/src/routing/entry.rs
+++ b/crates/core/src/routing/entry.rs
@@ -142,7 +142,7 @@
     }
 
     /// Records that a call completed.
-    pub(super) fn ended(&mut self) {
+    pub(super) fn attempt_completed(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Records the completion and the observations of an attempt. Must be called at most once per
+    /// Records the completion and the observations of an attempt. Pairs with one call of
     /// [`Router::dispatched`].
     pub fn observe(&mut self, now: Timestamp, endpoint: &EndpointId, observation: Observation) {
         let Ok(index) = self.position(endpoint) else {
             return;
         };
         let entry = &mut self.entries[index];
-        entry.ended();
+        entry.attempt_completed();
         entry.observe(now, &observation, &self.reference);
         if entry.should_eject() {
             self.eject(now, index);
@@ -173,7 +173,7 @@
     /// the caller cancelled. Pairs with one call of [`Router::dispatched`].
     pub fn abandoned(&mut self, endpoint: &EndpointId) {
         if let Some(entry) = self.entry_mut(endpoint) {
-            entry.ended();
+            entry.attempt_completed();
         }
     }
 
--- a/crates/core/tests/admission_decisions.rs
+++ b/crates/core/tests/admission_decisions.rs
@@ -46,7 +46,7 @@
 
 #[test]
 fn each_refusal_has_its_code_and_outcome_not_run() {
-    let distant = millis(60_000);
+    let far_deadline = millis(60_000);
     // Ticket 0 occupies the only slot. Each case: name, inputs that follow, refused ticket and its
     // code.
     type Inputs = fn(&mut AdmissionController, Timestamp) -> Vec<AdmissionEffect>;
@@ -58,24 +58,24 @@
         ),
         (
             "the queue holds more important calls",
-            |controller, distant| {
-                controller.offer(millis(1), call(1, 1, distant));
-                controller.offer(millis(1), call(2, 2, distant))
+            |controller, far_deadline| {
+                controller.offer(millis(1), call(1, 1, far_deadline));
+                controller.offer(millis(1), call(2, 2, far_deadline))
             },
             (2, ResultCode::RefusedQueueFull),
         ),
         (
             "a more important call arrives",
-            |controller, distant| {
-                controller.offer(millis(1), call(1, 2, distant));
-                controller.offer(millis(1), call(2, 1, distant))
+            |controller, far_deadline| {
+                controller.offer(millis(1), call(1, 2, far_deadline));
+                controller.offer(millis(1), call(2, 1, far_deadline))
             },
             (1, ResultCode::DisplacedFromQueue),
         ),
         (
             "the wait is too long",
-            |controller, distant| {
-                controller.offer(millis(1), call(1, 2, distant));
+            |controller, far_deadline| {
+                controller.offer(millis(1), call(1, 2, far_deadline));
                 controller.advance(millis(51))
             },
             (1, ResultCode::QueueTimeout),
@@ -90,18 +90,18 @@
         ),
         (
             "the backend is leaving",
-            |controller, distant| {
+            |controller, far_deadline| {
                 controller.begin_drain(millis(1));
-                controller.offer(millis(2), call(1, 0, distant))
+                controller.offer(millis(2), call(1, 0, far_deadline))
             },
             (1, ResultCode::Draining),
         ),
     ];
     for (name, inputs, expected) in cases {
         let mut controller = controller(1, 1);
-        let first = controller.offer(Timestamp::ZERO, call(0, 0, distant));
+        let first = controller.offer(Timestamp::ZERO, call(0, 0, far_deadline));
         assert_eq!(first, [AdmissionEffect::Dispatch(CallTicket(0))], "{name}");
-        let refused = refusals(&inputs(&mut controller, distant));
+        let refused = refusals(&inputs(&mut controller, far_deadline));
         assert_eq!(refused, [expected], "{name}");
         assert_eq!(expected.1.outcome(), OutcomeClass::NotRun, "{name}");
     }
--- a/crates/core/tests/idempotency_cases.rs
+++ b/crates/core/tests/idempotency_cases.rs
@@ -26,7 +26,7 @@
 const REQUEST: Fingerprint = Fingerprint::from_u128(1);
 const OTHER_REQUEST: Fingerprint = Fingerprint::from_u128(2);
 
-fn key_minted_at(millis: u64) -> IdempotencyKey {
+fn key_created_at(millis: u64) -> IdempotencyKey {
     IdempotencyKey::from_u128(u128::from(millis) << 80)
 }
 
@@ -142,9 +142,9 @@
             abstained(Abstention::Expired),
         ),
     ];
-    for (name, minted, wall, expected) in cases {
+    for (name, created_at, wall, expected) in cases {
         let mut replica = replica("a", START, first_group());
-        let vote = claim(&mut replica, wall, &claim_on(key_minted_at(minted), 1));
+        let vote = claim(&mut replica, wall, &claim_on(key_created_at(created_at), 1));
         assert_eq!(vote, expected, "{name}");
     }
 }
@@ -154,7 +154,7 @@
 #[test]
 fn a_restarted_replica_with_a_slower_clock_abstains_on_earlier_votes() {
     let restart = READY;
-    let key = key_minted_at(restart + 2 * SKEW);
+    let key = key_created_at(restart + 2 * SKEW);
     let mut previous = replica("a", START, first_group());
     let vote = claim(&mut previous, restart + SKEW, &claim_on(key, 1));
     assert_eq!(vote, Vote::Granted);
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_replica_votes_for_one_claim_per_key() {
-    let key = key_minted_at(READY);
+    let key = key_created_at(READY);
     let mut replica = replica("a", START, first_group());
     assert_eq!(claim(&mut replica, READY, &claim_on(key, 1)), Vote::Granted);
     assert_eq!(
@@ -179,12 +179,12 @@
         by: claim_id(1),
         same_request,
     };
-    let rival = claim_on(key, 2);
+    let competing = claim_on(key, 2);
     let other_request = Claim {
         fingerprint: OTHER_REQUEST,
-        ..rival
+        ..competing
     };
-    assert_eq!(claim(&mut replica, READY, &rival), held(true));
+    assert_eq!(claim(&mut replica, READY, &competing), held(true));
     assert_eq!(claim(&mut replica, READY, &other_request), held(false));
     abandon(&mut replica, key, 2);
     assert_eq!(
@@ -204,7 +204,7 @@
 
 #[test]
 fn a_replica_keeps_outcomes_until_the_key_has_expired() {
-    let key = key_minted_at(READY);
+    let key = key_created_at(READY);
     let mut replica = replica("a", START, first_group());
     claim(&mut replica, READY, &claim_on(key, 1));
     store(&mut replica, READY, key, b"ok");
@@ -223,7 +223,7 @@
 
 #[test]
 fn a_full_replica_refuses_new_keys_and_keeps_its_records() {
-    let keys = [READY, READY + 1, READY + 2].map(key_minted_at);
+    let keys = [READY, READY + 1, READY + 2].map(key_created_at);
     let mut replica = replica("a", START, first_group());
     for key in &keys[..2] {
         assert_eq!(
@@ -264,7 +264,7 @@
     };
     assert_eq!(record.outcome, RecordedOutcome::Answered(without_content));
     let later = READY + RETENTION + 2 * SKEW + 2;
-    let fresh = claim_on(key_minted_at(later), 1);
+    let fresh = claim_on(key_created_at(later), 1);
     assert_eq!(
         claim(&mut replica, later, &fresh),
         Vote::Granted,
@@ -301,7 +301,7 @@
 
 #[test]
 fn a_new_member_takes_over_the_decisions_of_the_previous_group() {
-    let key = key_minted_at(READY);
+    let key = key_created_at(READY);
     let mut a = replica("a", START, first_group());
     let mut b = replica("b", START, first_group());
     let mut d = replica("d", START, second_group());
@@ -311,25 +311,25 @@
     assert!(!d.is_voting(), "one of three is not a majority");
     hand_over(&mut d, &mut [("a", &mut a), ("b", &mut b)], READY + 1_000);
     assert!(d.is_voting());
-    let rival = in_second_epoch(claim_on(key, 2));
+    let competing = in_second_epoch(claim_on(key, 2));
     let held = Vote::Held {
         by: claim_id(1),
         same_request: true,
     };
-    assert_eq!(claim(&mut d, READY, &rival), held);
+    assert_eq!(claim(&mut d, READY, &competing), held);
     let sealed = Vote::Abstained(Abstention::OtherEpoch);
-    let delayed = claim_on(key_minted_at(READY + 1), 3);
+    let delayed = claim_on(key_created_at(READY + 1), 3);
     for old in [&mut a, &mut b] {
         assert_eq!(claim(old, READY, &delayed), sealed, "sealed by the fetch");
     }
-    let fresh = in_second_epoch(claim_on(key_minted_at(READY + 1), 3));
+    let fresh = in_second_epoch(claim_on(key_created_at(READY + 1), 3));
     assert_eq!(claim(&mut d, READY, &fresh), Vote::Granted);
 }
 
 /// Two of the old members lost their votes, and the votes of the third alone are no majority.
 #[test]
 fn a_new_member_abstains_if_the_old_majority_lost_its_votes() {
-    let key = key_minted_at(READY);
+    let key = key_created_at(READY);
     let restart = READY + SKEW;
     let mut a = replica("a", START, first_group());
     let mut b = replica("b", restart, first_group());
@@ -345,7 +345,7 @@
 #[test]
 fn a_restarted_member_keeps_its_own_horizon() {
     let restart = READY + RETENTION / 2;
-    let key = key_minted_at(restart);
+    let key = key_created_at(restart);
     let mut a = replica("a", START, first_group());
     let mut b = replica("b", START, first_group());
     let mut d = replica("d", START, second_group());
@@ -364,7 +364,7 @@
 /// keys.
 #[test]
 fn a_new_member_abstains_on_records_beyond_its_capacity() {
-    let keys = [1, 2, 3, 4].map(|offset| key_minted_at(READY + offset));
+    let keys = [1, 2, 3, 4].map(|offset| key_created_at(READY + offset));
     let mut a = replica("a", START, first_group());
     let mut b = replica("b", START, first_group());
     for pair in keys.chunks(2) {
@@ -385,7 +385,7 @@
 
 #[test]
 fn a_split_vote_is_resolved_or_contested_at_handover() {
-    let key = key_minted_at(READY);
+    let key = key_created_at(READY);
     // Votes of the three old members, members that reply, vote of the new member.
     let contested = Vote::Abstained(Abstention::Contested);
     let held = |number| Vote::Held {
@@ -427,7 +427,7 @@
 
 #[test]
 fn a_replica_stops_voting_on_other_members_with_the_same_epoch() {
-    let key = key_minted_at(READY);
+    let key = key_created_at(READY);
     let mut a = replica("a", START, first_group());
     a.configure(Timestamp::ZERO, first_group());
     assert!(a.is_voting(), "the same group again");
@@ -521,7 +521,7 @@
     fn start() -> Self {
         let mut rng = Pcg64::seed_from_u64(1);
         let request = ClaimedRequest {
-            key: key_minted_at(READY),
+            key: key_created_at(READY),
             fingerprint: REQUEST,
             give_up_at: Timestamp::from_millis(1_000),
         };
@@ -623,17 +623,17 @@
             ResultCode::ClaimUnavailable,
         ),
         (
-            "a rival may win",
+            "another claim may win",
             [held(9, true), full(), None],
             ResultCode::ClaimUncertain,
         ),
         (
-            "a rival can't have won",
+            "another claim can't have won",
             [held(9, true), full(), full()],
             ResultCode::ClaimUnavailable,
         ),
         (
-            "a rival won",
+            "another claim won",
             [held(9, true), held(9, true), None],
             ResultCode::ClaimUncertain,
         ),
--- a/crates/core/tests/idempotency_protocol.rs
+++ b/crates/core/tests/idempotency_protocol.rs
@@ -2,7 +2,7 @@
 
 mod idempotency_support;
 
-use idempotency_support::{Action, CallState, EDGES, POOL, SKEW_MILLIS, World, ZONES};
+use idempotency_support::{Action, CallState, Deployment, EDGES, POOL, SKEW_MILLIS, ZONES};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -98,15 +98,15 @@
         members in prop_oneof![Just(1_usize), Just(3), Just(5)],
         actions in schedule(false),
     ) {
-        let mut world = World::new(seed, members);
-        actions.iter().for_each(|action| world.apply(action));
+        let mut deployment = Deployment::new(seed, members);
+        actions.iter().for_each(|action| deployment.apply(action));
     }
 
     /// The same while the group is replaced repeatedly.
     #[test]
     fn invariants_hold_over_epoch_changes(seed in any::<u64>(), actions in schedule(true)) {
-        let mut world = World::new(seed, 3);
-        actions.iter().for_each(|action| world.apply(action));
+        let mut deployment = Deployment::new(seed, 3);
+        actions.iter().for_each(|action| deployment.apply(action));
     }
 }
 
@@ -117,16 +117,16 @@
     /// answered from the record.
     #[test]
     fn serves_a_fresh_key_after_any_history(seed in any::<u64>(), actions in schedule(false)) {
-        let mut world = World::new(seed, 3);
-        actions.iter().for_each(|action| world.apply(action));
-        world.end_faults();
-        world.create_key(KEYS);
-        let first = world.call(0, KEYS, 0);
-        world.run_without_faults(200);
-        prop_assert_eq!(world.state(first), &CallState::Dispatched);
-        world.complete_all(2);
-        let repeat = world.call(1, KEYS, 0);
-        world.run_without_faults(500);
-        prop_assert!(matches!(world.state(repeat), CallState::Replayed(_)));
+        let mut deployment = Deployment::new(seed, 3);
+        actions.iter().for_each(|action| deployment.apply(action));
+        deployment.end_faults();
+        deployment.create_key(KEYS);
+        let first = deployment.call(0, KEYS, 0);
+        deployment.run_without_faults(200);
+        prop_assert_eq!(deployment.state(first), &CallState::Dispatched);
+        deployment.complete_all(2);
+        let repeat = deployment.call(1, KEYS, 0);
+        deployment.run_without_faults(500);
+        prop_assert!(matches!(deployment.state(repeat), CallState::Replayed(_)));
     }
 }
--- a/crates/core/tests/idempotency_support/mod.rs
+++ b/crates/core/tests/idempotency_support/mod.rs
@@ -147,7 +147,7 @@
 }
 
 /// The deployment, its faults and the record of every dispatch.
-pub(crate) struct World {
+pub(crate) struct Deployment {
     rng: Pcg64,
     millis: u64,
     step: u64,
@@ -186,9 +186,9 @@
     }
 }
 
-impl World {
+impl Deployment {
     pub(crate) fn new(seed: u64, members: usize) -> Self {
-        let mut world = Self {
+        let mut deployment = Self {
             rng: Pcg64::seed_from_u64(seed),
             millis: START_MILLIS,
             step: 0,
@@ -203,18 +203,18 @@
             partitions: BTreeSet::new(),
         };
         for index in 0..POOL {
-            let offset = world.rng.random_range(0..=1) * SKEW_MILLIS;
-            let node = world.start_replica(index, offset);
-            world.replicas.push(node);
+            let offset = deployment.rng.random_range(0..=1) * SKEW_MILLIS;
+            let node = deployment.start_replica(index, offset);
+            deployment.replicas.push(node);
         }
-        world.edges.extend((0..EDGES).map(|_| Edge {
+        deployment.edges.extend((0..EDGES).map(|_| Edge {
             clock_offset: SKEW_MILLIS / 2,
             paused: false,
             configured: 0,
         }));
         // Every replica abstains until its horizon has passed.
-        world.millis += 3 * SKEW_MILLIS;
-        world
+        deployment.millis += 3 * SKEW_MILLIS;
+        deployment
     }
 
     fn now(&self) -> Timestamp {
--- a/crates/core/tests/routing_learning.rs
+++ b/crates/core/tests/routing_learning.rs
@@ -174,9 +174,9 @@
     }
 
     fn ejected(&self) -> usize {
-        let endpoint_statuses = self.router.endpoint_statuses(self.now);
-        endpoint_statuses
-            .filter(|endpoint_status| endpoint_status.hold == Some(HoldReason::Ejected))
+        let statuses = self.router.endpoint_statuses(self.now);
+        statuses
+            .filter(|status| status.hold == Some(HoldReason::Ejected))
             .count()
     }
 }
@@ -445,12 +445,12 @@
         for incarnation in incarnations {
             router.heard_incarnation(now, &listed.id, *incarnation);
         }
-        let endpoint_status = router
+        let status = router
             .endpoint_statuses(now)
             .next()
             .expect("one endpoint is listed");
-        let kept = endpoint_status.level == AdmissionLevel::CLOSED;
+        let kept = status.level == AdmissionLevel::CLOSED;
         assert_eq!(kept, is_kept, "{incarnations:?}");
-        assert_eq!(endpoint_status.weight >= 1.0, is_kept, "{incarnations:?}");
+        assert_eq!(status.weight >= 1.0, is_kept, "{incarnations:?}");
     }
 }
--- a/crates/core/tests/routing_subset.rs
+++ b/crates/core/tests/routing_subset.rs
@@ -34,10 +34,10 @@
     let zone = Zone::from(ZONES[caller % ZONES.len()]);
     let mut router = Router::new(settings, zone);
     router.set_endpoints(Timestamp::ZERO, endpoints);
-    let endpoint_statuses = router.endpoint_statuses(Timestamp::ZERO);
-    endpoint_statuses
-        .filter(|endpoint_status| endpoint_status.in_subset)
-        .map(|endpoint_status| endpoint_status.id)
+    let statuses = router.endpoint_statuses(Timestamp::ZERO);
+    statuses
+        .filter(|status| status.in_subset)
+        .map(|status| status.id)
         .collect()
 }
 
