--- a/crates/core/src/admission/reserve.rs
+++ b/crates/core/src/admission/reserve.rs
@@ -1,25 +1,26 @@
-//! Slots kept free for calls that are refused elsewhere on their path.
+//! Slots reserved for calls whose kind is refused elsewhere on its path.
 //!
-//! While the most important kind of request is cut short at some service, less important calls must not
-//! slow it down at the others: a call that waits there holds a slot at the service that is short.
-//! No message is needed to know. Ranks are uniform, and admission cuts off the high ones, so the mean
-//! rank of the calls that arrive tells which share of a priority is still admitted upstream.
+//! While some service refuses a part of the most important requests, less important calls must not
+//! delay them at other services: an important call that waits there holds a slot at the overloaded
+//! service. This needs no message. Ranks are uniformly distributed and admission refuses the high
+//! ones, so the mean rank of the arriving calls shows which share of a priority is still admitted
+//! upstream.
 
 use crate::priority::{AdmissionKey, Priority, Rank};
 
-/// Weight of one call in the mean rank.
+/// Weight of one call in the moving average of ranks.
 const RANK_WEIGHT: f64 = 1.0 / 128.0;
-/// Weight of one event in the mean number of executions.
+/// Weight of one event in the moving average of executions.
 const EXECUTIONS_WEIGHT: f64 = 1.0 / 64.0;
-/// Admitted share from which no slot is kept.
-const UNCUT_SHARE: f64 = 0.98;
-/// Admitted share up to which slots are kept in full.
-const CUT_SHARE: f64 = 0.90;
-/// Calls up to this priority are protected. Protecting every priority against those below it was
-/// measured as well: it costs the lower ones more than the higher ones gain.
+/// Admitted share from which no slot is reserved.
+const NO_RESERVE_SHARE: f64 = 0.98;
+/// Admitted share up to which slots are reserved in full.
+const FULL_RESERVE_SHARE: f64 = 0.90;
+/// Slots are reserved for calls up to this priority. Protecting every priority against the lower
+/// ones costs the lower ones more than the higher ones gain.
 const PROTECTED: Priority = Priority::HIGHEST;
 
-/// Tells how many slots less important calls may use.
+/// Computes how many slots less important calls may use.
 #[derive(Clone, Debug)]
 pub(super) struct Reserve {
     executing: [u32; Priority::COUNT],
@@ -28,7 +29,7 @@
 }
 
 impl Reserve {
-    /// Nothing is known to be cut: no slot is kept.
+    /// Starts with every priority fully admitted: no slot is reserved.
     pub(super) const fn new() -> Self {
         Self {
             executing: [0; Priority::COUNT],
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Takes in a call that arrived.
+    /// Records the rank of an arriving call.
     pub(super) fn arrived(&mut self, key: AdmissionKey) {
         let priority = key.priority().index();
         let rank = f64::from(key.number() % Rank::COUNT);
@@ -48,17 +49,17 @@
     /// Counts an execution that starts.
     pub(super) fn dispatched(&mut self, priority: Priority) {
         self.executing[priority.index()] += 1;
-        self.average();
+        self.update_means();
     }
 
-    /// Counts an execution that ended.
-    pub(super) fn ended(&mut self, priority: Priority) {
+    /// Counts an execution that completed.
+    pub(super) fn completed(&mut self, priority: Priority) {
         let executing = &mut self.executing[priority.index()];
         *executing = executing.saturating_sub(1);
-        self.average();
+        self.update_means();
     }
 
-    /// Whether a call of this priority may take one of the free slots below `limit`.
+    /// Returns true if a call of this priority may take one of the free slots below `limit`.
     pub(super) fn allows(&self, priority: Priority, limit: u32) -> bool {
         if priority <= PROTECTED {
             return true;
@@ -67,17 +68,18 @@
         let important: f64 = self.mean_executing[protected].iter().sum();
         let others: u32 = self.executing[PROTECTED.index() + 1..].iter().sum();
         let limit = f64::from(limit);
-        let kept = (important * self.cut(PROTECTED.index())).min(limit - 1.0);
-        f64::from(others + 1) <= limit - kept
+        let reserved = (important * self.refused_degree(PROTECTED.index())).min(limit - 1.0);
+        f64::from(others + 1) <= limit - reserved
     }
 
-    /// How much a priority is cut short: 0 not at all, 1 enough to keep slots in full.
-    fn cut(&self, priority: usize) -> f64 {
+    /// Returns the degree to which calls of a priority are refused upstream: 0 for none, 1 if slots
+    /// are reserved in full.
+    fn refused_degree(&self, priority: usize) -> f64 {
         let admitted = 2.0 * self.mean_rank[priority] / f64::from(Rank::COUNT);
-        ((UNCUT_SHARE - admitted) / (UNCUT_SHARE - CUT_SHARE)).clamp(0.0, 1.0)
+        ((NO_RESERVE_SHARE - admitted) / (NO_RESERVE_SHARE - FULL_RESERVE_SHARE)).clamp(0.0, 1.0)
     }
 
-    fn average(&mut self) {
+    fn update_means(&mut self) {
         for (mean, &executing) in self.mean_executing.iter_mut().zip(&self.executing) {
             *mean += (f64::from(executing) - *mean) * EXECUTIONS_WEIGHT;
         }
--- a/crates/core/src/routing/entry.rs
+++ b/crates/core/src/routing/entry.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one endpoint.
+//! State that a router keeps for one endpoint.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use crate::time::Timestamp;
 
 use super::endpoint::{Endpoint, UNKNOWN_INCARNATION};
-use super::heard_level::HeardLevel;
+use super::endpoint_stats::EndpointStats;
 use super::hold::{Hold, HoldReason};
 use super::observation::{Observation, ReportedLoad};
+use super::received_level::ReceivedLevel;
 use super::reference::Reference;
 use super::settings::RouterSettings;
-use super::suspicion::Suspicion;
 use super::warm_up;
 
-/// The load that an endpoint reported last.
+/// Load that an endpoint reported last.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     load: ReportedLoad,
@@ -22,7 +22,7 @@
     dispatched_since: u32,
 }
 
-/// One endpoint with everything that is known of it.
+/// One endpoint with its connections, hold, admission level and statistics.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) endpoint: Endpoint,
@@ -30,33 +30,33 @@
     pub(super) in_flight: u32,
     pub(super) hold: Option<Hold>,
     pub(super) ejections: u32,
-    level: HeardLevel,
+    level: ReceivedLevel,
     report: Option<Report>,
-    suspicion: Suspicion,
+    stats: EndpointStats,
 }
 
-/// Whether ejected endpoints may be used.
+/// Policy on using ejected endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EjectedUse {
-    /// Only others.
+pub(super) enum EjectedPolicy {
+    /// Only endpoints that are not ejected.
     Avoid,
-    /// They too: better a doubtful endpoint than none.
+    /// Ejected endpoints too: an unreliable endpoint is better than none.
     Accept,
 }
 
-/// Why an endpoint can't take a call now.
+/// Reason for which an endpoint can't take a call now, with the time until it may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unusable {
-    /// It refused as leaving, or it is ejected.
+pub(super) enum UnusableReason {
+    /// The endpoint refused a call as leaving, or is ejected.
     Unavailable(Duration),
-    /// Its connections are taken.
+    /// All connections are in use.
     Connections(Duration),
-    /// Its admission level refuses the call.
+    /// The admission level refuses the call.
     Level(Duration),
 }
 
 impl Entry {
-    /// An endpoint of which nothing has been observed.
+    /// Creates an entry without observations.
     pub(super) fn new(endpoint: Endpoint, local: bool) -> Self {
         Self {
             endpoint,
@@ -64,14 +64,14 @@
             in_flight: 0,
             hold: None,
             ejections: 0,
-            level: HeardLevel::default(),
+            level: ReceivedLevel::default(),
             report: None,
-            suspicion: Suspicion::default(),
+            stats: EndpointStats::default(),
         }
     }
 
-    /// Takes over a changed description; a new incarnation starts without a past. The first one that
-    /// is known is not new.
+    /// Applies a changed description. A new incarnation starts without observations; the first
+    /// known incarnation does not count as new.
     pub(super) fn update(&mut self, endpoint: Endpoint, local: bool) {
         let known = self.endpoint.incarnation;
         if known != UNKNOWN_INCARNATION && endpoint.incarnation != known {
@@ -82,8 +82,8 @@
         self.local = local;
     }
 
-    /// Takes over an incarnation that the endpoint told of itself.
-    pub(super) fn heard_incarnation(&mut self, now: Timestamp, incarnation: u64) {
+    /// Records an incarnation that the endpoint reported.
+    pub(super) fn record_incarnation(&mut self, now: Timestamp, incarnation: u64) {
         let known = self.endpoint.incarnation;
         if known == UNKNOWN_INCARNATION {
             self.endpoint.incarnation = incarnation;
@@ -97,43 +97,43 @@
         }
     }
 
-    /// Whether the endpoint, which must be live, can take a call with this key.
+    /// Checks whether the endpoint, which must be live, can take a call with this key.
     pub(super) fn check(
         &self,
         now: Timestamp,
         key: AdmissionKey,
-        ejected: EjectedUse,
+        ejected: EjectedPolicy,
         settings: &RouterSettings,
-    ) -> Result<(), Unusable> {
+    ) -> Result<(), UnusableReason> {
         self.check_hold(now, ejected)?;
         if self.in_flight >= self.endpoint.connections {
-            return Err(Unusable::Connections(settings.connection_hold));
+            return Err(UnusableReason::Connections(settings.connection_hold));
         }
         let wait = self.level.wait_for(now, settings.level_reopen, key);
         if wait > Duration::ZERO {
-            return Err(Unusable::Level(wait));
+            return Err(UnusableReason::Level(wait));
         }
         Ok(())
     }
 
-    fn check_hold(&self, now: Timestamp, ejected: EjectedUse) -> Result<(), Unusable> {
+    fn check_hold(&self, now: Timestamp, ejected: EjectedPolicy) -> Result<(), UnusableReason> {
         let Some(hold) = self.hold.filter(|hold| hold.is_active(now)) else {
             return Ok(());
         };
         let wait = hold.until.saturating_since(now);
         match hold.reason {
-            HoldReason::ConnectionLimit => Err(Unusable::Connections(wait)),
-            HoldReason::Ejected if ejected == EjectedUse::Accept => Ok(()),
-            HoldReason::Ejected | HoldReason::Leaving => Err(Unusable::Unavailable(wait)),
+            HoldReason::ConnectionLimit => Err(UnusableReason::Connections(wait)),
+            HoldReason::Ejected if ejected == EjectedPolicy::Accept => Ok(()),
+            HoldReason::Ejected | HoldReason::Leaving => Err(UnusableReason::Unavailable(wait)),
         }
     }
 
-    /// Whether calls are kept away from the endpoint at the moment.
+    /// Returns true if a hold currently keeps calls away from the endpoint.
     pub(super) fn is_held(&self, now: Timestamp) -> bool {
         self.hold.is_some_and(|hold| hold.is_active(now))
     }
 
-    /// Notes that a call was sent.
+    /// Records that a call was sent.
     pub(super) fn dispatched(&mut self) {
         self.in_flight = self.in_flight.saturating_add(1);
         if let Some(report) = &mut self.report {
@@ -141,12 +141,12 @@
         }
     }
 
-    /// Notes that a call ended.
-    pub(super) fn ended(&mut self) {
+    /// Records that a call completed.
+    pub(super) fn attempt_completed(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes in what an attempt showed.
+    /// Records the observations from an attempt.
     pub(super) fn observe(
         &mut self,
         now: Timestamp,
@@ -154,12 +154,12 @@
         reference: &Reference,
     ) {
         let claimed = self.reported_utilisation();
-        self.suspicion.observe(now, observation, claimed, reference);
-        if self.suspicion.is_proven() {
+        self.stats.observe(now, observation, claimed, reference);
+        if self.stats.is_reliable() {
             self.ejections = 0;
         }
         if let Some(level) = observation.level {
-            self.level.hear(now, level);
+            self.level.record(now, level);
         }
         if let Some(load) = observation.load {
             self.report = Some(Report {
@@ -170,24 +170,24 @@
         }
     }
 
-    /// Whether callers saw so many failures that the endpoint should be left alone.
+    /// Returns true if enough attempts failed to eject the endpoint.
     pub(super) fn should_eject(&self) -> bool {
-        self.suspicion.should_eject()
+        self.stats.should_eject()
     }
 
-    /// Ends the count of failures that led to an ejection.
-    pub(super) fn pardon(&mut self) {
-        self.suspicion.pardon();
+    /// Resets the failure count that led to an ejection.
+    pub(super) fn reset_failures(&mut self) {
+        self.stats.reset_failures();
     }
 
-    /// Keeps calls away; a hold that lasts longer stays.
+    /// Sets a hold until `until`; an existing hold that lasts longer stays.
     pub(super) fn hold_until(&mut self, until: Timestamp, reason: HoldReason) {
         if self.hold.is_none_or(|hold| hold.until < until) {
             self.hold = Some(Hold { until, reason });
         }
     }
 
-    /// The level that the endpoint is assumed to have.
+    /// Returns the admission level that the endpoint is assumed to have.
     pub(super) fn assumed_level(
         &self,
         now: Timestamp,
@@ -196,17 +196,17 @@
         self.level.assumed(now, settings.level_reopen)
     }
 
-    /// Mean latency of the answers, in microseconds.
+    /// Returns the mean latency of the responses, in microseconds.
     pub(super) const fn latency_micros(&self) -> Option<f64> {
-        self.suspicion.latency_micros()
+        self.stats.latency_micros()
     }
 
-    /// Utilisation as the endpoint reported it last.
+    /// Returns the utilisation that the endpoint reported last.
     pub(super) fn reported_utilisation(&self) -> Option<f64> {
         self.report.map(|report| report.load.utilisation())
     }
 
-    /// Share of its full load that the endpoint should get.
+    /// Returns the share of its full load that the endpoint should get.
     pub(super) fn weight(&self, now: Timestamp, settings: &RouterSettings) -> f64 {
         warm_up::weight(
             now,
@@ -216,13 +216,13 @@
         )
     }
 
-    /// How little the endpoint's reports count, 0.0 to 1.0.
+    /// Returns how much the endpoint's reports are discounted: 0.0 not at all, 1.0 entirely.
     pub(super) fn distrust(&self, now: Timestamp, settings: &RouterSettings) -> f64 {
-        self.suspicion.distrust(now, settings.distrust_threshold)
+        self.stats.distrust(now, settings.distrust_threshold)
     }
 
-    /// Expected burden of one more call here: 1.0 for an endpoint that would be filled up to its
-    /// limit and answers as fast as its siblings.
+    /// Returns the expected cost of one more call here: 1.0 for an endpoint that would be filled up
+    /// to its limit and responds as fast as its siblings.
     pub(super) fn cost(
         &self,
         now: Timestamp,
@@ -230,10 +230,11 @@
         reference: &Reference,
     ) -> f64 {
         let utilisation = self.utilisation(now, settings, reference);
-        utilisation * self.suspicion.cost_factor(now, reference)
+        utilisation * self.stats.cost_factor(now, reference)
     }
 
-    /// Utilisation with one more call, from the report as far as it is fresh and trusted.
+    /// Returns the utilisation with one more call, from the report as far as it is fresh and
+    /// trusted.
     fn utilisation(&self, now: Timestamp, settings: &RouterSettings, reference: &Reference) -> f64 {
         let own = f64::from(self.in_flight + 1) / f64::from(self.endpoint.slots.max(1));
         let assumed = reference.utilisation().unwrap_or(0.0) + own;
@@ -241,7 +242,7 @@
             .report
             .filter(|report| now.saturating_since(report.at) < settings.report_lifetime);
         let Some(report) = fresh else {
-            // One call at a time finds out how loaded the endpoint is.
+            // One call at a time is sent to discover the current load of the endpoint.
             return if self.in_flight == 0 { own } else { assumed };
         };
         let limit = f64::from(report.load.limit.max(1));
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,28 +1,28 @@
-//! The choice of an endpoint for a call.
+//! Endpoint selection for calls.
 //!
-//! One [`Router`] serves one daemon and one service. It prefers the daemon's own zone, compares two
-//! random endpoints by reported and observed load, and stays clear of endpoints that are leaving,
-//! full, closed to the call's priority or unreliable.
+//! One [`Router`] serves one daemon and one service. It prefers the local zone, compares two random
+//! endpoints by reported and observed load, and avoids endpoints that are leaving, full, closed to
+//! the call's priority or unreliable.
 
 mod balance;
 mod endpoint;
+mod endpoint_stats;
 mod entry;
-mod heard_level;
 mod hold;
 mod locality;
 mod observation;
 mod pick;
+mod received_level;
 mod reference;
 mod router;
 mod settings;
 mod subset;
-mod suspicion;
 mod warm_up;
 
 pub use endpoint::{Endpoint, EndpointId, EndpointState, UNKNOWN_INCARNATION, Zone};
 pub use hold::HoldReason;
 pub use observation::{Observation, ReportedLoad};
 pub use pick::{Pick, PickRequest};
-pub use router::{EndpointView, Router};
+pub use router::{EndpointStatus, Router};
 pub use settings::RouterSettings;
 pub use subset::{SubsetSettings, subset_size};
