--- a/crates/resources/src/acceptance.rs
+++ b/crates/resources/src/acceptance.rs
@@ -1,8 +1,8 @@
 //! Acceptance of the platform's objects: which resources come into force and which are rejected.
 //!
-//! A rejected resource keeps its last good version in force, so that one bad write can't take away
-//! what serves traffic. The result depends only on the arguments, so that two daemons that see the
-//! same objects after the same snapshot accept the same.
+//! When a version of a resource is rejected, the last good version stays in force: one bad write
+//! can't remove configuration that serves traffic. The result depends only on the arguments: two
+//! daemons with the same previous snapshot and the same objects accept the same versions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,28 +14,28 @@
 use crate::spec::read_object;
 use crate::validate::{KnownResources, ambiguous_match, find_errors};
 
-/// An object as the platform holds it.
+/// An object as stored on the platform, not yet validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredObject {
-    /// Identity, from the object's path.
+    /// Identity of the object, taken from its path in the object API.
     pub id: ResourceId,
-    /// Revision of the store at which the object was last written.
+    /// Store revision of the last write to the object.
     pub version: Revision,
-    /// The spec, not yet checked.
+    /// The spec, not yet validated.
     pub spec: Value,
 }
 
-/// An object that has been read: a resource, or what is wrong with it.
+/// The result of reading an object: a resource, or the errors in its spec.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Revision of the store at which the object was last written.
+    /// Store revision of the last write to the object.
     pub version: Revision,
-    /// The resource; every finding when the object is none.
+    /// The resource, or every finding when the spec is not valid.
     pub content: Result<Resource, Vec<Finding>>,
 }
 
 impl Candidate {
-    /// Reads an object.
+    /// Reads and validates the spec of an object.
     #[must_use]
     pub fn read(object: &StoredObject) -> Self {
         Self {
@@ -45,31 +45,32 @@
     }
 }
 
-/// A resource that is not in force as written.
+/// A resource whose latest version or deletion was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The resource.
+    /// Identity of the resource.
     pub id: ResourceId,
-    /// Version that was rejected; `None` when the deletion of the resource was.
+    /// The rejected version; `None` when the deletion of the resource was rejected.
     pub version: Option<Revision>,
-    /// Every reason.
+    /// Every error that led to the rejection.
     pub findings: Vec<Finding>,
-    /// Whether an earlier version stays in force.
+    /// True if an earlier version stays in force.
     pub is_last_good_in_force: bool,
 }
 
-/// What comes into force and what does not.
+/// The result of accepting a set of objects: the snapshot in force and the rejections.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Acceptance {
     /// The resources in force, at the revision of the objects.
     pub snapshot: Snapshot,
-    /// Versions that were accepted as written.
+    /// Accepted version of each resource that was accepted as written.
     pub accepted: BTreeMap<ResourceId, Revision>,
-    /// What was rejected, in order of identity.
+    /// Rejected resources, in order of identity.
     pub rejections: Vec<Rejection>,
 }
 
-/// Decides which of the platform's objects at `revision` come into force after `last_accepted`.
+/// Decides which of the platform's objects at `revision` come into force, given the snapshot
+/// `last_accepted` that was in force before.
 #[must_use]
 pub fn accept(
     last_accepted: &Snapshot,
@@ -83,7 +84,7 @@
     accept_candidates(last_accepted, revision, &candidates)
 }
 
-/// As [`accept`], for objects that have been read before.
+/// Like [`accept`], for objects that were already read.
 #[must_use]
 pub fn accept_candidates(
     last_accepted: &Snapshot,
@@ -92,32 +93,34 @@
 ) -> Acceptance {
     let mut selection = Selection::new(last_accepted);
     for (id, candidate) in candidates {
-        selection.offer(id, candidate);
+        selection.add_candidate(id, candidate);
     }
     selection.resolve_errors();
     selection.finish(revision, candidates)
 }
 
-/// The resources chosen so far.
+/// Working state of one acceptance run.
 struct Selection<'a> {
-    last: &'a Snapshot,
+    /// The snapshot in force before, whose versions are restored in place of rejected ones.
+    last_accepted: &'a Snapshot,
+    /// The resources that would come into force.
     chosen: Snapshot,
     rejected: BTreeMap<ResourceId, Vec<Finding>>,
-    /// Resources that were already put back to their last good version.
+    /// Resources that were already reset to their last good version.
     restored: BTreeSet<ResourceId>,
 }
 
 impl<'a> Selection<'a> {
-    fn new(last: &'a Snapshot) -> Self {
+    fn new(last_accepted: &'a Snapshot) -> Self {
         Self {
-            last,
+            last_accepted,
             chosen: Snapshot::default(),
             rejected: BTreeMap::new(),
             restored: BTreeSet::new(),
         }
     }
 
-    fn offer(&mut self, id: &ResourceId, candidate: &Candidate) {
+    fn add_candidate(&mut self, id: &ResourceId, candidate: &Candidate) {
         match &candidate.content {
             Ok(resource) => self.chosen.insert(resource.clone()),
             Err(findings) => {
@@ -129,9 +132,9 @@
         }
     }
 
-    /// Makes the errors between the chosen resources disappear, round by round: what is put back or
-    /// dropped in one round may cause errors in the next. Each step restores or drops a resource,
-    /// and none is restored twice, so that the rounds end.
+    /// Resolves the errors between the chosen resources in rounds, since restoring or removing a
+    /// resource in one round may cause errors in the next. The loop terminates because each step
+    /// restores or removes a resource and none is restored twice.
     fn resolve_errors(&mut self) {
         loop {
             let known = KnownResources::of(&self.chosen);
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Makes one error disappear, unless an earlier step of the round has done so.
+    /// Resolves one error, unless an earlier step of the round has already resolved it.
     fn resolve(&mut self, finding: &Finding, handled: &mut BTreeSet<ResourceId>) {
         let Some(id) = &finding.resource else {
             return;
@@ -155,7 +158,7 @@
             self.reject(id, finding.clone());
             return;
         }
-        if !self.still_holds(finding) {
+        if !self.is_still_present(finding) {
             return;
         }
         if self.is_changed(id) {
@@ -164,9 +167,9 @@
             self.restore(id);
             return;
         }
-        if let Some((rival, finding)) = self.changed_rival(id) {
-            self.reject(&rival, finding);
-            self.restore(&rival);
+        if let Some((conflicting, finding)) = self.changed_conflicting_kind(id) {
+            self.reject(&conflicting, finding);
+            self.restore(&conflicting);
             return;
         }
         match self.missing_target(id) {
@@ -182,28 +185,29 @@
         }
     }
 
-    /// Whether the error is still there after the earlier steps of the round.
-    fn still_holds(&self, finding: &Finding) -> bool {
+    /// Returns true if the error is still present after the earlier steps of the round.
+    fn is_still_present(&self, finding: &Finding) -> bool {
         let Some(id) = &finding.resource else {
             return false;
         };
         match finding.code {
-            ProblemCode::AmbiguousMatch => self.rivals(id).next().is_some(),
+            ProblemCode::AmbiguousMatch => self.conflicting_kinds(id).next().is_some(),
             _ => self.missing_target(id).is_some(),
         }
     }
 
-    /// Whether the chosen resource is a newer one than the last accepted and may be put back.
+    /// Returns true if the chosen resource differs from the last accepted one and was not restored
+    /// before.
     fn is_changed(&self, id: &ResourceId) -> bool {
-        !self.restored.contains(id) && self.chosen.get(id) != self.last.get(id)
+        !self.restored.contains(id) && self.chosen.get(id) != self.last_accepted.get(id)
     }
 
     fn can_restore(&self, id: &ResourceId) -> bool {
-        !self.restored.contains(id) && self.last.get(id).is_some()
+        !self.restored.contains(id) && self.last_accepted.get(id).is_some()
     }
 
-    /// The other request kinds that match the same requests as this one.
-    fn rivals(&self, id: &ResourceId) -> impl Iterator<Item = &RequestKind> {
+    /// Returns the other request kinds that match the same requests as this one.
+    fn conflicting_kinds(&self, id: &ResourceId) -> impl Iterator<Item = &RequestKind> {
         let is_kind = id.kind == ResourceKind::RequestKind;
         let kind = self.chosen.request_kinds.get(&id.name).filter(|_| is_kind);
         let others = self.chosen.request_kinds.values();
@@ -212,21 +216,24 @@
         })
     }
 
-    /// A newer request kind that matches the same requests as this one, and the finding about it.
-    fn changed_rival(&self, id: &ResourceId) -> Option<(ResourceId, Finding)> {
+    /// Returns a changed request kind that matches the same requests as this one, and the finding
+    /// about it.
+    fn changed_conflicting_kind(&self, id: &ResourceId) -> Option<(ResourceId, Finding)> {
         let kind = self.chosen.request_kinds.get(&id.name)?;
-        self.rivals(id)
-            .map(|rival| {
+        self.conflicting_kinds(id)
+            .map(|conflicting| {
                 (
-                    rival,
-                    ResourceId::new(ResourceKind::RequestKind, &rival.name),
+                    conflicting,
+                    ResourceId::new(ResourceKind::RequestKind, &conflicting.name),
                 )
             })
-            .find(|(_, rival_id)| self.is_changed(rival_id))
-            .map(|(rival, rival_id)| (rival_id, ambiguous_match(rival, kind)))
+            .find(|(_, conflicting_id)| self.is_changed(conflicting_id))
+            .map(|(conflicting, conflicting_id)| {
+                (conflicting_id, ambiguous_match(conflicting, kind))
+            })
     }
 
-    /// A resource that this one refers to and that is not there.
+    /// Returns the first resource that this one refers to and that does not exist.
     fn missing_target(&self, id: &ResourceId) -> Option<ResourceId> {
         let owner = self.chosen.get(id)?;
         let references = references_of(&owner);
@@ -235,11 +242,11 @@
             .find(|target| self.chosen.get(target).is_none())
     }
 
-    /// Puts the last good version in place of the chosen one; drops it when there is none.
+    /// Replaces the chosen version by the last good one, or removes the resource when there is none.
     fn restore(&mut self, id: &ResourceId) {
         self.restored.insert(id.clone());
         self.chosen.remove(id);
-        if let Some(resource) = self.last.get(id) {
+        if let Some(resource) = self.last_accepted.get(id) {
             self.chosen.insert(resource);
         }
     }
@@ -286,7 +293,7 @@
     Finding::new(ProblemCode::StillReferenced, "", message, allowed).about(target)
 }
 
-/// The resources that must exist for this one to be accepted.
+/// Returns the resources that must exist for this one to be accepted.
 fn references_of(resource: &Resource) -> Vec<ResourceId> {
     match resource {
         Resource::Service(service) => {
--- a/crates/resources/src/acceptor.rs
+++ b/crates/resources/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Acceptance that goes on from change to change.
+//! Incremental acceptance of changes to the platform's objects.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use crate::kinds::ResourceId;
 use crate::snapshot::{Revision, Snapshot};
 
-/// Keeps the platform's objects and what was accepted last, and judges each change.
+/// Holds the platform's objects and the latest acceptance, and evaluates each change.
 ///
-/// A change whose revision is not above the last one is ignored, so that a store that answers from
-/// an older state takes nothing back.
+/// A change whose revision is not above the one in force is ignored: a store that serves an older
+/// state reverts nothing.
 #[derive(Clone, Debug, Default)]
 pub struct Acceptor {
     candidates: BTreeMap<ResourceId, Candidate>,
@@ -17,8 +17,8 @@
 }
 
 impl Acceptor {
-    /// Goes on from a snapshot that is in force, such as one from a peer. The objects come with the
-    /// first [`Self::replace`].
+    /// Creates an acceptor from the snapshot in force, such as one received from a peer. It has no
+    /// objects until the first [`Self::replace`].
     #[must_use]
     pub fn new(in_force: Snapshot) -> Self {
         Self {
@@ -30,21 +30,21 @@
         }
     }
 
-    /// What was decided last.
+    /// Returns the latest acceptance.
     #[must_use]
     pub const fn acceptance(&self) -> &Acceptance {
         &self.acceptance
     }
 
-    /// The resources in force.
+    /// Returns the resources in force.
     #[must_use]
     pub const fn snapshot(&self) -> &Snapshot {
         &self.acceptance.snapshot
     }
 
-    /// Judges all objects of the store at `revision`; false when the list is older than what is in
-    /// force and was ignored. A list of the revision in force is judged, since a new acceptor does
-    /// not have its objects yet.
+    /// Replaces all objects by those of the store at `revision` and evaluates them. Returns false
+    /// when the list is older than the snapshot in force and was ignored. A list at the revision in
+    /// force is evaluated, since a new acceptor does not have its objects yet.
     pub fn replace(
         &mut self,
         revision: Revision,
@@ -57,32 +57,34 @@
         self.candidates = objects
             .map(|object| (object.id.clone(), Candidate::read(&object)))
             .collect();
-        self.judge(revision);
+        self.evaluate(revision);
         true
     }
 
-    /// Judges a write; false when it is not newer than what is in force and was ignored.
+    /// Applies a write. Returns false when it is not newer than the snapshot in force and was
+    /// ignored.
     pub fn put(&mut self, revision: Revision, object: &StoredObject) -> bool {
         if revision <= self.snapshot().revision {
             return false;
         }
         let candidate = Candidate::read(object);
         self.candidates.insert(object.id.clone(), candidate);
-        self.judge(revision);
+        self.evaluate(revision);
         true
     }
 
-    /// Judges a deletion; false when it is not newer than what is in force and was ignored.
+    /// Applies a deletion. Returns false when it is not newer than the snapshot in force and was
+    /// ignored.
     pub fn delete(&mut self, revision: Revision, id: &ResourceId) -> bool {
         if revision <= self.snapshot().revision {
             return false;
         }
         self.candidates.remove(id);
-        self.judge(revision);
+        self.evaluate(revision);
         true
     }
 
-    fn judge(&mut self, revision: Revision) {
+    fn evaluate(&mut self, revision: Revision) {
         self.acceptance = accept_candidates(self.snapshot(), revision, &self.candidates);
     }
 }
--- a/crates/resources/src/chain.rs
+++ b/crates/resources/src/chain.rs
@@ -1,19 +1,21 @@
-//! The graph of which service calls which: cycles and longest chains.
+//! Analysis of the service call graph: cycles and longest call chains.
 //!
-//! The searches keep their own stacks, so that a long chain in a file can't exhaust the thread's.
+//! The searches use explicit stacks, since recursion over a long chain in a file could overflow the
+//! thread's stack.
 
 use std::collections::BTreeMap;
 
 use crate::snapshot::Snapshot;
 
-/// Services that call each other in a ring.
+/// Services that call each other in a cycle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cycle {
     /// The services on the cycle in call order; the last one calls the first.
     pub services: Vec<String>,
 }
 
-/// Every cycle that a depth-first search over the services closes, in order of names.
+/// Returns every cycle that a depth-first search finds, starting from the services in order of
+/// names.
 #[must_use]
 pub fn find_cycles(snapshot: &Snapshot) -> Vec<Cycle> {
     let mut search = CycleSearch {
@@ -28,16 +30,16 @@
     search.cycles
 }
 
-/// A service on the current path and the number of its calls that were followed.
+/// A service on the current search path and the number of its calls that were followed.
 struct OpenService<'a> {
     name: &'a str,
     followed: usize,
 }
 
-/// How far the search of a service is.
+/// Search state of a visited service.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// The service is on the current path.
+    /// The service is on the current search path.
     Open,
     /// Every call of the service was followed.
     Finished,
@@ -89,8 +91,8 @@
     }
 }
 
-/// The services of the chain from `entry` whose weights add up to the most, in call order; `None`
-/// when a cycle can be reached, so that no chain is the longest.
+/// Returns the call chain from `entry` with the largest sum of weights, in call order; `None` when
+/// `entry` reaches a cycle and there is no longest chain.
 #[must_use]
 pub fn heaviest_chain(
     snapshot: &Snapshot,
@@ -115,13 +117,14 @@
     Some(chain)
 }
 
-/// The heaviest chain from one service on.
+/// The heaviest chain that starts at a service: its total weight and its second service.
 struct HeaviestBelow<'a> {
     weight: u64,
     next: Option<&'a str>,
 }
 
-/// The services that `entry` reaches, each after all its callers; `None` when there is a cycle.
+/// Returns the services that `entry` reaches in topological order, callers first; `None` when there
+/// is a cycle.
 fn callers_first<'a>(snapshot: &'a Snapshot, entry: &'a str) -> Option<Vec<&'a str>> {
     let mut caller_counts = count_callers(snapshot, entry);
     let mut order = Vec::with_capacity(caller_counts.len());
@@ -143,7 +146,7 @@
     (order.len() == caller_counts.len()).then_some(order)
 }
 
-/// How many calls lead to each service that `entry` reaches.
+/// Counts the callers of each service that `entry` reaches.
 fn count_callers<'a>(snapshot: &'a Snapshot, entry: &'a str) -> BTreeMap<&'a str, usize> {
     let mut counts = BTreeMap::from([(entry, 0)]);
     let mut pending = vec![entry];
--- a/crates/resources/src/decision.rs
+++ b/crates/resources/src/decision.rs
@@ -1,7 +1,7 @@
-//! Decisions on requests at the edge: what a configuration makes of a request, the record of such a
+//! Decisions on requests at the edge: how a configuration treats a request, the record of such a
 //! decision, and the replay of a record against another configuration.
 //!
-//! Everything here is a pure function of its arguments.
+//! All functions here are pure.
 
 use serde::{Deserialize, Serialize};
 use wharfquay_core::outcome::ResultCode;
@@ -10,7 +10,7 @@
 use crate::kinds::RequestKind;
 use crate::snapshot::{Revision, Snapshot};
 
-/// What a request asks for.
+/// The properties of a request that a decision depends on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestFacts {
@@ -20,38 +20,38 @@
     pub method: String,
     /// HTTP path, without the query.
     pub path: String,
-    /// Deadline that the caller set, in milliseconds from the arrival.
+    /// Deadline that the caller set, in milliseconds from the arrival; absent when it set none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Whether the request carries an idempotency key.
+    /// True if the request carries an idempotency key.
     #[serde(default)]
     pub has_idempotency_key: bool,
-    /// Rank of the request among those of its priority, 0 to 4095.
+    /// Rank of the request among those of its priority, 0 to 4095; the lowest is refused last.
     pub rank: Rank,
 }
 
-/// A back end that a request was sent to.
+/// The backend that the routing chose for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChosenEndpoint {
-    /// Id of the back end's daemon.
+    /// Id of the backend's daemon.
     pub id: String,
-    /// Zone of the back end.
+    /// Zone of the backend.
     pub zone: String,
 }
 
-/// What was going on when the request arrived.
+/// The state of the system that a decision depends on, at the arrival of the request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Circumstances {
     /// Strictest admission level known on the request's path, 0 (closed) to 32768 (open).
     pub level: AdmissionLevel,
-    /// Back end that the routing chose; absent when the request was refused before.
+    /// Backend that the routing chose; absent when the request was refused before routing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<ChosenEndpoint>,
 }
 
-/// What a request kind gives to a request.
+/// The parameters that a request kind assigns to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Treatment {
@@ -59,30 +59,30 @@
     pub request_kind: String,
     /// Importance: 0 is refused last.
     pub priority: u8,
-    /// Time in which the whole answer is worth something, in milliseconds.
+    /// Time within which the caller needs the complete response, in milliseconds.
     pub deadline_ms: u64,
-    /// Retries in total across the whole chain.
+    /// Maximum number of retries in total across the whole call chain.
     pub retries: u16,
-    /// Whether the request may be executed again.
+    /// True if the request may be executed again.
     pub repeatable: bool,
 }
 
-/// What is decided about a request at the edge.
+/// The decision on a request at the edge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Decision {
-    /// How the request is treated; absent when it matches no request kind.
+    /// Parameters of the matching request kind; absent when no request kind matches.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub treatment: Option<Treatment>,
     /// Number of the result code with which the request is refused; absent when it is admitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<u16>,
-    /// Name of the drain that keeps the request from the chosen back end.
+    /// Name of a drain that covers the chosen backend; absent when none does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drain: Option<String>,
 }
 
-/// One decision, as a daemon records it: one line of JSON.
+/// A decision as recorded by a daemon, one line of JSON each.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DecisionRecord {
@@ -90,15 +90,15 @@
     pub at_unix_ms: u64,
     /// Id of the daemon that decided.
     pub daemon: String,
-    /// Identity of the originating request, in hexadecimal.
+    /// Id of the originating request, in hexadecimal.
     pub origin: String,
     /// Revision of the configuration in force.
     pub revision: Revision,
-    /// What the request asked for.
+    /// Properties of the request.
     pub request: RequestFacts,
-    /// What was going on.
+    /// State of the system at the arrival.
     pub circumstances: Circumstances,
-    /// What was decided.
+    /// The decision.
     pub decision: Decision,
 }
 
@@ -143,7 +143,7 @@
     }
 }
 
-/// The name of a drain that covers the endpoint.
+/// Returns the name of the first drain that covers the endpoint.
 fn drain_of(snapshot: &Snapshot, service: &str, endpoint: &ChosenEndpoint) -> Option<String> {
     let mut drains = snapshot.drains.values();
     let drain = drains.find(|drain| {
@@ -166,19 +166,19 @@
 pub struct DecisionDifference {
     /// Name of the part, such as `priority` or `refused`.
     pub part: &'static str,
-    /// What the daemon decided.
+    /// Value in the recorded decision.
     pub recorded: String,
-    /// What is decided under the other configuration.
+    /// Value under the other configuration.
     pub replayed: String,
 }
 
-/// Plays a record against another configuration, under the recorded circumstances; returns what
-/// differs.
+/// Decides on a recorded request under another configuration and the recorded circumstances;
+/// returns the parts of the decision that differ.
 #[must_use]
 pub fn replay(snapshot: &Snapshot, record: &DecisionRecord) -> Vec<DecisionDifference> {
     let replayed = decide(snapshot, &record.request, &record.circumstances);
-    let before = described(&record.decision);
-    let after = described(&replayed);
+    let before = describe_parts(&record.decision);
+    let after = describe_parts(&replayed);
     before
         .into_iter()
         .zip(after)
@@ -193,8 +193,8 @@
 
 const NONE: &str = "none";
 
-/// Every part of a decision with its value in words.
-fn described(decision: &Decision) -> [(&'static str, String); 7] {
+/// Returns the name and the value as text of every part of a decision.
+fn describe_parts(decision: &Decision) -> [(&'static str, String); 7] {
     let treatment = decision.treatment.as_ref();
     let part =
         |value: &dyn Fn(&Treatment) -> String| treatment.map_or_else(|| NONE.to_owned(), value);
@@ -212,7 +212,8 @@
     ]
 }
 
-/// A result code by number and name.
+/// Formats a result code as number and name; `none` when there is no refusal, the bare number when
+/// the code is unknown.
 #[must_use]
 pub fn describe_refusal(refused: Option<u16>) -> String {
     let Some(number) = refused else {
--- a/crates/resources/src/diff.rs
+++ b/crates/resources/src/diff.rs
@@ -12,12 +12,12 @@
 /// A field that differs between two versions.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FieldChange {
-    /// Name of the field.
+    /// Field name.
     pub field: String,
-    /// Value before; absent when the field had none.
+    /// Value in the earlier version; absent when the field had none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<Value>,
-    /// Value after; absent when the field has none.
+    /// Value in the later version; absent when the field has none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after: Option<Value>,
 }
@@ -38,11 +38,11 @@
     }
 }
 
-/// How two versions of a resource differ.
+/// The difference of two versions of a resource.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum Change {
-    /// There was no resource before.
+    /// The resource did not exist before.
     Created {
         /// Every field of the new resource.
         fields: Vec<FieldChange>,
@@ -52,13 +52,13 @@
         /// The fields that differ.
         fields: Vec<FieldChange>,
     },
-    /// There is no resource any more.
+    /// The resource no longer exists.
     Deleted,
     /// Both versions are equal.
     Unchanged,
 }
 
-/// Compares two versions of the resource with this identity.
+/// Compares two versions of a resource; `None` means that the resource does not exist.
 #[must_use]
 pub fn diff(id: &ResourceId, before: Option<&Resource>, after: Option<&Resource>) -> Change {
     match (before, after) {
@@ -78,7 +78,8 @@
     }
 }
 
-/// The fields that differ between two specs, in the order of the field table; the name is left out.
+/// Returns the fields that differ between two specs, in the order of the field table and without
+/// the name.
 #[must_use]
 pub fn changed_fields(id: &ResourceId, before: &Value, after: &Value) -> Vec<FieldChange> {
     fields_of(id.kind)
--- a/crates/resources/src/fields.rs
+++ b/crates/resources/src/fields.rs
@@ -1,20 +1,20 @@
 //! The field table: type, unit, range, default and meaning of each field of each kind.
 //!
-//! Validation and the reference page `docs/CONFIGURATION.md` are both driven by this table.
+//! Validation uses this table, and the reference page `docs/CONFIGURATION.md` is generated from it.
 
 use crate::kinds::ResourceKind;
 
-/// HTTP methods that a request kind may name.
+/// HTTP methods that a request kind may match.
 pub const METHODS: &[&str] = &["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
-/// Keys that a drain's target may have.
+/// Keys of a drain's target; exactly one is set.
 pub const DRAIN_TARGETS: &[&str] = &["backend", "service", "zone"];
-/// Longest name of a resource, in bytes.
+/// Maximum length of a resource name, in bytes.
 pub const MAXIMUM_NAME_LENGTH: usize = 64;
-/// Longest daemon id or zone, in bytes.
+/// Maximum length of a daemon id or zone, in bytes.
 pub const MAXIMUM_IDENTIFIER_LENGTH: usize = 128;
-/// Longest path prefix, in bytes.
+/// Maximum length of a path prefix, in bytes.
 pub const MAXIMUM_PATH_LENGTH: usize = 1_024;
-/// Largest integer that every JSON reader holds exactly.
+/// Largest integer that JSON readers with 64-bit floating-point numbers represent exactly.
 const MAXIMUM_EXACT_INTEGER: u64 = (1 << 53) - 1;
 
 /// Type and range of a field.
@@ -22,15 +22,15 @@
 pub enum FieldType {
     /// Name of the resource itself.
     Name,
-    /// Name of a resource of this kind.
+    /// Name of another resource, which is of this kind.
     Reference(ResourceKind),
-    /// List of names of resources of this kind, without repeats.
+    /// List of names of resources of this kind, without duplicates.
     References(ResourceKind),
-    /// List of daemon ids, without repeats.
+    /// List of daemon ids, without duplicates.
     Identifiers {
-        /// Fewest entries.
+        /// Minimum number of entries.
         minimum: usize,
-        /// Most entries.
+        /// Maximum number of entries.
         maximum: usize,
     },
     /// Whole number.
@@ -53,7 +53,7 @@
 }
 
 impl FieldType {
-    /// What is allowed, in words.
+    /// Returns the allowed values as text, for messages and the reference page.
     #[must_use]
     pub fn allowed(self) -> String {
         match self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Name of the type, for messages and the reference page.
+    /// Returns the name of the type, for messages and the reference page.
     #[must_use]
     pub const fn type_name(self) -> &'static str {
         match self {
@@ -89,26 +89,26 @@
     }
 }
 
-/// The form of a name, in words.
+/// Returns the syntax of a resource name as text, for messages.
 pub(crate) fn name_form() -> String {
     format!("1 to {MAXIMUM_NAME_LENGTH} of a-z 0-9 _ -, starting with a letter or digit")
 }
 
-/// The form of a daemon id or zone, in words.
+/// Returns the syntax of a daemon id or zone as text, for messages.
 pub(crate) fn identifier_form() -> String {
     format!(
         "1 to {MAXIMUM_IDENTIFIER_LENGTH} of A-Z a-z 0-9 _ - . :, starting with a letter or digit"
     )
 }
 
-/// What holds when a field is absent.
+/// The default of a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldDefault {
     /// The field must be present.
     Required,
-    /// This value, in JSON.
+    /// The field defaults to this value, written as JSON.
     Value(&'static str),
-    /// No value, with this effect.
+    /// The field has no value by default, which has this effect.
     Absent(&'static str),
 }
 
@@ -121,9 +121,9 @@
     pub field_type: FieldType,
     /// Unit of the value; empty when it has none.
     pub unit: &'static str,
-    /// What holds when the field is absent.
+    /// Default, or whether the field is required.
     pub default: FieldDefault,
-    /// Meaning, in one sentence.
+    /// Meaning in one sentence, for the reference page.
     pub description: &'static str,
 }
 
@@ -152,7 +152,7 @@
     FieldType::Name,
     "",
     FieldDefault::Required,
-    "Name, unique inside the kind.",
+    "Name, unique within the kind.",
 );
 
 const SERVICE: &[Field] = &[
@@ -162,35 +162,35 @@
         integer(1, 10_000),
         "requests",
         FieldDefault::Required,
-        "Requests that one back end executes at a time: the concurrency limit that its daemon keeps.",
+        "Requests that one backend executes concurrently: the concurrency limit that its daemon enforces.",
     ),
     field(
         "connections",
         integer(1, 100_000),
         "connections",
         FieldDefault::Value("120"),
-        "Connections that one back end accepts.",
+        "Maximum number of connections that one backend accepts.",
     ),
     field(
         "queue_wait_ms",
         integer(0, 60_000),
         "ms",
         FieldDefault::Value("50"),
-        "Longest time that a call may wait in a back end's queue.",
+        "Maximum time that a call may wait in a backend's queue.",
     ),
     field(
         "warm_up_ms",
         integer(0, 600_000),
         "ms",
         FieldDefault::Value("5000"),
-        "Time over which a cold back end's share grows to its full size.",
+        "Time over which the traffic share of a newly started backend grows to its full size.",
     ),
     field(
         "calls",
         FieldType::References(ResourceKind::Service),
         "",
         FieldDefault::Value("[]"),
-        "Services that this one calls; used for checks and plans.",
+        "Services that this one calls; used for validation and planning.",
     ),
 ];
 
@@ -201,7 +201,7 @@
         FieldType::Reference(ResourceKind::Service),
         "",
         FieldDefault::Required,
-        "Entry service that the request is addressed to.",
+        "Entry service to which the request is addressed.",
     ),
     field(
         "method",
@@ -229,7 +229,7 @@
         integer(1, 600_000),
         "ms",
         FieldDefault::Required,
-        "Time in which the whole answer is worth something.",
+        "Time within which the caller needs the complete response.",
     ),
     field(
         "repeatable",
@@ -261,14 +261,14 @@
         integer(0, 64),
         "retries",
         FieldDefault::Required,
-        "Retries in total for one originating request across its whole chain.",
+        "Maximum number of retries in total for one originating request across its whole call chain.",
     ),
     field(
         "ratio",
         FieldType::Fraction,
         "retries per success",
         FieldDefault::Value("0.1"),
-        "Retries to one destination as a fraction of its successes.",
+        "Maximum number of retries to one destination as a fraction of its successful calls.",
     ),
     field(
         "backoff_base_ms",
@@ -293,14 +293,14 @@
         FieldType::DrainTarget,
         "",
         FieldDefault::Required,
-        "What leaves: one back end by its daemon's id, every back end of a service, or every back end of a zone.",
+        "Backends to drain: one backend by its daemon's id, every backend of a service, or every backend of a zone.",
     ),
     field(
         "limit_ms",
         integer(0, 3_600_000),
         "ms",
         FieldDefault::Value("30000"),
-        "Longest time that calls in flight may take to end.",
+        "Maximum time that calls in flight may take to complete.",
     ),
 ];
 
@@ -311,7 +311,7 @@
         integer(1, MAXIMUM_EXACT_INTEGER),
         "",
         FieldDefault::Required,
-        "Number that grows by one with each change of the members; the first group has number 1.",
+        "Number that increases by one with each change of the replicas; the first is 1.",
     ),
     field(
         "replicas",
@@ -321,7 +321,7 @@
         },
         "",
         FieldDefault::Required,
-        "Ids of the daemons that hold a replica; an odd number, over several zones. The group named `default` is the one in use.",
+        "Ids of the daemons that hold a replica; an odd number, spread over several zones. Only the group named `default` is used.",
     ),
     field(
         "previous_replicas",
@@ -330,26 +330,26 @@
             maximum: 9,
         },
         "",
-        FieldDefault::Absent("allowed in epoch 1 only, which takes over no votes"),
-        "Replicas of the epoch before, whose votes the new ones take over; an empty list states that none of them runs any more.",
+        FieldDefault::Absent("allowed only in epoch 1, which has no votes to take over"),
+        "Replicas of the previous epoch, whose votes the new ones take over; an empty list states that none of them is running any more.",
     ),
     field(
         "clock_skew_ms",
         integer(0, 60_000),
         "ms",
         FieldDefault::Value("1000"),
-        "Largest difference between two machines' clocks.",
+        "Maximum difference between the clocks of two machines.",
     ),
     field(
         "retention_ms",
         integer(1_000, 86_400_000),
         "ms",
         FieldDefault::Value("600000"),
-        "Time that a claim is kept and a key may be repeated.",
+        "Time for which a claim is retained and a repeat with the same key is recognised.",
     ),
 ];
 
-/// The fields of a kind, in the order of the reference page.
+/// Returns the fields of a kind, in the order of the reference page.
 #[must_use]
 pub const fn fields_of(kind: ResourceKind) -> &'static [Field] {
     match kind {
--- a/crates/resources/src/kinds.rs
+++ b/crates/resources/src/kinds.rs
@@ -1,27 +1,29 @@
-//! The resource kinds, field by field. The range of each field stands in [`crate::fields`].
+//! The resource kinds and their fields. [`crate::fields`] defines the range of each field.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A service: a set of interchangeable back ends.
+/// A service: a set of interchangeable backends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name, unique among services; callers name it in the request's host.
+    /// Name, unique among services; callers put it into the host of their requests.
     pub name: String,
-    /// Requests that one back end executes at a time: the concurrency limit that its daemon keeps.
+    /// Requests that one backend executes concurrently: the concurrency limit that its daemon
+    /// enforces.
     pub slots: u32,
-    /// Connections that one back end accepts.
+    /// Maximum number of connections that one backend accepts.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Longest time that a call may wait in a back end's queue, in milliseconds.
+    /// Maximum time that a call may wait in a backend's queue, in milliseconds.
     #[serde(default = "default_queue_wait_ms")]
     pub queue_wait_ms: u32,
-    /// Time over which a cold back end's share grows to its full size, in milliseconds.
+    /// Time over which the traffic share of a newly started backend grows to its full size, in
+    /// milliseconds.
     #[serde(default = "default_warm_up_ms")]
     pub warm_up_ms: u32,
-    /// Services that this one calls; used for checks and plans.
+    /// Services that this one calls; used for validation and planning.
     #[serde(default)]
     pub calls: Vec<String>,
 }
@@ -38,28 +40,28 @@
     5_000
 }
 
-/// A kind of originating request: how to recognise it and how it is treated.
+/// A kind of originating request: which requests match it and how they are treated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestKind {
     /// Name, unique among request kinds.
     pub name: String,
-    /// Entry service that the request is addressed to.
+    /// Entry service to which the request is addressed.
     pub service: String,
     /// HTTP method that the request must have; every method when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub method: Option<String>,
-    /// Prefix that the request's path must have. The longest matching prefix wins.
+    /// Prefix that the request's path must have; the longest matching prefix wins.
     #[serde(default = "default_path_prefix")]
     pub path_prefix: String,
     /// Importance: 0 is refused last, the largest number first.
     pub priority: u8,
-    /// Time in which the whole answer is worth something, in milliseconds.
+    /// Time within which the caller needs the complete response, in milliseconds.
     pub deadline_ms: u32,
-    /// Whether executing the request twice has the effect of executing it once.
+    /// True if executing the request twice has the same effect as executing it once.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
-    /// Whether a request that is not repeatable must carry an idempotency key.
+    /// True if a request that is not repeatable must carry an idempotency key.
     #[serde(default)]
     pub idempotency_key_required: bool,
     /// Retry budget that applies; the budget named `default` when absent.
@@ -68,13 +70,13 @@
 }
 
 impl RequestKind {
-    /// What a request must have to match: entry service, path prefix and method.
+    /// Returns the criteria that a request must match: entry service, path prefix and method.
     #[must_use]
     pub fn match_key(&self) -> (&str, &str, Option<&str>) {
         (&self.service, &self.path_prefix, self.method.as_deref())
     }
 
-    /// Whether the same requests match `other`, so that the two can't be told apart.
+    /// Returns true if both kinds match the same requests, which makes the match ambiguous.
     #[must_use]
     pub fn matches_same_as(&self, other: &Self) -> bool {
         self.match_key() == other.match_key()
@@ -89,21 +91,21 @@
     true
 }
 
-/// Bounds on retries.
+/// Limits on retries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudget {
     /// Name, unique among retry budgets.
     pub name: String,
-    /// Retries in total for one originating request across its whole chain.
+    /// Maximum number of retries in total for one originating request across its whole call chain.
     pub retries_per_request: u16,
-    /// Retries to one destination as a fraction of its successes.
+    /// Maximum number of retries to one destination as a fraction of its successful calls.
     #[serde(default = "default_ratio")]
     pub ratio: f64,
     /// Shortest mean wait before a retry, in milliseconds.
     #[serde(default = "default_backoff_base_ms")]
     pub backoff_base_ms: u32,
-    /// Longest mean wait before a retry, in milliseconds; not below the base.
+    /// Longest mean wait before a retry, in milliseconds; at least `backoff_base_ms`.
     #[serde(default = "default_backoff_max_ms")]
     pub backoff_max_ms: u32,
 }
@@ -120,15 +122,15 @@
     100
 }
 
-/// The intention that back ends leave.
+/// A request to drain backends: they get no new calls while their calls in flight complete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
     /// Name, unique among drains.
     pub name: String,
-    /// What leaves.
+    /// Backends to drain.
     pub target: DrainTarget,
-    /// Longest time that calls in flight may take to end, in milliseconds.
+    /// Maximum time that calls in flight may take to complete, in milliseconds.
     #[serde(default = "default_drain_limit_ms")]
     pub limit_ms: u32,
 }
@@ -137,21 +139,21 @@
     30_000
 }
 
-/// What a [`Drain`] covers.
+/// The backends that a [`Drain`] covers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum DrainTarget {
-    /// One back end, by its daemon's id.
+    /// One backend, by its daemon's id.
     Backend(String),
-    /// Every back end of a service.
+    /// Every backend of a service.
     Service(String),
-    /// Every back end of a zone.
+    /// Every backend of a zone.
     Zone(String),
 }
 
 impl DrainTarget {
-    /// Whether the back end beside the daemon `id` is covered; `service` is absent at an edge, which
-    /// no drain covers.
+    /// Returns true if the drain covers the backend of the daemon `id`. `service` is the service of
+    /// that backend; it is `None` at an edge, which has no backend and which no drain covers.
     #[must_use]
     pub fn covers(&self, id: &str, zone: &str, service: Option<&str>) -> bool {
         let Some(service) = service else {
@@ -169,20 +171,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimGroup {
-    /// Name, unique among claim groups; `default` is the one in use.
+    /// Name, unique among claim groups; only the group named `default` is used.
     pub name: String,
-    /// Number that grows by one with each change of the members; the first group has number 1.
+    /// Number that increases by one with each change of the replicas; the first is 1.
     pub epoch: u64,
-    /// Ids of the daemons that hold a replica; an odd number, over several zones.
+    /// Ids of the daemons that hold a replica; an odd number, spread over several zones.
     pub replicas: Vec<String>,
-    /// Ids of the daemons that held the replicas of the epoch before, whose votes are taken over;
-    /// empty when none of them runs any more. Absent in the first epoch only.
+    /// Ids of the daemons that held the replicas of the previous epoch, whose votes the new replicas
+    /// take over; empty when none of them is running any more. Absent in the first epoch only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub previous_replicas: Option<Vec<String>>,
-    /// Largest difference between two machines' clocks, in milliseconds.
+    /// Maximum difference between the clocks of two machines, in milliseconds.
     #[serde(default = "default_clock_skew_ms")]
     pub clock_skew_ms: u32,
-    /// Time that a claim is kept and a key may be repeated, in milliseconds.
+    /// Time for which a claim is retained and a repeat with the same key is recognised, in
+    /// milliseconds.
     #[serde(default = "default_retention_ms")]
     pub retention_ms: u32,
 }
@@ -195,7 +198,7 @@
     600_000
 }
 
-/// Any resource.
+/// A resource of any kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "spec", rename_all = "snake_case")]
 pub enum Resource {
@@ -211,7 +214,7 @@
     ClaimGroup(ClaimGroup),
 }
 
-/// The kind of a [`Resource`], as named in the object API and in files.
+/// The kind of a [`Resource`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResourceKind {
@@ -228,7 +231,7 @@
 }
 
 impl ResourceKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 5] = [
         Self::Service,
         Self::RequestKind,
@@ -237,7 +240,7 @@
         Self::ClaimGroup,
     ];
 
-    /// The name used in the object API and in files.
+    /// Returns the name of the kind in the object API and in files.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -261,12 +264,12 @@
 pub struct ResourceId {
     /// The kind.
     pub kind: ResourceKind,
-    /// The name, unique inside the kind.
+    /// The name, unique within the kind.
     pub name: String,
 }
 
 impl ResourceId {
-    /// The identity of the resource of this kind and name.
+    /// Creates an identity from a kind and a name.
     #[must_use]
     pub fn new(kind: ResourceKind, name: impl Into<String>) -> Self {
         let name = name.into();
@@ -281,7 +284,7 @@
 }
 
 impl Resource {
-    /// The resource's identity.
+    /// Returns the identity of the resource.
     #[must_use]
     pub fn id(&self) -> ResourceId {
         let (kind, name) = match self {
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,16 +1,17 @@
 //! Declarative resources that operators write: their types, parsing and validation, and the
-//! revisioned snapshot in which they are in force.
+//! revisioned snapshot of those in force.
 //!
-//! - [`kinds`] holds the types, [`fields`] the type, unit, range and default of each field;
-//! - [`parse`] reads files, [`spec`] objects of the platform, both by the field table;
-//! - [`validate`] checks resources against each other, [`problem`] numbers what is wrong;
-//! - [`acceptance`] decides which objects come into force, [`acceptor`] does so change by change;
-//! - [`status`] says what became of each resource, [`diff`] how two versions differ;
+//! - [`kinds`] defines the types, [`fields`] the type, unit, range and default of each field;
+//! - [`parse`] reads resource files and [`spec`] reads objects of the platform; both check values
+//!   against the field table;
+//! - [`validate`] checks resources against each other, [`problem`] defines the numbered problems;
+//! - [`acceptance`] decides which objects come into force, [`acceptor`] does so incrementally;
+//! - [`status`] reports the state of each resource, [`diff`] the difference of two versions;
 //! - [`decision`] decides on a request under a snapshot and replays recorded decisions.
 //!
-//! A new field goes into its struct in [`kinds`] and its row in [`fields`]; a test compares the
-//! defaults of both, and `UPDATE_PAGES=1 cargo test -p wharfquay-resources --test reference` brings
-//! `docs/CONFIGURATION.md` up to date.
+//! To add a field, extend its struct in [`kinds`] and its table in [`fields`]; a test compares the
+//! defaults of both. `UPDATE_PAGES=1 cargo test -p wharfquay-resources --test reference` updates
+//! `docs/CONFIGURATION.md`.
 
 pub mod acceptance;
 pub mod acceptor;
--- a/crates/resources/src/nearest.rs
+++ b/crates/resources/src/nearest.rs
@@ -1,26 +1,27 @@
-//! The known name that is closest to a misspelt one.
+//! Suggestions for misspelt names.
 
-/// Largest edit distance at which a known name is suggested.
+/// Maximum edit distance at which a known name is suggested.
 const MAXIMUM_DISTANCE: usize = 3;
 
-/// The known name with the smallest edit distance to `given`, unless all of them are far away.
+/// Returns the known name with the smallest edit distance to `input`, or `None` when the distance
+/// exceeds [`MAXIMUM_DISTANCE`] or no character would be kept.
 #[must_use]
-pub fn nearest<'a>(given: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn nearest<'a>(input: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
-        .map(|name| (edit_distance(given, name), name))
+        .map(|name| (edit_distance(input, name), name))
         .filter(|(distance, name)| *distance <= MAXIMUM_DISTANCE && *distance < name.len())
         .min()
         .map(|(_, name)| name)
 }
 
-/// A hint to append to a message about an unknown name; empty when no known name is close.
+/// Returns a hint to append to a message about an unknown name; empty when no known name is close.
 #[must_use]
-pub fn suggestion<'a>(given: &str, known: impl IntoIterator<Item = &'a str>) -> String {
-    nearest(given, known).map_or_else(String::new, |name| format!(", did you mean \"{name}\"?"))
+pub fn suggestion<'a>(input: &str, known: impl IntoIterator<Item = &'a str>) -> String {
+    nearest(input, known).map_or_else(String::new, |name| format!(", did you mean \"{name}\"?"))
 }
 
-/// Number of single-character insertions, deletions and substitutions between two texts.
+/// Levenshtein distance of two texts, in characters.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/resources/src/parse.rs
+++ b/crates/resources/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of resource files: every problem of every file in one run, each with its line.
+//! Parsing of resource files. One run reports every problem of every file with its line.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// A resource file: its name, used in messages, and its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceFile {
-    /// Name, as given by the user.
+    /// Name, as specified by the user.
     pub name: String,
     /// Content.
     pub text: String,
@@ -24,14 +24,14 @@
 /// The result of parsing files.
 #[derive(Clone, Debug, Default)]
 pub struct Parsed {
-    /// Every resource without a problem of its own, in the order of the files.
+    /// Every resource that is valid by itself, in the order of the files.
     pub resources: Vec<Resource>,
-    /// Every problem, in the order of files and lines.
+    /// Every problem, in order of file and line.
     pub problems: Vec<Problem>,
 }
 
 impl Parsed {
-    /// Whether any problem is an error.
+    /// Returns true if any problem is an error.
     #[must_use]
     pub fn has_errors(&self) -> bool {
         self.problems
@@ -39,7 +39,7 @@
             .any(|problem| problem.finding.severity() == Severity::Error)
     }
 
-    /// The resources as a snapshot without a revision.
+    /// Returns the resources as a snapshot at [`Revision::ZERO`](crate::snapshot::Revision::ZERO).
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::default();
@@ -50,25 +50,25 @@
     }
 }
 
-/// Parses and checks files as one set that has to stand by itself.
+/// Parses and checks files as one complete set: references may name only resources of these files.
 #[must_use]
 pub fn parse(files: &[SourceFile]) -> Parsed {
     parse_over(files, &Snapshot::default())
 }
 
-/// Parses and checks files as a change to `base`: references may name resources of `base`, and what
-/// the files hold replaces resources of the same identity.
+/// Parses and checks files as a change to `base`: references may name resources of `base`, and
+/// resources of the files replace those of `base` with the same identity.
 #[must_use]
 pub fn parse_over(files: &[SourceFile], base: &Snapshot) -> Parsed {
     let mut parser = Parser::new(files);
     for index in 0..files.len() {
         parser.read_file(index);
     }
-    parser.check_together(base);
+    parser.check_combined(base);
     parser.finish()
 }
 
-/// Where a resource was defined.
+/// The position of a resource in the files.
 #[derive(Clone, Debug)]
 struct Definition {
     file: usize,
@@ -77,7 +77,8 @@
 }
 
 impl Definition {
-    /// Line of a field; of its closest parent, or of the resource, when it isn't written out.
+    /// Returns the line of a field. When the file does not contain the field, returns the line of its
+    /// top-level field or else of the resource.
     fn line_of(&self, field: &str) -> usize {
         let parent = field.split('.').next().unwrap_or_default();
         let line = self.key_lines.get(field);
@@ -86,8 +87,8 @@
     }
 }
 
-/// A finding and the file and line that it belongs to.
-struct Located {
+/// A finding with the file index and the line to report it at.
+struct LocatedFinding {
     file: usize,
     line: usize,
     finding: Finding,
@@ -97,8 +98,8 @@
     files: &'a [SourceFile],
     resources: Vec<Resource>,
     definitions: BTreeMap<ResourceId, Definition>,
-    located: Vec<Located>,
-    /// Whether some file could not be read as TOML, so that resources may be missing.
+    located: Vec<LocatedFinding>,
+    /// True if some file is not valid TOML, in which case resources may be missing.
     is_incomplete: bool,
 }
 
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Records the findings of a broken resource, and its name so that references to it hold.
+    /// Records the findings of an invalid resource, and its name: references to it are not reported
+    /// as unknown.
     fn report_rejected(
         &mut self,
         kind: ResourceKind,
@@ -165,8 +167,8 @@
         findings: Vec<Finding>,
     ) {
         for finding in findings {
-            let unnamed = format!("{kind}.");
-            let field = finding.field.strip_prefix(&unnamed);
+            let kind_prefix = format!("{kind}.");
+            let field = finding.field.strip_prefix(&kind_prefix);
             let line = definition.line_of(field.unwrap_or(&finding.field));
             self.report(definition.file, line, finding);
         }
@@ -177,7 +179,8 @@
         }
     }
 
-    /// Records where a resource stands; false when its name is taken.
+    /// Records the position of a resource. Returns false and reports a duplicate when its name is
+    /// already used.
     fn define(&mut self, id: ResourceId, definition: Definition) -> bool {
         if let Some(first) = self.definitions.get(&id) {
             let finding = duplicate(&id, &self.files[first.file].name, first.line);
@@ -190,7 +193,7 @@
     }
 
     /// Checks the resources against each other and against `base`.
-    fn check_together(&mut self, base: &Snapshot) {
+    fn check_combined(&mut self, base: &Snapshot) {
         let mut snapshot = base.clone();
         let mut findings = Vec::new();
         for resource in &self.resources {
@@ -209,7 +212,8 @@
         }
     }
 
-    /// Reports a finding at the place of its resource; findings about the base are left out.
+    /// Reports a finding at the position of its resource; ignores findings about resources that only
+    /// the base defines.
     fn report_by_resource(&mut self, finding: Finding) {
         let Some(id) = &finding.resource else {
             return;
@@ -221,7 +225,7 @@
     }
 
     fn report(&mut self, file: usize, line: usize, finding: Finding) {
-        self.located.push(Located {
+        self.located.push(LocatedFinding {
             file,
             line,
             finding,
@@ -248,7 +252,7 @@
 }
 
 fn duplicate(id: &ResourceId, file: &str, line: usize) -> Finding {
-    let message = format!("the name stands first at {file}:{line}");
+    let message = format!("the name is already used at {file}:{line}");
     let allowed = "a name used once in its kind";
     Finding::new(ProblemCode::DuplicateResource, "name", message, allowed).about(id)
 }
--- a/crates/resources/src/problem.rs
+++ b/crates/resources/src/problem.rs
@@ -6,20 +6,21 @@
 
 use crate::kinds::ResourceId;
 
-/// Whether a problem keeps a resource from being accepted.
+/// Severity of a problem.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Severity {
-    /// The resource is not accepted.
+    /// The resource can't be accepted.
     Error,
-    /// The resource is legal but risky.
+    /// The resource is valid but risky.
     Warning,
 }
 
-/// Defines the problem codes once, so that number, severity and text can't drift apart.
+/// Defines the problem codes with number, severity and text in one place, which keeps the three
+/// consistent.
 macro_rules! problem_codes {
     ($( $(#[doc = $doc:literal])* $name:ident = $number:literal, $severity:ident; )+) => {
-        /// Numbered kind of a problem in a resource file or object.
+        /// Numbered kind of problem in a resource file or object.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[repr(u16)]
         pub enum ProblemCode {
@@ -27,10 +28,10 @@
         }
 
         impl ProblemCode {
-            /// Every code, in order of its number.
+            /// Every code, in order of number.
             pub const ALL: &'static [Self] = &[ $( Self::$name, )+ ];
 
-            /// Whether the problem is an error or a warning.
+            /// Returns the severity of the problem.
             #[must_use]
             pub const fn severity(self) -> Severity {
                 match self {
@@ -38,7 +39,7 @@
                 }
             }
 
-            /// The name used in logs.
+            /// Returns the name used in logs.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self {
@@ -46,7 +47,7 @@
                 }
             }
 
-            /// What the code means, in one sentence.
+            /// Returns the meaning of the code in one sentence.
             #[must_use]
             pub const fn meaning(self) -> &'static str {
                 match self {
@@ -58,19 +59,19 @@
 }
 
 problem_codes! {
-    /// The file is not well-formed TOML.
+    /// The file is not valid TOML.
     Syntax = 5001, Error;
-    /// The file has a top-level key that is no resource kind, or not as a list of tables.
+    /// A top-level key of the file is not a resource kind, or its value is not a list of tables.
     UnknownKind = 5002, Error;
-    /// The resource has a field that its kind does not know.
+    /// The resource has a field that its kind does not define.
     UnknownField = 5003, Error;
     /// A required field is absent.
     MissingField = 5004, Error;
-    /// The value has another type than the field.
+    /// The type of the value differs from the type of the field.
     WrongType = 5005, Error;
-    /// The number, or the length of the list, is out of range.
+    /// The number or the length of the list is out of range.
     OutOfRange = 5006, Error;
-    /// The text does not have the form that the field requires.
+    /// The text does not have the syntax that the field requires.
     InvalidText = 5007, Error;
     /// Two fields of the resource contradict each other.
     InconsistentFields = 5008, Error;
@@ -84,40 +85,40 @@
     UnknownReference = 5102, Error;
     /// Two request kinds match the same requests.
     AmbiguousMatch = 5103, Error;
-    /// A request kind requires idempotency keys and there is no claim group to record them.
+    /// A request kind requires idempotency keys, but there is no claim group to record them.
     ClaimGroupMissing = 5104, Error;
     /// The resource was deleted while another one refers to it.
     StillReferenced = 5105, Error;
-    /// The claim group does not follow on the one that the platform holds.
+    /// The epoch or the previous replicas of the claim group do not match the group stored on the platform.
     EpochOutOfOrder = 5106, Error;
     /// Services call each other in a cycle.
     CallCycle = 5201, Warning;
-    /// The budget allows more retries than its longest chain has services.
+    /// The budget allows more retries than the longest call chain that uses it has services.
     RetryBudgetAboveDepth = 5202, Warning;
-    /// The drain leaves a service without a back end.
+    /// The drain removes every backend of a service.
     DrainLeavesNoCapacity = 5203, Warning;
-    /// The queue waits on the longest chain add up to the deadline or more.
+    /// The maximum queue waits along the call chain add up to the deadline or more.
     DeadlineBelowQueueWait = 5204, Warning;
-    /// The first retry comes, on average, after the deadline.
+    /// The mean wait before the first retry is not below the deadline.
     DeadlineBelowBackoff = 5205, Warning;
-    /// No retry budget applies, so the request kind has no retries.
+    /// No retry budget applies, so requests of this kind are never retried.
     NoRetryBudget = 5206, Warning;
-    /// An idempotency key is required for requests that may be repeated anyway.
+    /// An idempotency key is required for requests that are repeatable anyway.
     KeyWithoutEffect = 5207, Warning;
     /// There is no claim group, so a repeat of a non-repeatable request by its caller is not recognised.
     RepeatsNotRecognised = 5208, Warning;
-    /// Drains cover a majority of the claim group's replicas.
+    /// Drains cover a majority of the replicas of the claim group.
     ClaimGroupLosesMajority = 5209, Warning;
-    /// The claim group is not the one in use.
+    /// The claim group is not the one that is used.
     ClaimGroupUnused = 5210, Warning;
-    /// A daemon's settings can't be used.
+    /// The settings of a daemon are not valid.
     InvalidSettings = 5301, Error;
-    /// A scenario can't be used.
+    /// A scenario is not valid.
     InvalidScenario = 5302, Error;
 }
 
 impl ProblemCode {
-    /// The code's number.
+    /// Returns the number of the code.
     #[must_use]
     pub const fn number(self) -> u16 {
         self as u16
@@ -130,23 +131,23 @@
     }
 }
 
-/// A problem of a resource, independent of where the resource was read from.
+/// A problem of a resource, independent of the source of the resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// What kind of problem.
+    /// Kind of problem.
     pub code: ProblemCode,
-    /// The resource, unless its name can't be read.
+    /// The resource; `None` when its name can't be read.
     pub resource: Option<ResourceId>,
-    /// Path of the field inside the resource; empty when the whole resource is meant.
+    /// Path of the field within the resource; empty when the problem concerns the whole resource.
     pub field: String,
-    /// What is wrong, with the given value.
+    /// Description of the problem, with the rejected value.
     pub message: String,
-    /// What is allowed there.
+    /// The values allowed there; empty when there is nothing to list.
     pub allowed: String,
 }
 
 impl Finding {
-    /// A finding whose resource is filled in later.
+    /// Creates a finding without a resource; see [`Self::about`].
     pub(crate) fn new(
         code: ProblemCode,
         field: impl Into<String>,
@@ -162,19 +163,19 @@
         }
     }
 
-    /// The same finding about `resource`.
+    /// Sets the resource of the finding.
     pub(crate) fn about(mut self, resource: &ResourceId) -> Self {
         self.resource = Some(resource.clone());
         self
     }
 
-    /// Whether the finding is an error or a warning.
+    /// Returns the severity of the finding.
     #[must_use]
     pub const fn severity(&self) -> Severity {
         self.code.severity()
     }
 
-    /// Path of the field from the root of a file, such as `service.booking.slots`.
+    /// Returns the path of the field from the root of a file, such as `service.booking.slots`.
     #[must_use]
     pub fn field_path(&self) -> String {
         let Some(resource) = &self.resource else {
@@ -202,14 +203,14 @@
     }
 }
 
-/// A [`Finding`] and the place in a file that caused it.
+/// A [`Finding`] and its position in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// The file, as named by the user.
+    /// Name of the file, as specified by the user.
     pub file: String,
     /// Line in the file, from 1.
     pub line: usize,
-    /// What was found.
+    /// The problem.
     #[serde(flatten)]
     pub finding: Finding,
 }
--- a/crates/resources/src/reference.rs
+++ b/crates/resources/src/reference.rs
@@ -1,4 +1,4 @@
-//! Generation of the reference pages of resource files from the field table and the problem codes.
+//! Generation of the reference of resource files from the field table and the problem codes.
 
 use std::fmt::Write;
 
@@ -6,12 +6,12 @@
 use crate::kinds::ResourceKind;
 use crate::problem::{ProblemCode, Severity};
 
-/// The reference of every field of every kind, in Markdown.
+/// Returns the reference of every field of every kind, in Markdown.
 #[must_use]
 pub fn resource_reference() -> String {
     let mut page = String::new();
     for kind in ResourceKind::ALL {
-        // Writing to a String can't fail.
+        // Writing to a String never fails.
         let _ = writeln!(page, "### `[[{kind}]]`\n\n{}\n", purpose_of(kind));
         page.push_str("| Field | Type | Unit | Allowed | Default | Meaning |\n");
         page.push_str("|---|---|---|---|---|---|\n");
@@ -23,7 +23,7 @@
     page
 }
 
-/// The table of every problem code, in Markdown.
+/// Returns the table of every problem code, in Markdown.
 #[must_use]
 pub fn problem_reference() -> String {
     let mut page = String::from("| Code | Severity | Meaning |\n|---|---|---|\n");
@@ -32,7 +32,7 @@
             Severity::Error => "error",
             Severity::Warning => "warning",
         };
-        // Writing to a String can't fail.
+        // Writing to a String never fails.
         let _ = writeln!(
             page,
             "| {} | {severity} | {} |",
@@ -45,12 +45,14 @@
 
 const fn purpose_of(kind: ResourceKind) -> &'static str {
     match kind {
-        ResourceKind::Service => "A service: a set of interchangeable back ends.",
+        ResourceKind::Service => "A service: a set of interchangeable backends.",
         ResourceKind::RequestKind => {
-            "A kind of originating request: how to recognise it and how it is treated."
+            "A kind of originating request: which requests match it and how they are treated."
+        }
+        ResourceKind::RetryBudget => "Limits on retries.",
+        ResourceKind::Drain => {
+            "A request to drain backends: they get no new calls while their calls in flight complete."
         }
-        ResourceKind::RetryBudget => "Bounds on retries.",
-        ResourceKind::Drain => "The intention that back ends leave.",
         ResourceKind::ClaimGroup => "The replica group that records claims on idempotency keys.",
     }
 }
--- a/crates/resources/src/snapshot.rs
+++ b/crates/resources/src/snapshot.rs
@@ -8,12 +8,12 @@
     ClaimGroup, Drain, RequestKind, Resource, ResourceId, ResourceKind, RetryBudget, Service,
 };
 
-/// Name of the claim group that is in use.
+/// Name of the claim group that is used.
 pub const CLAIM_GROUP_IN_USE: &str = "default";
-/// Name of the retry budget of request kinds that name none.
+/// Name of the retry budget that applies to request kinds without `retry_budget`.
 pub const DEFAULT_RETRY_BUDGET: &str = "default";
 
-/// Revision of the platform's store; grows with every write to any object.
+/// Revision of the platform's store; increases with every write to any object.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,16 +21,16 @@
 pub struct Revision(u64);
 
 impl Revision {
-    /// Before the first write.
+    /// The revision before the first write.
     pub const ZERO: Self = Self(0);
 
-    /// Wraps a revision number.
+    /// Creates a revision from its number.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The revision number.
+    /// Returns the revision number.
     #[must_use]
     pub const fn number(self) -> u64 {
         self.0
@@ -40,7 +40,7 @@
 /// Every accepted resource at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Revision of the last change that this snapshot holds.
+    /// Revision of the last change that this snapshot includes.
     pub revision: Revision,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
@@ -55,7 +55,7 @@
 }
 
 impl Snapshot {
-    /// Adds a resource or puts it in place of the one with the same identity.
+    /// Adds a resource, replacing the one with the same identity.
     pub fn insert(&mut self, resource: Resource) {
         match resource {
             Resource::Service(service) => {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Removes a resource; returns whether it was there.
+    /// Removes a resource. Returns false when it did not exist.
     pub fn remove(&mut self, id: &ResourceId) -> bool {
         match id.kind {
             ResourceKind::Service => self.services.remove(&id.name).is_some(),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The resource with this identity.
+    /// Returns the resource with this identity.
     #[must_use]
     pub fn get(&self, id: &ResourceId) -> Option<Resource> {
         let name = &id.name;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The identity of every resource, in order.
+    /// Returns the identities of all resources, ordered by kind and name.
     pub fn ids(&self) -> impl Iterator<Item = ResourceId> {
         let names_of = |kind| match kind {
             ResourceKind::Service => self.services.keys().collect::<Vec<_>>(),
@@ -125,13 +125,13 @@
         })
     }
 
-    /// Every resource, in order of identity.
+    /// Returns all resources in order of identity.
     pub fn resources(&self) -> impl Iterator<Item = Resource> {
         self.ids().filter_map(|id| self.get(&id))
     }
 
-    /// The request kind that a request to `service` matches: the longest path prefix wins, then a
-    /// named method over any method, then the first name.
+    /// Returns the request kind that a request to `service` matches. Of several matches the longest
+    /// path prefix wins, then one with a method over one without, then the first by name.
     #[must_use]
     pub fn match_request(&self, service: &str, method: &str, path: &str) -> Option<&RequestKind> {
         self.request_kinds
@@ -147,7 +147,7 @@
             .max_by_key(|kind| (kind.path_prefix.len(), kind.method.is_some()))
     }
 
-    /// The retry budget that applies to a request kind, if one is configured.
+    /// Returns the retry budget that applies to a request kind; `None` when it does not exist.
     #[must_use]
     pub fn retry_budget_for(&self, request_kind: &RequestKind) -> Option<&RetryBudget> {
         let named = request_kind.retry_budget.as_deref();
--- a/crates/resources/src/spec.rs
+++ b/crates/resources/src/spec.rs
@@ -1,4 +1,4 @@
-//! Conversion between a resource and its spec in the object API, with every field checked.
+//! Conversion between a resource and its spec in the object API, with validation of every field.
 
 use serde_json::{Map, Value};
 
@@ -10,10 +10,10 @@
 use crate::nearest::suggestion;
 use crate::problem::{Finding, ProblemCode};
 
-/// Reads and checks the spec of one resource; every error is reported, not only the first.
+/// Reads and validates the spec of one resource. Reports every error, not only the first.
 ///
 /// # Errors
-/// The findings, each about one field.
+/// Returns the findings, one per invalid field.
 pub fn read_spec(kind: ResourceKind, spec: &Value) -> Result<Resource, Vec<Finding>> {
     let Some(table) = spec.as_object() else {
         let message = format!("expected a table, got {}", describe(spec));
@@ -39,10 +39,11 @@
     Err(with_owner(kind, table, findings))
 }
 
-/// Reads and checks an object of the platform: as [`read_spec`], and the names must agree.
+/// Reads and validates an object of the platform. Like [`read_spec`]; in addition, the name in the
+/// spec must be that of the object.
 ///
 /// # Errors
-/// The findings, each about one field.
+/// Returns the findings, one per invalid field.
 pub fn read_object(id: &ResourceId, spec: &Value) -> Result<Resource, Vec<Finding>> {
     let resource = read_spec(id.kind, spec).map_err(|findings| {
         findings
@@ -59,7 +60,7 @@
     Err(vec![finding.about(id)])
 }
 
-/// The spec of a resource, as stored in the object API.
+/// Returns the spec of a resource, as stored in the object API.
 #[must_use]
 pub fn to_spec(resource: &Resource) -> Value {
     let spec = match resource {
@@ -69,7 +70,7 @@
         Resource::Drain(drain) => serde_json::to_value(drain),
         Resource::ClaimGroup(group) => serde_json::to_value(group),
     };
-    // The kinds hold only strings, numbers, booleans and lists, which JSON can always express.
+    // The kinds contain only strings, numbers, booleans and lists, which JSON can always represent.
     spec.unwrap_or_default()
 }
 
@@ -84,7 +85,8 @@
     }
 }
 
-/// Names the resource in each finding, or puts the kind before the field when it has no name.
+/// Sets the resource of each finding, or prefixes the field with the kind when the resource has no
+/// valid name.
 fn with_owner(
     kind: ResourceKind,
     table: &Map<String, Value>,
@@ -160,7 +162,7 @@
     problem.map(|problem| problem.into_finding(field))
 }
 
-/// What is wrong with a value; `allowed` where it is narrower than what the field allows.
+/// A problem of a value; `allowed` is set where it is narrower than the range of the field.
 struct ValueProblem {
     code: ProblemCode,
     message: String,
@@ -218,7 +220,7 @@
             return Some(problem);
         }
         if entries[..index].contains(entry) {
-            let message = format!("{entry} stands twice");
+            let message = format!("{entry} occurs twice");
             return Some(ValueProblem::new(ProblemCode::InvalidText, message));
         }
     }
@@ -283,7 +285,7 @@
     Some(finding)
 }
 
-/// Checks between the fields of one resource.
+/// Checks the fields of one resource against each other.
 fn check_consistency(resource: &Resource) -> Vec<Finding> {
     match resource {
         Resource::RetryBudget(budget) => check_backoff(budget),
@@ -309,7 +311,7 @@
         return Vec::new();
     }
     let message = format!(
-        "{} lies below backoff_base_ms ({})",
+        "{} is below backoff_base_ms ({})",
         budget.backoff_max_ms, budget.backoff_base_ms
     );
     let allowed = format!("{} to 60000", budget.backoff_base_ms);
@@ -334,7 +336,8 @@
     )]
 }
 
-/// A group that doesn't say whose votes it takes over would never vote.
+/// Requires `previous_replicas` after the first epoch: a group that does not state whose votes it
+/// takes over would never vote.
 fn check_previous_replicas(group: &ClaimGroup) -> Option<Finding> {
     if group.epoch <= 1 || group.previous_replicas.is_some() {
         return None;
@@ -352,7 +355,7 @@
     ))
 }
 
-/// Whether the text is a valid resource name.
+/// Returns true if the text is a valid resource name.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
     let starts_well = text.starts_with(|first: char| is_name_start(first));
@@ -364,7 +367,7 @@
     character.is_ascii_lowercase() || character.is_ascii_digit()
 }
 
-/// Whether the text is a valid daemon id or zone.
+/// Returns true if the text is a valid daemon id or zone.
 #[must_use]
 pub fn is_identifier(text: &str) -> bool {
     let starts_well = text.starts_with(|first: char| first.is_ascii_alphanumeric());
@@ -378,10 +381,10 @@
     text.starts_with('/') && is_visible && text.len() <= MAXIMUM_PATH_LENGTH
 }
 
-/// Longest part of a given text that a message repeats, in characters.
+/// Maximum length of an input text that a message quotes, in characters.
 const MAXIMUM_QUOTED_LENGTH: usize = 80;
 
-/// A given text in quotes, escaped and cut to a readable length.
+/// Returns the text in quotes, escaped and truncated to [`MAXIMUM_QUOTED_LENGTH`].
 fn quoted(text: &str) -> String {
     let shortened: String = text.chars().take(MAXIMUM_QUOTED_LENGTH).collect();
     let ellipsis = if shortened.len() < text.len() {
@@ -392,10 +395,10 @@
     format!("{shortened:?}{ellipsis}")
 }
 
-/// A value's type and, where it is short, the value itself.
+/// Returns the type of a value and, where it is short, the value itself.
 fn describe(value: &Value) -> String {
     match value {
-        Value::Null => "a value that is no string, number, boolean, list or table".to_owned(),
+        Value::Null => "a value that is not a string, number, boolean, list or table".to_owned(),
         Value::Bool(flag) => format!("the boolean {flag}"),
         Value::Number(number) => format!("the number {number}"),
         Value::String(text) => format!("the string {}", quoted(text)),
--- a/crates/resources/src/status/aggregate.rs
+++ b/crates/resources/src/status/aggregate.rs
@@ -1,7 +1,8 @@
-//! Statuses from the acceptance of a revision and the reports of daemons.
+//! Computes statuses from the acceptance of a revision and the reports of daemons.
 //!
-//! A zone's revision is shown up to the version that a status is about. A status is therefore final
-//! once its version is in force everywhere, and later revisions of other resources write nothing.
+//! The revision of a zone is capped at the version that a status is about. A status is therefore
+//! final once its version is in force everywhere, and later revisions of other resources cause no
+//! further writes.
 
 use std::collections::BTreeMap;
 
@@ -10,31 +11,31 @@
 use crate::snapshot::{Revision, Snapshot};
 use crate::status::{Status, ZoneStatus, verdicts};
 
-/// What is known of one live daemon.
+/// State of one live daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonReport {
     /// Id of the daemon.
     pub id: String,
     /// Zone of the daemon.
     pub zone: String,
-    /// Service of its back end; absent at an edge.
+    /// Service of its backend; `None` for an edge.
     pub service: Option<String>,
-    /// Revision that it has in force; absent while it has not reported one.
+    /// Revision in force at the daemon; `None` until it reports one.
     pub revision: Option<Revision>,
-    /// Calls that run or wait at its back end.
+    /// Calls that are running or queued at its backend.
     pub calls_in_flight: u64,
 }
 
-/// A status to write.
+/// A pending write to the status keyspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatusChange {
-    /// The status of this resource is now this one.
+    /// Writes the status of this resource.
     Put(ResourceId, Status),
-    /// The resource is gone.
+    /// Deletes the status of this resource, which no longer exists.
     Delete(ResourceId),
 }
 
-/// The status of every judged resource.
+/// Returns the status of every resource that was accepted or rejected.
 #[must_use]
 pub fn build_statuses(
     acceptance: &Acceptance,
@@ -54,10 +55,9 @@
         .collect()
 }
 
-/// What has to be written so that the written statuses say what the wanted ones say.
+/// Returns the writes that bring the stored statuses (`written`) up to date with `wanted`.
 ///
-/// Where both say that a version is in force everywhere, other counts of daemons are no reason to
-/// write.
+/// When a version is in force everywhere in both, a different number of daemons causes no write.
 #[must_use]
 pub fn status_changes(
     written: &BTreeMap<ResourceId, Status>,
@@ -67,13 +67,13 @@
     let deletions = gone.map(|id| StatusChange::Delete(id.clone()));
     let outdated = wanted.iter().filter(|(id, status)| {
         let written = written.get(id);
-        written.is_none_or(|written| !says_the_same(written, status))
+        written.is_none_or(|written| !is_equivalent(written, status))
     });
     let puts = outdated.map(|(id, status)| StatusChange::Put(id.clone(), status.clone()));
     deletions.chain(puts).collect()
 }
 
-fn says_the_same(written: &Status, wanted: &Status) -> bool {
+fn is_equivalent(written: &Status, wanted: &Status) -> bool {
     if written == wanted {
         return true;
     }
@@ -93,10 +93,12 @@
     Some(&drain.target)
 }
 
-/// The reports of one zone, and what every status of that zone takes from them.
+/// The reports of one zone, with the values that all statuses share.
 struct Zone<'a> {
     reports: Vec<&'a DaemonReport>,
+    /// Lowest revision that a daemon of the zone reported; zero when none reported one.
     lowest: Revision,
+    /// Daemons that reported a revision.
     reported: u32,
 }
 
@@ -110,7 +112,7 @@
         }
     }
 
-    /// How far the zone is with a version; calls in flight are those that the drain covers.
+    /// Returns the status of the zone for a version, with the calls in flight that the drain covers.
     fn up_to(&self, version: Revision, drain: Option<&DrainTarget>) -> ZoneStatus {
         ZoneStatus {
             revision: self.lowest.min(version),
@@ -129,7 +131,7 @@
     }
 }
 
-/// The reports by zone.
+/// The reports grouped by zone.
 struct Zones<'a> {
     zones: BTreeMap<&'a str, Zone<'a>>,
 }
--- a/crates/resources/src/status/mod.rs
+++ b/crates/resources/src/status/mod.rs
@@ -1,7 +1,7 @@
-//! Status of a resource: what became of the version that was written.
+//! Status of a resource: whether its latest version was accepted and where it is in force.
 //!
-//! A status is stored beside the resource in the platform's status keyspace, under the resource's
-//! kind and name. Writing one makes no new configuration revision.
+//! A status is stored in the platform's status keyspace under the kind and name of the resource.
+//! Writing one creates no new configuration revision.
 
 mod aggregate;
 
@@ -18,57 +18,57 @@
 /// Status of one resource.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Version of the object that was last judged.
+    /// Version of the object that was last accepted or rejected.
     pub observed_version: Revision,
-    /// What was decided about that version.
+    /// Result for that version.
     pub verdict: Verdict,
-    /// How far each zone is, by zone.
+    /// Progress of the rollout in each zone, by zone name.
     #[serde(default)]
     pub zones: BTreeMap<String, ZoneStatus>,
 }
 
-/// What was decided about a version of a resource.
+/// Result of the acceptance of a version of a resource.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum Verdict {
-    /// Nothing yet.
+    /// The version was neither accepted nor rejected yet.
     #[default]
     Pending,
     /// The version is accepted.
     Accepted,
-    /// The version is not in force.
+    /// The version was rejected and is not in force.
     Rejected {
         /// Number of the first problem's code.
         code: u16,
-        /// Every problem, in words.
+        /// Text of every problem, joined by semicolons.
         reason: String,
-        /// Whether an earlier version stays in force.
+        /// True if an earlier version stays in force.
         last_good_in_force: bool,
     },
 }
 
-/// How far the daemons of one zone are.
+/// Progress of the rollout at the daemons of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneStatus {
-    /// Lowest revision in force among the daemons that reported one, up to the observed version.
+    /// Lowest revision in force among the daemons that reported one, capped at the observed version.
     pub revision: Revision,
-    /// Live daemons of the zone.
+    /// Number of live daemons in the zone.
     pub daemons: u32,
-    /// Live daemons whose revision is known.
+    /// Number of live daemons that reported their revision.
     pub reported: u32,
-    /// Calls in flight at the back ends that a drain covers; zero for other resources.
+    /// Number of calls in flight at the backends that a drain covers; zero for other resources.
     #[serde(default)]
     pub in_flight: u64,
 }
 
 impl Status {
-    /// Calls in flight at the back ends that a drain covers, in all zones.
+    /// Returns the number of calls in flight at the backends that a drain covers, in all zones.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
         self.zones.values().map(|zone| zone.in_flight).sum()
     }
 
-    /// Whether the observed version is accepted and in force at every daemon of every zone.
+    /// Returns true if the observed version is accepted and in force at every daemon of every zone.
     #[must_use]
     pub fn is_in_force_everywhere(&self) -> bool {
         let is_in_force = |zone: &ZoneStatus| {
@@ -80,7 +80,8 @@
     }
 }
 
-/// The verdict on each judged resource, with the version that was judged.
+/// Returns the result for each accepted or rejected resource, with its version. For a rejected
+/// deletion the version is the revision of the snapshot.
 #[must_use]
 pub fn verdicts(acceptance: &Acceptance) -> BTreeMap<ResourceId, (Revision, Verdict)> {
     let accepted = acceptance.accepted.iter();
--- a/crates/resources/src/toml_tables.rs
+++ b/crates/resources/src/toml_tables.rs
@@ -1,4 +1,4 @@
-//! Reading of TOML into JSON values, with the line of each key.
+//! Conversion of TOML files to JSON values, with the line of each key.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -8,7 +8,7 @@
 
 use crate::problem::{Finding, ProblemCode};
 
-/// One table of a file and where its keys stand.
+/// A table of a file with the lines of its keys.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LocatedTable {
     /// Key of the list that holds the table.
@@ -17,23 +17,23 @@
     pub(crate) content: Map<String, Value>,
     /// Line on which the table starts, from 1.
     pub(crate) line: usize,
-    /// Line of each key, from 1; keys of inner tables are joined by a dot.
+    /// Line of each key, from 1; keys of nested tables are dotted paths.
     pub(crate) key_lines: BTreeMap<String, usize>,
 }
 
-/// The tables of a file and what is wrong with its outline.
+/// The tables of a file and its invalid top-level entries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FileTables {
-    /// Tables inside lists, in the order of the file.
+    /// Tables in top-level lists, in the order of the file.
     pub(crate) tables: Vec<LocatedTable>,
     /// Line and key of each top-level entry that is not a list of tables.
     pub(crate) others: Vec<(usize, String)>,
 }
 
-/// Reads the lists of tables of a file.
+/// Reads the top-level lists of tables of a file.
 ///
 /// # Errors
-/// Line and finding when the text is not well-formed TOML.
+/// Returns the line and the finding when the text is not valid TOML.
 pub(crate) fn read_tables(text: &str) -> Result<FileTables, (usize, Finding)> {
     let lines = LineIndex::new(text);
     let document = Document::parse(text).map_err(|error| {
@@ -62,7 +62,8 @@
 
 type SpannedTable<'a> = (&'a dyn TableLike, Option<Range<usize>>);
 
-/// The tables of a list of tables, in either notation.
+/// Returns the tables of a list, written as `[[list]]` or as an array of inline tables; `None` when
+/// the item is not a list of tables.
 fn tables_in(item: &Item) -> Option<Vec<SpannedTable<'_>>> {
     match item {
         Item::ArrayOfTables(tables) => Some(
@@ -117,8 +118,8 @@
     content
 }
 
-/// The JSON value of an item. What JSON can't express (dates, infinities) becomes null, which no
-/// field accepts.
+/// Returns the JSON value of an item. Values that JSON can't represent (dates, infinities) become
+/// null, which no field accepts.
 fn read_item(item: &Item) -> Value {
     match item {
         Item::Value(value) => read_value(value),
@@ -153,7 +154,7 @@
     }
 }
 
-/// Turns offsets into line numbers.
+/// Converts byte offsets into line numbers.
 struct LineIndex {
     starts: Vec<usize>,
 }
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Line on which the span starts, from 1.
+    /// Returns the line on which the span starts, from 1; the first line when there is no span.
     fn line_of(&self, span: Option<Range<usize>>) -> usize {
         let offset = span.map_or(0, |span| span.start);
         self.starts.partition_point(|start| *start <= offset)
--- a/crates/resources/src/validate/mod.rs
+++ b/crates/resources/src/validate/mod.rs
@@ -1,4 +1,4 @@
-//! Checks of resources against each other.
+//! Validation of resources against each other.
 
 mod references;
 mod risks;
@@ -14,14 +14,14 @@
 use crate::snapshot::Snapshot;
 use crate::spec::{read_spec, to_spec};
 
-/// Identities that references may name.
+/// Identities of the resources that references may name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownResources {
     ids: BTreeSet<ResourceId>,
 }
 
 impl KnownResources {
-    /// The identities of a snapshot's resources.
+    /// Returns the identities of the resources of a snapshot.
     #[must_use]
     pub fn of(snapshot: &Snapshot) -> Self {
         Self {
@@ -29,38 +29,38 @@
         }
     }
 
-    /// Adds identities, such as those of resources that are present but broken.
+    /// Adds identities, such as those of resources that exist but are not valid.
     pub fn extend(&mut self, ids: impl IntoIterator<Item = ResourceId>) {
         self.ids.extend(ids);
     }
 
-    /// Whether a reference may name this resource.
+    /// Returns true if a reference may name this resource.
     #[must_use]
     pub fn contains(&self, kind: ResourceKind, name: &str) -> bool {
         let name = name.to_owned();
         self.ids.contains(&ResourceId { kind, name })
     }
 
-    /// The names of one kind.
+    /// Returns the names of the resources of one kind.
     pub(crate) fn names(&self, kind: ResourceKind) -> impl Iterator<Item = &str> {
         let ids = self.ids.iter().filter(move |id| id.kind == kind);
         ids.map(|id| id.name.as_str())
     }
 }
 
-/// Everything between resources that keeps one of them from being accepted.
+/// Returns the errors between resources, each of which prevents the acceptance of one of them.
 #[must_use]
 pub fn find_errors(snapshot: &Snapshot, known: &KnownResources) -> Vec<Finding> {
     references::find_errors(snapshot, known)
 }
 
-/// Everything between resources that is legal but risky.
+/// Returns the warnings about combinations of resources that are valid but risky.
 #[must_use]
 pub fn find_warnings(snapshot: &Snapshot) -> Vec<Finding> {
     risks::find_warnings(snapshot)
 }
 
-/// Every error of one resource by itself, without the others.
+/// Returns the errors of one resource, without checks against others.
 #[must_use]
 pub fn validate_resource(resource: &Resource) -> Vec<Finding> {
     read_spec(resource.id().kind, &to_spec(resource))
@@ -68,7 +68,8 @@
         .unwrap_or_default()
 }
 
-/// Every error and warning of a whole snapshot: each resource by itself, then all together.
+/// Returns every error and warning of a snapshot: those of each resource, then those between
+/// resources.
 #[must_use]
 pub fn validate_snapshot(snapshot: &Snapshot) -> Vec<Finding> {
     let own = snapshot
--- a/crates/resources/src/validate/references.rs
+++ b/crates/resources/src/validate/references.rs
@@ -1,4 +1,4 @@
-//! Errors between resources: references, matches and the claim group.
+//! Errors between resources: unknown references, ambiguous matches and a missing claim group.
 
 use crate::kinds::{DrainTarget, RequestKind, ResourceId, ResourceKind};
 use crate::nearest::suggestion;
@@ -6,7 +6,7 @@
 use crate::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
 use crate::validate::KnownResources;
 
-/// Every error between the resources of a snapshot.
+/// Returns every error between the resources of a snapshot.
 pub(super) fn find_errors(snapshot: &Snapshot, known: &KnownResources) -> Vec<Finding> {
     let mut findings = Vec::new();
     check_services(snapshot, known, &mut findings);
@@ -102,7 +102,7 @@
     Some(finding.about(owner))
 }
 
-/// Most names that a message lists.
+/// Maximum number of names that a message lists.
 const MAXIMUM_LISTED: usize = 12;
 
 fn describe_known(known: &KnownResources, kind: ResourceKind) -> String {
@@ -117,7 +117,8 @@
     listed
 }
 
-/// Two request kinds of one service with the same prefix and method can't be told apart.
+/// Reports request kinds of one service with the same path prefix and method: which of them a
+/// request matches would be ambiguous.
 fn check_matches(snapshot: &Snapshot, findings: &mut Vec<Finding>) {
     let mut kinds: Vec<&RequestKind> = snapshot.request_kinds.values().collect();
     kinds.sort_by_key(|kind| (kind.match_key(), &kind.name));
@@ -129,7 +130,7 @@
     }
 }
 
-/// The finding that `kind` matches the same requests as `other`.
+/// Creates the finding that `kind` matches the same requests as `other`.
 pub(crate) fn ambiguous_match(kind: &RequestKind, other: &RequestKind) -> Finding {
     let owner = ResourceId::new(ResourceKind::RequestKind, &kind.name);
     let message = format!(
--- a/crates/resources/src/validate/risks.rs
+++ b/crates/resources/src/validate/risks.rs
@@ -1,11 +1,11 @@
-//! Warnings about resources that are legal but risky.
+//! Warnings about resources that are valid but risky.
 
 use crate::chain::{find_cycles, heaviest_chain};
 use crate::kinds::{ClaimGroup, DrainTarget, RequestKind, ResourceId, ResourceKind, RetryBudget};
 use crate::problem::{Finding, ProblemCode};
 use crate::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
 
-/// Every warning about the resources of a snapshot.
+/// Returns every warning about the resources of a snapshot.
 pub(super) fn find_warnings(snapshot: &Snapshot) -> Vec<Finding> {
     let mut findings = Vec::new();
     findings.extend(warn_of_cycles(snapshot));
@@ -128,7 +128,8 @@
     ))
 }
 
-/// Compares a budget with the longest chain of the request kinds that use it.
+/// Warns when a budget allows more retries than the longest call chain of its request kinds has
+/// services.
 fn warn_of_budget_depth(snapshot: &Snapshot, budget: &RetryBudget) -> Option<Finding> {
     let uses_budget = |kind: &&RequestKind| {
         let applied = snapshot.retry_budget_for(kind);
@@ -179,7 +180,8 @@
     findings
 }
 
-/// Who depends on a service, in words; empty when nobody does.
+/// Returns the callers and request kinds that depend on a service as a clause of a message; empty
+/// when there are none.
 fn users_of(snapshot: &Snapshot, service: &str) -> String {
     let callers = snapshot.services.values();
     let callers = callers.filter(|caller| caller.calls.iter().any(|called| called == service));
--- a/crates/resources/src/validate/transition.rs
+++ b/crates/resources/src/validate/transition.rs
@@ -1,13 +1,13 @@
-//! Errors between a resource and the version of it that the platform holds.
+//! Errors between a resource and its version stored on the platform.
 //!
-//! Only operators' tools check these. A daemon must not: it may have missed versions in between, and
-//! a replica has to learn of other members under its own epoch in order to stop voting.
+//! Only operators' tools check these. A daemon must not: it may have missed intermediate versions,
+//! and a replica must accept other members under its own epoch, since it then stops voting.
 
 use crate::kinds::{ClaimGroup, Resource, ResourceId, ResourceKind};
 use crate::problem::{Finding, ProblemCode};
 use crate::snapshot::Snapshot;
 
-/// What keeps a resource from following on the version that the platform holds.
+/// Returns the errors that prevent a resource from replacing its version on the platform.
 #[must_use]
 pub fn find_transition_errors(current: &Snapshot, resource: &Resource) -> Vec<Finding> {
     let Resource::ClaimGroup(group) = resource else {
@@ -20,12 +20,13 @@
     finding.into_iter().collect()
 }
 
-/// Members change in the next epoch only, which takes over the votes of the members before.
+/// Checks that the replicas change only in the next epoch, which takes over the votes of the
+/// previous replicas.
 fn check_claim_group(previous: &ClaimGroup, group: &ClaimGroup) -> Option<Finding> {
     let next = previous.epoch.saturating_add(1);
     let is_same = sorted(&previous.replicas) == sorted(&group.replicas);
     if group.epoch == next {
-        return check_taken_over(previous, group);
+        return check_votes_taken_over(previous, group);
     }
     if group.epoch == previous.epoch && is_same {
         return None;
@@ -45,7 +46,7 @@
     Some(Finding::new(code, "epoch", message, allowed))
 }
 
-fn check_taken_over(previous: &ClaimGroup, group: &ClaimGroup) -> Option<Finding> {
+fn check_votes_taken_over(previous: &ClaimGroup, group: &ClaimGroup) -> Option<Finding> {
     let named = group.previous_replicas.as_deref().unwrap_or_default();
     if named.is_empty() || sorted(named) == sorted(&previous.replicas) {
         return None;
@@ -63,7 +64,7 @@
     Some(Finding::new(code, "previous_replicas", message, allowed))
 }
 
-/// The members in an order of their own, since the order in the resource has no meaning.
+/// Returns the members in sorted order for comparison; their order in the resource has no meaning.
 fn sorted(members: &[String]) -> Vec<&str> {
     let mut members: Vec<&str> = members.iter().map(String::as_str).collect();
     members.sort_unstable();
--- a/crates/resources/tests/acceptance.rs
+++ b/crates/resources/tests/acceptance.rs
@@ -1,4 +1,5 @@
-//! Which objects come into force, which are rejected, and what stays in force instead.
+//! Tests that valid objects come into force, that invalid ones are rejected, and that the last good
+//! version of a rejected resource stays in force.
 
 use std::collections::BTreeMap;
 
@@ -32,7 +33,7 @@
     object(ResourceKind::RequestKind, name, version, spec)
 }
 
-/// The objects that every case starts from.
+/// Objects of the snapshot in force before each case.
 fn first_objects() -> Vec<StoredObject> {
     vec![
         service("front", 1, 10, &["back"]),
@@ -47,7 +48,7 @@
     acceptance.snapshot
 }
 
-/// The first objects with some put in place or added, and some deleted.
+/// Returns the first objects with the objects of `put` written and those named in `deleted` removed.
 fn changed(put: Vec<StoredObject>, deleted: &[&str]) -> Vec<StoredObject> {
     let objects = first_objects().into_iter().chain(put);
     let by_id: BTreeMap<ResourceId, StoredObject> = objects
@@ -57,7 +58,7 @@
     by_id.into_values().collect()
 }
 
-/// Identity, rejected version, first code, and whether the last good version stays in force.
+/// Identity, rejected version, first problem code, and true if the last good version stays in force.
 type Rejected = (&'static str, Option<u64>, u16, bool);
 
 fn rejected(acceptance: &Acceptance) -> Vec<(String, Option<u64>, u16, bool)> {
@@ -75,7 +76,7 @@
 }
 
 struct Case {
-    what: &'static str,
+    description: &'static str,
     put: Vec<StoredObject>,
     deleted: &'static [&'static str],
     rejected: &'static [Rejected],
@@ -84,49 +85,49 @@
 fn cases() -> Vec<Case> {
     vec![
         Case {
-            what: "a value out of range keeps the version before",
+            description: "a value out of range leaves the previous version in force",
             put: vec![service("back", 9, 0, &[])],
             deleted: &[],
             rejected: &[("service/back", Some(9), 5006, true)],
         },
         Case {
-            what: "a new resource that is broken does not exist",
+            description: "a new resource that is not valid does not come into force",
             put: vec![service("new", 9, -1, &[])],
             deleted: &[],
             rejected: &[("service/new", Some(9), 5006, false)],
         },
         Case {
-            what: "a change that refers to nothing keeps the version before",
+            description: "a reference to an unknown resource leaves the previous version in force",
             put: vec![service("back", 9, 5, &["missing"])],
             deleted: &[],
             rejected: &[("service/back", Some(9), 5102, true)],
         },
         Case {
-            what: "a service that is still called stays",
+            description: "a service that another one calls can't be deleted",
             put: vec![],
             deleted: &["back"],
             rejected: &[("service/back", None, 5105, true)],
         },
         Case {
-            what: "a whole chain can be deleted at once",
+            description: "a whole call chain can be deleted in one change",
             put: vec![],
             deleted: &["front", "back", "look_up"],
             rejected: &[],
         },
         Case {
-            what: "of two that match the same requests the newer one is rejected, last by name",
+            description: "of two that match the same requests the newer one is rejected, last by name",
             put: vec![request_kind("other", 9, "front", "/items")],
             deleted: &[],
             rejected: &[("request_kind/other", Some(9), 5103, false)],
         },
         Case {
-            what: "of two that match the same requests the newer one is rejected, first by name",
+            description: "of two that match the same requests the newer one is rejected, first by name",
             put: vec![request_kind("another", 9, "front", "/items")],
             deleted: &[],
             rejected: &[("request_kind/another", Some(9), 5103, false)],
         },
         Case {
-            what: "what refers to a broken new resource is rejected with it",
+            description: "a resource that refers to an invalid new resource is rejected with it",
             put: vec![service("new", 9, 0, &[]), request_kind("x", 10, "new", "/")],
             deleted: &[],
             rejected: &[
@@ -135,7 +136,7 @@
             ],
         },
         Case {
-            what: "a good change next to a bad one comes into force",
+            description: "a valid change comes into force beside an invalid one",
             put: vec![
                 service("front", 9, 11, &["back"]),
                 service("back", 10, 0, &[]),
@@ -157,7 +158,7 @@
             .iter()
             .map(|(id, version, code, kept)| ((*id).to_owned(), *version, *code, *kept))
             .collect();
-        assert_eq!(rejected(&acceptance), expected, "{}", case.what);
+        assert_eq!(rejected(&acceptance), expected, "{}", case.description);
         assert_eq!(acceptance.snapshot.revision, Revision::new(20));
         let expected_accepted = objects.len()
             - acceptance
@@ -169,13 +170,13 @@
             acceptance.accepted.len(),
             expected_accepted,
             "{}",
-            case.what
+            case.description
         );
     }
 }
 
 #[test]
-fn a_spec_under_another_name_is_rejected() {
+fn a_spec_whose_name_differs_from_its_object_is_rejected() {
     let mut object = service("back", 9, 4, &[]);
     object.spec["name"] = json!("front");
     let acceptance = accept(
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn the_verdict_names_the_reason() {
+fn the_verdict_of_a_rejection_states_the_reason() {
     let objects = changed(vec![service("back", 9, 0, &[])], &[]);
     let verdicts = verdicts(&accept(&first_snapshot(), Revision::new(9), &objects));
     let expected = Verdict::Rejected {
@@ -204,7 +205,7 @@
     assert_eq!(verdicts[&front], (Revision::new(1), Verdict::Accepted));
 }
 
-/// Objects over few names, so that they refer to each other, clash and are deleted often.
+/// Generates objects with few names, which often refer to each other, conflict or are deleted.
 fn any_objects() -> impl Strategy<Value = Vec<StoredObject>> {
     let name = prop::sample::select(vec!["a", "b", "c"]);
     let any_service = (
@@ -232,7 +233,7 @@
 const SEED: u64 = 12;
 
 #[test]
-fn an_acceptor_ignores_what_is_not_newer() {
+fn an_acceptor_ignores_revisions_that_are_not_newer() {
     let mut acceptor = Acceptor::new(first_snapshot());
     assert!(!acceptor.replace(Revision::new(2), []));
     assert!(acceptor.replace(Revision::new(3), first_objects()));
@@ -258,7 +259,7 @@
     })]
 
     #[test]
-    fn what_is_in_force_never_has_an_error(steps in prop::collection::vec(any_objects(), 1..6)) {
+    fn the_accepted_snapshot_never_has_an_error(steps in prop::collection::vec(any_objects(), 1..6)) {
         let mut last = Snapshot::default();
         for (index, objects) in steps.iter().enumerate() {
             let revision = Revision::new(index as u64 + 1);
@@ -272,7 +273,7 @@
     }
 
     #[test]
-    fn a_chain_of_changes_ends_as_the_lists_at_each_revision(objects in any_objects(), later in any_objects()) {
+    fn single_changes_give_the_same_result_as_full_lists(objects in any_objects(), later in any_objects()) {
         let mut by_change = Acceptor::default();
         let mut by_list = Acceptor::default();
         let mut current = BTreeMap::new();
--- a/crates/resources/tests/arbitrary_input.rs
+++ b/crates/resources/tests/arbitrary_input.rs
@@ -1,4 +1,4 @@
-//! No input makes parsing panic, and what is accepted can be written and read again.
+//! Tests that no input makes parsing panic and that accepted specs survive a round trip.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -30,7 +30,7 @@
     parsed.problems.len()
 }
 
-/// Values of every type, small and extreme.
+/// Generates values of every type, small and extreme.
 fn any_value() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -52,7 +52,7 @@
     })
 }
 
-/// Specs with the kind's own fields and sometimes another one.
+/// Generates specs with the fields of the kind and sometimes an unknown field.
 fn any_spec() -> impl Strategy<Value = (ResourceKind, Value)> {
     let kind = prop::sample::select(ResourceKind::ALL.to_vec());
     kind.prop_flat_map(|kind| {
@@ -101,7 +101,7 @@
     }
 
     #[test]
-    fn an_accepted_spec_survives_writing_and_reading((kind, spec) in any_spec()) {
+    fn an_accepted_spec_survives_a_round_trip((kind, spec) in any_spec()) {
         match read_spec(kind, &spec) {
             Ok(resource) => {
                 prop_assert_eq!(validate_resource(&resource), vec![]);
--- a/crates/resources/tests/decision.rs
+++ b/crates/resources/tests/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions at the edge and their replay against another configuration.
+//! Tests of decisions at the edge and their replay against another configuration.
 
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::{AdmissionLevel, Rank};
@@ -78,7 +78,7 @@
 #[test]
 fn a_request_is_matched_checked_and_admitted_in_turn() {
     const OPEN: u16 = 32_768;
-    // Method, path, level, and the kind and refusal expected.
+    // Method, path, level, expected request kind, expected refusal.
     let cases = [
         ("GET", "/items/7", OPEN, Some("look_up"), None),
         (
@@ -124,9 +124,9 @@
 #[test]
 fn a_caller_can_shorten_the_deadline_but_not_lengthen_it() {
     let snapshot = snapshot(CONFIGURATION);
-    for (given, expected) in [(None, 500), (Some(200), 200), (Some(9_000), 500)] {
+    for (requested, expected) in [(None, 500), (Some(200), 200), (Some(9_000), 500)] {
         let mut request = request("GET", "/items");
-        request.deadline_ms = given;
+        request.deadline_ms = requested;
         let decision = decide(&snapshot, &request, &circumstances(32_768));
         let treatment = decision.treatment.expect("a match");
         assert_eq!(treatment.deadline_ms, expected);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_replay_against_the_same_configuration_differs_in_nothing() {
+fn a_replay_against_the_same_configuration_has_no_differences() {
     let snapshot = snapshot(CONFIGURATION);
     for level in [0, 8_292, 8_293, 32_768] {
         for method in ["GET", "POST"] {
@@ -157,13 +157,13 @@
     }
 }
 
-/// Part, recorded value and replayed value.
+/// Name of the part, recorded value, replayed value.
 type Difference = (&'static str, &'static str, &'static str);
 
 #[test]
-fn a_replay_names_each_part_that_differs() {
+fn a_replay_lists_each_part_that_differs() {
     let before = snapshot(CONFIGURATION);
-    // What is replaced in the configuration, by what, and the differences expected.
+    // Text to replace in the configuration, its replacement, expected differences.
     let cases: [(&str, &str, &[Difference]); 5] = [
         (
             "priority = 2",
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_drain_keeps_requests_from_the_chosen_back_end() {
+fn a_drain_is_recorded_when_it_covers_the_chosen_backend() {
     let before = snapshot(CONFIGURATION);
     let record = record(&before, request("GET", "/items"), 32_768);
     for (target, is_covered) in [
--- a/crates/resources/tests/parse_errors.rs
+++ b/crates/resources/tests/parse_errors.rs
@@ -1,4 +1,4 @@
-//! Messages, codes and lines of what parsing and validation report.
+//! Tests of the messages, codes and lines that parsing and validation report.
 
 use wharfquay_resources::fields::{FieldDefault, fields_of};
 use wharfquay_resources::kinds::ResourceKind;
@@ -46,7 +46,7 @@
     assert_eq!(parsed.resources.len(), 4);
 }
 
-/// One row: what the file holds, and the one message that is expected.
+/// Content of a file and the one message expected for it.
 struct Case {
     text: &'static str,
     message: &'static str,
@@ -75,7 +75,7 @@
     },
     Case {
         text: "[[service]]\nname = \"a\"\nslots = 1\nqueue_wait_ms = nan\n",
-        message: "f:4: service.a.queue_wait_ms: expected a whole number, got a value that is no string, number, boolean, list or table (allowed: 0 to 60000) [5005]",
+        message: "f:4: service.a.queue_wait_ms: expected a whole number, got a value that is not a string, number, boolean, list or table (allowed: 0 to 60000) [5005]",
     },
     Case {
         text: "[[service]]\nname = \"A b\"\nslots = 1\n",
@@ -83,7 +83,7 @@
     },
     Case {
         text: "[[service]]\nname = \"a\"\nslots = 1\ncalls = [\"a\", \"a\"]\n",
-        message: "f:4: service.a.calls: \"a\" stands twice (allowed: a list of service names, each once) [5007]",
+        message: "f:4: service.a.calls: \"a\" occurs twice (allowed: a list of service names, each once) [5007]",
     },
     Case {
         text: "[[service]]\nname = \"a\"\nslots = 1\ncalls = [\"b\"]\n",
@@ -99,7 +99,7 @@
     },
     Case {
         text: "[[retry_budget]]\nname = \"a\"\nretries_per_request = 1\nbackoff_base_ms = 200\n",
-        message: "f:1: retry_budget.a.backoff_max_ms: 100 lies below backoff_base_ms (200) (allowed: 200 to 60000) [5008]",
+        message: "f:1: retry_budget.a.backoff_max_ms: 100 is below backoff_base_ms (200) (allowed: 200 to 60000) [5008]",
     },
     Case {
         text: "[[drain]]\nname = \"a\"\ntarget = \"ikeja\"\n",
@@ -145,7 +145,7 @@
 }
 
 /// Text that is added to [`VALID`], which fills lines 1 to 21, and the one message expected.
-const TOGETHER_CASES: &[Case] = &[
+const CROSS_RESOURCE_CASES: &[Case] = &[
     Case {
         text: "[[request_kind]]\nname = \"other\"\nservice = \"frnt\"\npriority = 1\ndeadline_ms = 900\n",
         message: "f:24: request_kind.other.service: unknown service \"frnt\", did you mean \"front\"? (allowed: back, front) [5102]",
@@ -164,7 +164,7 @@
     },
     Case {
         text: "[[service]]\nname = \"front\"\nslots = 4\n",
-        message: "f:23: service.front.name: the name stands first at f:2 (allowed: a name used once in its kind) [5101]",
+        message: "f:23: service.front.name: the name is already used at f:2 (allowed: a name used once in its kind) [5101]",
     },
     Case {
         text: "[[service]]\nname = \"ring\"\nslots = 4\ncalls = [\"ring\"]\n",
@@ -207,7 +207,7 @@
 #[test]
 fn problems_between_resources_are_found() {
     assert_eq!(VALID.lines().count(), 21);
-    for case in TOGETHER_CASES {
+    for case in CROSS_RESOURCE_CASES {
         let parsed = parse(&[file("f", &format!("{VALID}{}", case.text))]);
         assert_eq!(messages(&parsed), [case.message], "text: {}", case.text);
     }
@@ -286,12 +286,12 @@
         ResourceKind::ClaimGroup => r#"{"name":"a","epoch":1,"replicas":["r"]}"#,
     };
     for kind in ResourceKind::ALL {
-        let given: serde_json::Value = serde_json::from_str(minimal(kind)).expect("JSON");
-        let spec = to_spec(&read_spec(kind, &given).expect("a minimal spec is valid"));
+        let minimal_spec: serde_json::Value = serde_json::from_str(minimal(kind)).expect("JSON");
+        let spec = to_spec(&read_spec(kind, &minimal_spec).expect("a minimal spec is valid"));
         for field in fields_of(kind) {
             let found = spec.get(field.name);
             match field.default {
-                FieldDefault::Required => assert_eq!(found, given.get(field.name)),
+                FieldDefault::Required => assert_eq!(found, minimal_spec.get(field.name)),
                 FieldDefault::Absent(_) => assert_eq!(found, None),
                 FieldDefault::Value(text) => {
                     let value: serde_json::Value = serde_json::from_str(text).expect("JSON");
@@ -307,8 +307,8 @@
     }
 }
 
-/// Epoch, replicas, replicas taken over, and the message expected, of a group that follows on epoch
-/// 3 with the replicas a, b and c.
+/// Epoch, replicas, previous replicas and expected message of a group that replaces the group of
+/// epoch 3 with the replicas a, b and c.
 const FOLLOWING_GROUPS: &[(u32, &str, &str, Option<&str>)] = &[
     (3, "'c', 'b', 'a'", "", None),
     (4, "'a', 'b', 'd'", "'b', 'a', 'c'", None),
@@ -348,7 +348,7 @@
 ];
 
 #[test]
-fn a_claim_group_must_follow_on_the_one_that_the_platform_holds() {
+fn a_claim_group_must_match_the_epoch_and_replicas_on_the_platform() {
     let group = |epoch: u32, replicas: &str, previous: &str| {
         let text = format!(
             "[[claim_group]]\nname = 'default'\nepoch = {epoch}\nreplicas = [{replicas}]\nprevious_replicas = [{previous}]\n"
--- a/crates/resources/tests/reference.rs
+++ b/crates/resources/tests/reference.rs
@@ -1,6 +1,6 @@
-//! The generated parts of `docs/CONFIGURATION.md` are up to date.
+//! Tests that the generated sections of `docs/CONFIGURATION.md` are up to date.
 //!
-//! `UPDATE_PAGES=1 cargo test -p wharfquay-resources --test reference` writes them anew.
+//! `UPDATE_PAGES=1 cargo test -p wharfquay-resources --test reference` regenerates them.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
         .join(path)
 }
 
-/// The page with the text between a section's marks replaced.
+/// Returns the page with the text between the begin and end comments of a section replaced.
 fn with_section(page: &str, section: &str, content: &str) -> String {
     let begin = format!("<!-- begin generated: {section} -->\n");
     let end = format!("<!-- end generated: {section} -->");
--- a/crates/resources/tests/status.rs
+++ b/crates/resources/tests/status.rs
@@ -1,4 +1,5 @@
-//! Statuses from an acceptance and the reports of daemons, and what of them is written.
+//! Tests that statuses are computed from an acceptance and the reports of daemons, and that only
+//! changed statuses are written.
 
 use std::collections::BTreeMap;
 
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn a_zone_is_as_far_as_its_slowest_daemon() {
+fn the_revision_of_a_zone_is_the_lowest_of_its_daemons() {
     let reports = [
         report("a", "ikeja", Some(6), 2),
         report("b", "ikeja", Some(5), 3),
@@ -74,7 +75,7 @@
         (yaba.revision.number(), yaba.daemons, yaba.reported),
         (6, 2, 1)
     );
-    // Only the back ends in ikeja are covered.
+    // The drain covers only the backends in ikeja.
     assert_eq!(drain.in_flight(), 5);
     assert!(!drain.is_in_force_everywhere());
 
@@ -88,9 +89,9 @@
     ));
 }
 
-/// The reports after the first ones, and whether the drain's status is written again.
+/// Each case has the later reports and whether the status of the drain is written again.
 #[test]
-fn a_status_is_written_only_when_it_says_something_new() {
+fn a_status_is_written_only_when_it_changes() {
     let first = vec![
         report("a", "ikeja", Some(6), 0),
         report("c", "yaba", Some(6), 0),
@@ -99,7 +100,7 @@
     let drain = ResourceId::new(ResourceKind::Drain, "d");
     assert!(written[&drain].is_in_force_everywhere());
     let cases = [
-        ("nothing new", first.clone(), false),
+        ("the same reports", first.clone(), false),
         (
             "a later revision",
             vec![
@@ -127,7 +128,7 @@
             true,
         ),
         (
-            "calls at a drained back end",
+            "calls at a drained backend",
             vec![
                 report("a", "ikeja", Some(6), 4),
                 report("c", "yaba", Some(6), 0),
@@ -140,13 +141,13 @@
             true,
         ),
     ];
-    for (what, reports, is_written) in cases {
+    for (description, reports, is_written) in cases {
         let wanted = build_statuses(&acceptance(), &reports);
         let changes = status_changes(&written, &wanted);
         let has_change = changes
             .iter()
             .any(|change| matches!(change, StatusChange::Put(id, _) if *id == drain));
-        assert_eq!(has_change, is_written, "{what}: {changes:?}");
+        assert_eq!(has_change, is_written, "{description}: {changes:?}");
     }
 }
 
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_status_survives_the_object_api() {
+fn a_status_survives_a_round_trip_as_json() {
     let statuses = build_statuses(&acceptance(), &[report("a", "ikeja", Some(6), 1)]);
     for status in statuses.values() {
         let spec = serde_json::to_value(status).expect("JSON");
