--- a/crates/platform/examples/reader_cost.rs
+++ b/crates/platform/examples/reader_cost.rs
@@ -1,7 +1,9 @@
-//! Prints what a configuration reader costs per object and per change, without sockets.
+//! Measures the time and memory of a configuration reader per object and per change, without
+//! sockets.
 //!
-//! Run with `cargo run --release -p wharfquay-platform --example reader_cost -- OBJECTS`, one size in
-//! each process, since memory that an earlier size left over would be counted as free.
+//! Run with `cargo run --release -p wharfquay-platform --example reader_cost -- OBJECTS`. Each size
+//! needs its own process: memory that the allocator retains from an earlier size would be reused and
+//! not counted.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +17,10 @@
 
 const DEFAULT_OBJECTS: u64 = 3_000;
 const CHANGES: u64 = 20_000;
-/// Objects over all the copies whose memory is compared, so many that memory left over from before
-/// hardly counts.
+/// Total number of objects in the reader copies whose memory is measured; large enough to make
+/// memory retained by the allocator insignificant.
 const COPIED_OBJECTS: u64 = 2_000_000;
-/// Unit of the resident set in `/proc/self/statm`.
+/// Page size, the unit of the resident set in `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4_096;
 
 fn main() {
@@ -98,7 +100,7 @@
     let mut decoder = EventDecoder::default();
     let mut changes = 0;
     for piece in body.chunks(PIECE_BYTES) {
-        decoder.push(piece).expect("well formed");
+        decoder.push(piece).expect("a valid event");
         while let Some(event) = decoder.pop() {
             changes += handle(source, SourceInput::WatchEvent(event));
         }
@@ -108,7 +110,7 @@
     took
 }
 
-/// Hands in an input; returns the number of effects.
+/// Passes an input to the reader and returns the number of its effects, except closed watches.
 fn handle(source: &mut ConfigurationSource, input: SourceInput) -> usize {
     let effects = source.handle(Timestamp::ZERO, input, &mut rand::rng());
     effects
@@ -117,7 +119,7 @@
         .count()
 }
 
-/// Resident bytes that one more reader takes, without what its consumer holds.
+/// Returns the resident bytes per additional reader, without the memory of its consumer.
 fn reader_bytes(source: &ConfigurationSource, objects: u64) -> u64 {
     let readers = COPIED_OBJECTS / objects;
     let before = resident_bytes();
--- a/crates/platform/src/backoff.rs
+++ b/crates/platform/src/backoff.rs
@@ -4,15 +4,15 @@
 
 use rand::{Rng, RngExt};
 
-/// Exponents above this one would overflow and reach the maximum anyway.
+/// Maximum exponent; larger ones would overflow the factor, and the wait reaches its maximum before.
 const MAXIMUM_DOUBLINGS: u32 = 20;
 
-/// Waits between attempts towards the platform.
+/// Waits between attempts to reach the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// Longest wait before the first repetition.
+    /// Longest wait before the first retry.
     pub base: Duration,
-    /// Longest wait before any repetition.
+    /// Longest wait before any retry.
     pub maximum: Duration,
 }
 
@@ -26,14 +26,14 @@
 }
 
 impl Backoff {
-    /// Longest wait before the repetition that follows `failures` failures in a row.
+    /// Returns the longest wait before the retry after `failures` consecutive failures.
     #[must_use]
     pub fn ceiling(&self, failures: u32) -> Duration {
         let doublings = failures.saturating_sub(1).min(MAXIMUM_DOUBLINGS);
         self.base.saturating_mul(1 << doublings).min(self.maximum)
     }
 
-    /// A random wait between zero and [`Self::ceiling`].
+    /// Returns a random wait between zero and [`Self::ceiling`].
     pub fn delay(&self, failures: u32, random: &mut impl Rng) -> Duration {
         self.ceiling(failures).mul_f64(random.random::<f64>())
     }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: one method for each call of the object API.
+//! Client with one method for each call of the object API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,26 +15,27 @@
 use crate::wire::{LeaseAnswer, LeaseBody, Machine, MachineList, Object, ObjectKey, ObjectList};
 use crate::write::{Keyspace, WriteReceipt, WriteRequest};
 
-/// Longest name, in bytes.
+/// Maximum length of a name in a path or query, in bytes.
 const MAXIMUM_NAME_BYTES: usize = 128;
 
-/// What became of a request for a lease.
+/// Result of a lease request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseOutcome {
-    /// The lease is held by the one who asked, for this long from when the request was sent.
+    /// The requester holds the lease for this duration, counted from when the request was sent.
     Granted(Duration),
-    /// Someone else holds the lease.
+    /// Another holder has the lease.
     HeldBy(LeaseAnswer),
 }
 
-/// Client of the platform. Calls may run side by side.
+/// Client of the platform. Calls may run concurrently.
 #[derive(Debug)]
 pub struct Client {
     pub(crate) transport: Transport,
 }
 
 impl Client {
-    /// A client of the platform that answers at `addresses`; the first is tried first.
+    /// Creates a client of the platform at `addresses`. The first address is used until a call to it
+    /// fails.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddr>, settings: ClientSettings) -> Self {
         Self {
@@ -42,28 +43,28 @@
         }
     }
 
-    /// The bounds in use.
+    /// Returns the settings of the client.
     #[must_use]
     pub const fn settings(&self) -> &ClientSettings {
         self.transport.settings()
     }
 
-    /// Every configuration object at the store's version.
+    /// Returns every configuration object at the current version of the store.
     pub async fn list(&self) -> Result<ObjectList, PlatformError> {
         self.list_in(Keyspace::Objects).await
     }
 
-    /// Every status object at the status keyspace's version.
+    /// Returns every status object at the current version of the status keyspace.
     pub async fn list_status(&self) -> Result<ObjectList, PlatformError> {
         self.list_in(Keyspace::Status).await
     }
 
-    /// A configuration object, or `None` when it doesn't exist.
+    /// Returns a configuration object, or `None` when it doesn't exist.
     pub async fn get(&self, key: &ObjectKey) -> Result<Option<Object>, PlatformError> {
         self.get_in(Keyspace::Objects, key).await
     }
 
-    /// A status object, or `None` when it doesn't exist.
+    /// Returns a status object, or `None` when it doesn't exist.
     pub async fn get_status(&self, key: &ObjectKey) -> Result<Option<Object>, PlatformError> {
         self.get_in(Keyspace::Status, key).await
     }
@@ -91,7 +92,7 @@
         self.write(&request).await
     }
 
-    /// Creates or replaces a status object, repeating attempts as [`Self::write_with_retry`] does.
+    /// Creates or replaces a status object, with retries as in [`Self::write_with_retry`].
     pub async fn put_status(
         &self,
         key: ObjectKey,
@@ -103,7 +104,7 @@
         self.write_with_retry(&request).await
     }
 
-    /// Opens a watch that tells of every change after version `from`.
+    /// Opens a watch that reports every change after version `from`.
     pub async fn watch(&self, from: Revision) -> Result<WatchStream, PlatformError> {
         let path = format!("/v1/watch?from={}", from.number());
         let (target, response) = self.transport.open(Call::new(Method::GET, path)).await?;
@@ -116,29 +117,29 @@
                 from: from.number(),
             }),
             _ => {
-                let read = self.transport.read_answer(&target, response);
-                let answer = self.transport.bounded(&target, read).await?;
-                Err(answer.failure())
+                let read = self.transport.read_reply(&target, response);
+                let reply = self.transport.bounded(&target, read).await?;
+                Err(reply.failure())
             }
         }
     }
 
-    /// The platform's list of machines, which may lag behind reality.
+    /// Returns the platform's list of machines, which may lag behind the actual state.
     pub async fn machines(&self) -> Result<MachineList, PlatformError> {
         self.get_json("/v1/machines".to_owned()).await
     }
 
-    /// The platform's list of machines unless its version is still `known`.
+    /// Returns the platform's list of machines, or `None` while its version is still `known`.
     pub async fn machines_unless(&self, known: u64) -> Result<Option<MachineList>, PlatformError> {
         let path = format!("/v1/machines?unless_version={known}");
-        let answer = self
+        let reply = self
             .transport
             .exchange(Call::new(Method::GET, path))
             .await?;
-        if answer.status == StatusCode::NOT_MODIFIED {
+        if reply.status == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
-        answer.success().map(Some)
+        reply.success().map(Some)
     }
 
     /// Adds a machine to the platform's list or replaces its entry.
@@ -154,10 +155,10 @@
         self.expect_success(Call::new(Method::DELETE, path)).await
     }
 
-    /// Asks for a lease or renews it.
+    /// Requests or renews a lease.
     ///
-    /// The time granted counts from when the request was sent, so that the holder never believes in
-    /// its lease for longer than the platform does.
+    /// The granted time counts from when the request was sent: the lease never lasts longer for its
+    /// holder than for the platform.
     pub async fn acquire_lease(
         &self,
         name: &str,
@@ -170,17 +171,17 @@
             ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX),
         };
         let call = Call::with_json(Method::PUT, path, &body)?;
-        let answer = self.transport.exchange(call).await?;
-        if answer.status == StatusCode::CONFLICT {
-            return Ok(LeaseOutcome::HeldBy(answer.json()?));
+        let reply = self.transport.exchange(call).await?;
+        if reply.status == StatusCode::CONFLICT {
+            return Ok(LeaseOutcome::HeldBy(reply.json()?));
         }
-        let granted: LeaseAnswer = answer.success()?;
+        let granted: LeaseAnswer = reply.success()?;
         Ok(LeaseOutcome::Granted(Duration::from_millis(
             granted.expires_in_ms,
         )))
     }
 
-    /// Gives up a lease. Nothing happens when the lease is someone else's.
+    /// Releases a lease. Has no effect when another holder has it.
     pub async fn release_lease(&self, name: &str, holder: &str) -> Result<(), PlatformError> {
         let name = valid_name("lease name", name)?;
         let holder = utf8_percent_encode(holder, NON_ALPHANUMERIC);
@@ -198,30 +199,30 @@
         key: &ObjectKey,
     ) -> Result<Option<Object>, PlatformError> {
         let call = Call::new(Method::GET, object_path(keyspace, key)?);
-        let answer = self.transport.exchange(call).await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        let reply = self.transport.exchange(call).await?;
+        if reply.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        answer.success().map(Some)
+        reply.success().map(Some)
     }
 
     async fn get_json<T: serde::de::DeserializeOwned>(
         &self,
         path: String,
     ) -> Result<T, PlatformError> {
-        let answer = self
+        let reply = self
             .transport
             .exchange(Call::new(Method::GET, path))
             .await?;
-        answer.success()
+        reply.success()
     }
 
     async fn expect_success(&self, call: Call) -> Result<(), PlatformError> {
-        let answer = self.transport.exchange(call).await?;
-        if answer.status.is_success() {
+        let reply = self.transport.exchange(call).await?;
+        if reply.status.is_success() {
             return Ok(());
         }
-        Err(answer.failure())
+        Err(reply.failure())
     }
 }
 
@@ -231,18 +232,18 @@
     Ok(format!("{}/{kind}/{name}", keyspace.path()))
 }
 
-/// Passes a name that can stand in a path or query as it is.
-fn valid_name<'name>(field: &'static str, given: &'name str) -> Result<&'name str, PlatformError> {
+/// Returns the name if it can be used in a path or query without escaping.
+fn valid_name<'name>(field: &'static str, name: &'name str) -> Result<&'name str, PlatformError> {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
-    let valid = !given.is_empty()
-        && given.len() <= MAXIMUM_NAME_BYTES
-        && !given.starts_with('.')
-        && given.bytes().all(allowed);
+    let valid = !name.is_empty()
+        && name.len() <= MAXIMUM_NAME_BYTES
+        && !name.starts_with('.')
+        && name.bytes().all(allowed);
     if valid {
-        return Ok(given);
+        return Ok(name);
     }
     Err(PlatformError::InvalidName {
         field,
-        given: given.to_owned(),
+        given: name.to_owned(),
     })
 }
--- a/crates/platform/src/conversion.rs
+++ b/crates/platform/src/conversion.rs
@@ -6,37 +6,37 @@
 
 use crate::wire::{Object, ObjectKey};
 
-/// Why an object is no usable resource.
+/// An error that an object can't be converted to a resource.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum ConversionError {
     /// 6101: object {key}: kind {kind:?} is not known; known are {known}
     UnknownKind {
         /// The object.
         key: ObjectKey,
-        /// The kind that it has.
+        /// Kind of the object.
         kind: String,
-        /// The kinds that exist.
+        /// Names of the known kinds.
         known: String,
     },
     /// 6102: object {key}: spec: {detail}
     MalformedSpec {
         /// The object.
         key: ObjectKey,
-        /// Which field is wrong, and how.
+        /// Description of the invalid field.
         detail: String,
     },
     /// 6103: object {key}: spec.name is {given:?}; it must equal the object's name
     NameMismatch {
         /// The object.
         key: ObjectKey,
-        /// The name in the spec.
+        /// Name in the spec.
         given: String,
     },
 }
 
 impl std::error::Error for ConversionError {}
 
-/// The resource kind with this name.
+/// Returns the resource kind with this name.
 #[must_use]
 pub fn kind_named(name: &str) -> Option<ResourceKind> {
     ResourceKind::ALL
@@ -44,7 +44,7 @@
         .find(|kind| kind.as_str() == name)
 }
 
-/// The typed identity of an object, if its kind is known.
+/// Returns the typed identity of an object, or `None` when its kind is unknown.
 #[must_use]
 pub fn resource_id(key: &ObjectKey) -> Option<ResourceId> {
     let kind = kind_named(&key.kind)?;
@@ -54,13 +54,13 @@
     })
 }
 
-/// The key under which a resource is stored.
+/// Returns the key under which a resource is stored.
 #[must_use]
 pub fn object_key(id: &ResourceId) -> ObjectKey {
     ObjectKey::new(id.kind.as_str(), id.name.clone())
 }
 
-/// Reads an object's spec as the resource of its kind.
+/// Converts the spec of an object to a resource of its kind.
 pub fn resource_from_object(object: &Object) -> Result<Resource, ConversionError> {
     let key = &object.key;
     let Some(id) = resource_id(key) else {
@@ -81,7 +81,7 @@
     Ok(resource)
 }
 
-/// The spec under which a resource is stored.
+/// Returns the spec with which a resource is stored.
 pub fn spec_of(resource: &Resource) -> Result<Value, serde_json::Error> {
     match resource {
         Resource::Service(service) => serde_json::to_value(service),
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -9,7 +9,7 @@
 
 use crate::wire::{Object, ObjectKey};
 
-/// Why a call to the platform failed.
+/// An error of a call to the platform.
 #[derive(Debug, Display)]
 pub enum PlatformError {
     /// 6001: no address of the platform is configured
@@ -18,30 +18,30 @@
     Connect {
         /// Method and address of the request.
         target: String,
-        /// What the connection attempt reported.
+        /// Error of the connection attempt.
         detail: String,
     },
-    /// 6003: {target}: no whole answer within {limit:?}
+    /// 6003: {target}: no complete reply within {limit:?}
     Timeout {
         /// Method and address of the request.
         target: String,
-        /// The time that was allowed.
+        /// Timeout that elapsed.
         limit: Duration,
     },
     /// 6004: {target}: connection lost: {detail}
     ConnectionLost {
         /// Method and address of the request.
         target: String,
-        /// What the connection reported.
+        /// Error of the connection.
         detail: String,
     },
-    /// 6005: {target}: the platform answered {status}: {detail}
+    /// 6005: {target}: the platform replied with {status}: {detail}
     ServerFailure {
         /// Method and address of the request.
         target: String,
         /// HTTP status, 500 to 599.
         status: u16,
-        /// The platform's own words.
+        /// Error text of the platform.
         detail: String,
     },
     /// 6006: {target}: the platform rejected the request with {status}: {detail}
@@ -50,52 +50,52 @@
         target: String,
         /// HTTP status.
         status: u16,
-        /// The platform's own words.
+        /// Error text of the platform.
         detail: String,
     },
-    /// 6007: {target}: malformed answer: {detail}
+    /// 6007: {target}: malformed reply: {detail}
     MalformedAnswer {
         /// Method and address of the request.
         target: String,
-        /// What can't be read.
+        /// Description of what can't be parsed.
         detail: String,
     },
     /// 6008: {0}
     Conflict(Box<Conflict>),
-    /// 6009: a watch from version {from} is not possible any more; list again
+    /// 6009: a watch from version {from} is no longer possible; list again
     WatchTooOld {
-        /// Number of the version that the watch was to start from.
+        /// Version after which the watch was to start.
         from: u64,
     },
-    /// 6010: write of {key} not resolved after {attempts} attempts, so it may or may not take effect; last failure: {last}
+    /// 6010: write of {key} not resolved after {attempts} attempts; it may or may not take effect; last failure: {last}
     WriteUnresolved {
-        /// Object that was to be written.
+        /// Object of the write.
         key: ObjectKey,
-        /// Attempts made.
+        /// Number of attempts.
         attempts: u32,
         /// Failure of the last attempt.
         last: Box<PlatformError>,
     },
-    /// 6011: write of {key} given up after {attempts} attempts, none of which took effect; last failure: {last}
+    /// 6011: write of {key} abandoned after {attempts} attempts, none of which took effect; last failure: {last}
     WriteNotApplied {
-        /// Object that was to be written.
+        /// Object of the write.
         key: ObjectKey,
-        /// Attempts made.
+        /// Number of attempts.
         attempts: u32,
         /// Failure of the last attempt.
         last: Box<PlatformError>,
     },
     /// 6012: {field} {given:?} is not valid: allowed are 1 to 128 letters, digits, dots, hyphens and underscores, but not a leading dot
     InvalidName {
-        /// Which part of the request.
+        /// Part of the request that has the value.
         field: &'static str,
-        /// The value.
+        /// The rejected value.
         given: String,
     },
 }
 
 impl PlatformError {
-    /// The error's number.
+    /// Returns the number of the error.
     #[must_use]
     pub const fn number(&self) -> u16 {
         match self {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether the same call may succeed later.
+    /// Returns true if the same call may succeed later.
     #[must_use]
     pub const fn is_transient(&self) -> bool {
         matches!(
@@ -127,9 +127,9 @@
         )
     }
 
-    /// Whether a write that ended so may have taken effect, or may still do.
+    /// Returns true if a write that failed with this error may have taken effect or may still do so.
     #[must_use]
-    pub const fn leaves_write_open(&self) -> bool {
+    pub const fn may_have_taken_effect(&self) -> bool {
         matches!(
             self,
             Self::Timeout { .. }
@@ -143,17 +143,17 @@
 
 impl Error for PlatformError {}
 
-/// A write that met another version than it expected.
+/// A conflict of a write: the version of the object was not the expected one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conflict {
-    /// Object that was to be written.
+    /// Object of the write.
     pub key: ObjectKey,
-    /// Version that the write expected; zero when the object was not to exist.
+    /// Version that the write expected; zero when it expected no object.
     pub expected_version: Revision,
-    /// The object as it stands, or `None` when it doesn't exist.
+    /// Current state of the object, or `None` when it doesn't exist.
     pub current: Option<Object>,
-    /// Whether an earlier attempt of the same write had no answer. That attempt may have taken
-    /// effect and been replaced since; in force now is `current`.
+    /// True if an earlier attempt of the same write got no reply. That attempt may have taken effect
+    /// before another write replaced it by `current`.
     pub earlier_attempt_open: bool,
 }
 
@@ -176,7 +176,7 @@
         if self.earlier_attempt_open {
             write!(
                 formatter,
-                "; an earlier attempt had no answer and may have been in force until then"
+                "; an earlier attempt got no reply and may have been in force before"
             )?;
         }
         Ok(())
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform: object API, watch, status, leases and machine list.
 //!
-//! Every call has a timeout. A write whose answer is lost is recognised by the operation id that
-//! the object carries, see [`Client::write_with_retry`]. [`source`] keeps one reader of the
-//! configuration going through every failure of the store.
+//! Every call has a timeout. A write whose reply is lost is recognised by the operation id in the
+//! stored object, see [`Client::write_with_retry`]. [`source`] implements a reader of the
+//! configuration that recovers from every failure of the store.
 
 pub mod backoff;
 pub mod client;
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -4,21 +4,21 @@
 
 use crate::backoff::Backoff;
 
-/// Bounds on the client's calls.
+/// Timeouts and limits of the client.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// Longest time that one attempt of a call may take, from connecting to the whole answer.
+    /// Timeout of one attempt of a call, from connecting to the complete reply.
     pub call_timeout: Duration,
-    /// Longest time that a connection may take to open.
+    /// Timeout of opening a connection.
     pub connect_timeout: Duration,
-    /// Longest time without a line on a watch. The platform sends bookmarks more often than that.
+    /// Timeout between two pieces of data on a watch. The platform sends bookmarks more often.
     pub watch_idle_timeout: Duration,
     /// Time after which [`crate::Client::write_with_retry`] gives up.
     pub write_timeout: Duration,
     /// Waits between the attempts of a write.
     pub backoff: Backoff,
-    /// Largest answer that is read, in bytes.
-    pub maximum_answer_bytes: usize,
+    /// Maximum size of a reply, in bytes.
+    pub maximum_reply_bytes: usize,
 }
 
 impl Default for ClientSettings {
@@ -29,7 +29,7 @@
             watch_idle_timeout: Duration::from_secs(15),
             write_timeout: Duration::from_secs(30),
             backoff: Backoff::default(),
-            maximum_answer_bytes: 64 * 1024 * 1024,
+            maximum_reply_bytes: 64 * 1024 * 1024,
         }
     }
 }
--- a/crates/platform/src/source/event.rs
+++ b/crates/platform/src/source/event.rs
@@ -8,78 +8,78 @@
 use crate::error::PlatformError;
 use crate::wire::{Object, ObjectKey, ObjectList, OperationId, WatchEvent};
 
-/// What a reader is told.
+/// An input of the reader state machine.
 #[derive(Debug)]
 pub enum SourceInput {
-    /// The list asked for has arrived.
+    /// The requested list arrived.
     Listed(ObjectList),
-    /// The list asked for failed.
+    /// The list request failed.
     ListFailed(PlatformError),
-    /// The watch asked for is open.
+    /// The requested watch is open.
     WatchOpened,
-    /// The next event of the open watch.
+    /// The next event of the open watch arrived.
     WatchEvent(WatchEvent),
-    /// The platform no longer has the events that the watch asked for.
+    /// The platform no longer has the events that the watch requested.
     WatchTooOld,
-    /// The platform ended the watch.
+    /// The platform closed the watch.
     WatchEnded,
-    /// The watch could not be opened or broke off.
+    /// The watch could not be opened or failed.
     WatchFailed(PlatformError),
 }
 
-/// What a reader wants done.
+/// An action that the reader state machine requests.
 #[derive(Debug)]
 pub enum SourceEffect {
     /// List the configuration objects.
     List,
     /// Open a watch that starts after this version.
     OpenWatch {
-        /// The version.
+        /// Version after which the watch starts.
         from: Revision,
     },
     /// Close the open watch.
     CloseWatch,
-    /// Tell the consumer.
+    /// Deliver an event to the consumer.
     Emit(SourceEvent),
 }
 
-/// What the consumer of a reader learns.
+/// An event that a reader delivers to its consumer.
 #[derive(Debug)]
 pub enum SourceEvent {
     /// The whole configuration at one revision.
     Snapshot(SourceSnapshot),
-    /// One change; it follows on the revision `previous` without a gap.
+    /// One change, which directly follows the revision `previous`.
     Change {
         /// Revision before the change.
         previous: Revision,
         /// Revision after the change.
         revision: Revision,
-        /// The change.
+        /// The changed object.
         change: SourceChange,
     },
-    /// The store was heard from and has nothing newer than this revision, which the consumer has.
+    /// The store replied and has nothing newer than this revision, which the consumer has.
     Current {
-        /// The revision.
+        /// The affected revision.
         revision: Revision,
     },
-    /// The store can't be read. Told once for each outage; the reader goes on trying.
+    /// The store can't be read. Emitted once per outage; the reader continues to retry.
     Unavailable {
-        /// When the first failure in the row was noticed.
+        /// Time of the first failure of the outage.
         since: Timestamp,
-        /// That failure.
+        /// The first failure.
         error: PlatformError,
     },
-    /// The store answered with a state older than one it has shown before. The answer is ignored.
+    /// The store replied with an older state than in an earlier reply. The reply is ignored.
     OlderStore {
-        /// Highest revision that the store has shown.
+        /// Highest revision in any earlier reply of the store.
         seen: Revision,
-        /// Revision of the answer.
+        /// Revision of this reply.
         answered: Revision,
     },
-    /// The store shows a revision that it has shown before, with other content. The answer is
-    /// ignored until the store shows a higher revision.
+    /// The store replied with other content for a revision that the consumer already has. Replies are
+    /// ignored until the store has a higher revision.
     DivergedStore {
-        /// The revision.
+        /// The affected revision.
         revision: Revision,
     },
 }
@@ -87,16 +87,16 @@
 /// The whole configuration at one revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceSnapshot {
-    /// The revision.
+    /// Revision of the snapshot.
     pub revision: Revision,
-    /// Every object that is a well-formed resource.
+    /// Every object that could be converted to a resource.
     pub resources: Vec<Resource>,
-    /// Every other object.
+    /// Every other object, with the error.
     pub rejected: Vec<RejectedObject>,
 }
 
 impl SourceSnapshot {
-    /// Reads the objects of a list as resources.
+    /// Converts the objects of a list to resources.
     #[must_use]
     pub fn from_list(list: &ObjectList) -> Self {
         let mut snapshot = Self {
@@ -114,21 +114,21 @@
     }
 }
 
-/// What one write did.
+/// The effect of one write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceChange {
     /// A resource was created or replaced.
     Put(Resource),
     /// A resource was deleted.
     Delete(ResourceId),
-    /// An object was written that is no well-formed resource.
+    /// The written object could not be converted to a resource.
     Rejected(RejectedObject),
     /// An object of an unknown kind was deleted.
     DeleteUnknown(ObjectKey),
 }
 
 impl SourceChange {
-    /// Reads a written object.
+    /// Converts a written object to a change.
     #[must_use]
     pub fn put(object: &Object) -> Self {
         match conversion::resource_from_object(object) {
@@ -137,25 +137,25 @@
         }
     }
 
-    /// Reads a deleted object.
+    /// Converts the deletion of an object to a change.
     #[must_use]
     pub fn delete(key: &ObjectKey) -> Self {
         conversion::resource_id(key).map_or_else(|| Self::DeleteUnknown(key.clone()), Self::Delete)
     }
 }
 
-/// An object that is no well-formed resource.
+/// An object that could not be converted to a resource.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RejectedObject {
     /// Kind and name.
     pub key: ObjectKey,
-    /// Version in which it was written.
+    /// Store version of its last write.
     pub version: Revision,
-    /// The write.
+    /// Id of its last write.
     pub operation: OperationId,
-    /// Who made the write.
+    /// Author of its last write.
     pub author: String,
-    /// What is wrong.
+    /// Error of the conversion.
     pub error: ConversionError,
 }
 
--- a/crates/platform/src/source/mod.rs
+++ b/crates/platform/src/source/mod.rs
@@ -1,6 +1,6 @@
-//! One reader of the platform's configuration: list, then watch from the listed version.
+//! Reader of the platform's configuration: lists the objects, then watches from the listed version.
 //!
-//! [`ConfigurationSource`] decides and is sans-I/O; [`spawn`] drives it with a
+//! [`ConfigurationSource`] is the sans-I/O state machine; [`spawn`] drives it with a
 //! [`Client`](crate::Client) and yields [`SourceEvent`]s.
 
 mod event;
--- a/crates/platform/src/source/state.rs
+++ b/crates/platform/src/source/state.rs
@@ -1,4 +1,4 @@
-//! The reader's state machine.
+//! State machine of the reader.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use crate::error::PlatformError;
 use crate::wire::{Object, ObjectKey, ObjectList, OperationId, WatchEvent};
 
-/// Bounds on a reader.
+/// Settings of a reader.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceSettings {
     /// Waits after failures.
     pub backoff: Backoff,
-    /// After hearing nothing from the store for longer than this, the reader lists again instead of
-    /// resuming the watch, since the store may have been replaced by an older copy in the meantime.
+    /// After a longer time without a reply of the store, the reader lists again instead of resuming
+    /// the watch, since the store may have been replaced by an older copy in the meantime.
     pub resume_limit: Duration,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// What the reader does next when nothing stands against it.
+/// Next step of the reader. A watch is replaced by a list when it can't be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     List,
@@ -40,26 +40,26 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Not reading.
+    /// The reader is stopped.
     Idle,
     /// Waiting before the next step.
     Waiting { until: Timestamp, step: Step },
-    /// A list is under way.
+    /// A list request is in flight.
     Listing,
-    /// A watch is being opened.
+    /// The request for a watch is in flight.
     Opening,
     /// A watch is open.
     Watching,
 }
 
-/// Which write gave an object its state.
+/// Version and operation id of the last write to an object, which identify its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Stamp {
+struct ObjectState {
     version: Revision,
     operation: OperationId,
 }
 
-impl Stamp {
+impl ObjectState {
     const fn of(object: &Object) -> Self {
         Self {
             version: object.version,
@@ -68,42 +68,43 @@
     }
 }
 
-type Stamps = BTreeMap<ObjectKey, Stamp>;
+type ObjectStates = BTreeMap<ObjectKey, ObjectState>;
 
-/// What the consumer has been given.
+/// State that was delivered to the consumer.
 #[derive(Clone, Debug)]
 struct Delivered {
     revision: Revision,
-    stamps: Stamps,
+    states: ObjectStates,
 }
 
 /// State machine of one reader.
 ///
-/// What it delivers never goes back: revisions of [`SourceEvent::Snapshot`] and
-/// [`SourceEvent::Change`] only grow, whatever the store answers; a snapshot that was requested may
-/// repeat the revision that the consumer has. It relies on contiguous versions
-/// to notice a gap in a watch. After the store has answered older than before, the next delivery is
-/// a whole snapshot, since the store's history may have been replaced.
+/// The revisions of [`SourceEvent::Snapshot`] and [`SourceEvent::Change`] only increase, regardless
+/// of the replies of the store; only a requested snapshot may have the revision that the consumer
+/// already has. The reader detects a gap in a watch by versions that are not contiguous. After the
+/// store replied with an older state, the next delivery is a full snapshot, since the history of
+/// the store may have been replaced.
 #[derive(Clone, Debug)]
 pub struct ConfigurationSource {
     settings: SourceSettings,
     phase: Phase,
-    /// Highest version in any answer of the store.
+    /// Highest version in any reply of the store.
     seen: Revision,
     delivered: Option<Delivered>,
-    /// The store has answered older than before and has not been found consistent since.
+    /// True if the store replied with an older or diverged state and no consistent list followed yet.
     history_suspect: bool,
-    /// The consumer wants a whole snapshot, also of the revision that it has.
+    /// True if the consumer requested a full snapshot, even of the revision that it has.
     snapshot_requested: bool,
-    /// Failures since the last answer that brought the reader forward.
+    /// Consecutive steps that brought no progress; determines the backoff.
     failures: u32,
+    /// Start of the current outage; `None` while the store replies.
     unavailable_since: Option<Timestamp>,
-    /// When the store last answered.
-    heard_at: Timestamp,
+    /// Time of the last reply of the store.
+    last_reply_at: Timestamp,
 }
 
 impl ConfigurationSource {
-    /// A reader that has seen nothing and is not started.
+    /// Creates a stopped reader without any state.
     #[must_use]
     pub const fn new(settings: SourceSettings) -> Self {
         Self {
@@ -115,31 +116,31 @@
             snapshot_requested: false,
             failures: 0,
             unavailable_since: None,
-            heard_at: Timestamp::ZERO,
+            last_reply_at: Timestamp::ZERO,
         }
     }
 
-    /// Highest revision that the store has shown.
+    /// Returns the highest revision in any reply of the store.
     #[must_use]
     pub const fn seen(&self) -> Revision {
         self.seen
     }
 
-    /// Revision that the consumer has been given, if any.
+    /// Returns the revision that was delivered to the consumer, if any.
     #[must_use]
     pub fn delivered(&self) -> Option<Revision> {
         self.delivered.as_ref().map(|delivered| delivered.revision)
     }
 
-    /// Starts to read, or goes on after [`Self::stop`]. Nothing happens when it reads already.
+    /// Starts reading, or resumes after [`Self::stop`]. Has no effect on a running reader.
     pub fn start(&mut self, now: Timestamp) -> Vec<SourceEffect> {
         if self.phase != Phase::Idle {
             return Vec::new();
         }
-        self.take_step(now, Step::Watch)
+        self.start_step(now, Step::Watch)
     }
 
-    /// Stops to read. What was seen and delivered stays known.
+    /// Stops reading. Keeps the highest seen revision and the delivered state.
     pub fn stop(&mut self) -> Vec<SourceEffect> {
         let watching = self.phase == Phase::Watching;
         self.phase = Phase::Idle;
@@ -149,16 +150,16 @@
         Vec::new()
     }
 
-    /// Asks for a whole snapshot, also of the revision that the consumer has.
+    /// Requests a full snapshot, even of the revision that the consumer has.
     pub fn request_snapshot(&mut self, now: Timestamp) -> Vec<SourceEffect> {
         self.snapshot_requested = true;
         if self.phase == Phase::Watching {
-            return with_closed_watch(self.take_step(now, Step::List));
+            return with_closed_watch(self.start_step(now, Step::List));
         }
         Vec::new()
     }
 
-    /// When [`Self::advance`] has something to do.
+    /// Returns the time at which [`Self::advance`] must be called.
     #[must_use]
     pub const fn next_wakeup(&self) -> Option<Timestamp> {
         match self.phase {
@@ -167,15 +168,15 @@
         }
     }
 
-    /// Takes the next step if its time has come.
+    /// Starts the next step if it is due.
     pub fn advance(&mut self, now: Timestamp) -> Vec<SourceEffect> {
         match self.phase {
-            Phase::Waiting { until, step } if until <= now => self.take_step(now, step),
+            Phase::Waiting { until, step } if until <= now => self.start_step(now, step),
             _ => Vec::new(),
         }
     }
 
-    /// Takes in an answer. Answers that don't fit what the reader is doing are ignored.
+    /// Handles an input. Inputs that don't match the current phase are ignored.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -183,45 +184,47 @@
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
         match (self.phase, input) {
-            (Phase::Listing, SourceInput::Listed(list)) => self.listed(now, &list, random),
+            (Phase::Listing, SourceInput::Listed(list)) => self.handle_list(now, &list, random),
             (Phase::Listing, SourceInput::ListFailed(error)) => {
-                self.failed(now, error, Step::List, random)
+                self.handle_failure(now, error, Step::List, random)
+            }
+            (Phase::Opening, SourceInput::WatchOpened) => self.handle_watch_opened(now),
+            (Phase::Watching, SourceInput::WatchEvent(event)) => {
+                self.handle_watch_event(now, &event, random)
             }
-            (Phase::Opening, SourceInput::WatchOpened) => self.opened(now),
-            (Phase::Watching, SourceInput::WatchEvent(event)) => self.watched(now, &event, random),
             (Phase::Opening | Phase::Watching, SourceInput::WatchTooOld) => {
-                self.wait(now, Step::List, random);
+                self.schedule_step(now, Step::List, random);
                 Vec::new()
             }
             (Phase::Opening | Phase::Watching, SourceInput::WatchEnded) => {
-                self.wait(now, Step::Watch, random);
+                self.schedule_step(now, Step::Watch, random);
                 Vec::new()
             }
             (Phase::Opening | Phase::Watching, SourceInput::WatchFailed(error)) => {
-                self.failed(now, error, Step::Watch, random)
+                self.handle_failure(now, error, Step::Watch, random)
             }
             _ => Vec::new(),
         }
     }
 
-    fn listed(
+    fn handle_list(
         &mut self,
         now: Timestamp,
         list: &ObjectList,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
-        self.heard(now);
+        self.record_reply(now);
         if list.version < self.seen {
-            return self.older_store(now, list.version, random);
+            return self.handle_older_store(now, list.version, random);
         }
         self.seen = list.version;
-        let stamps = stamps_of(list);
+        let states = object_states(list);
         let event = match &self.delivered {
             Some(delivered) if delivered.revision == list.version => {
-                if delivered.stamps != stamps {
-                    return self.diverged_store(now, list.version, random);
+                if delivered.states != states {
+                    return self.handle_diverged_store(now, list.version, random);
                 }
-                self.confirmation(list)
+                self.confirmation_event(list)
             }
             _ => SourceEvent::Snapshot(SourceSnapshot::from_list(list)),
         };
@@ -229,15 +232,15 @@
         self.snapshot_requested = false;
         self.delivered = Some(Delivered {
             revision: list.version,
-            stamps,
+            states,
         });
         let mut effects = vec![SourceEffect::Emit(event)];
-        effects.extend(self.take_step(now, Step::Watch));
+        effects.extend(self.start_step(now, Step::Watch));
         effects
     }
 
-    /// The event for a list of the revision that the consumer has.
-    fn confirmation(&self, list: &ObjectList) -> SourceEvent {
+    /// Returns the event for a list at the revision that the consumer has.
+    fn confirmation_event(&self, list: &ObjectList) -> SourceEvent {
         if self.snapshot_requested {
             return SourceEvent::Snapshot(SourceSnapshot::from_list(list));
         }
@@ -246,49 +249,51 @@
         }
     }
 
-    /// A watch that took too long to open is not resumed, either.
-    fn opened(&mut self, now: Timestamp) -> Vec<SourceEffect> {
+    /// Lists again when opening the watch took longer than the resume limit.
+    fn handle_watch_opened(&mut self, now: Timestamp) -> Vec<SourceEffect> {
         if self.resumable_revision(now).is_none() {
-            return with_closed_watch(self.take_step(now, Step::List));
+            return with_closed_watch(self.start_step(now, Step::List));
         }
         self.phase = Phase::Watching;
         Vec::new()
     }
 
-    fn watched(
+    fn handle_watch_event(
         &mut self,
         now: Timestamp,
         event: &WatchEvent,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
-        self.heard(now);
+        self.record_reply(now);
         match event {
-            WatchEvent::Bookmark { version } => self.bookmark(now, *version, random),
-            WatchEvent::Put { version, object } => self.change(now, *version, random, |stamps| {
-                stamps.insert(object.key.clone(), Stamp::of(object));
-                SourceChange::put(object)
-            }),
+            WatchEvent::Bookmark { version } => self.handle_bookmark(now, *version, random),
+            WatchEvent::Put { version, object } => {
+                self.apply_change(now, *version, random, |states| {
+                    states.insert(object.key.clone(), ObjectState::of(object));
+                    SourceChange::put(object)
+                })
+            }
             WatchEvent::Delete { version, object } => {
-                self.change(now, *version, random, |stamps| {
-                    stamps.remove(&object.key);
+                self.apply_change(now, *version, random, |states| {
+                    states.remove(&object.key);
                     SourceChange::delete(&object.key)
                 })
             }
         }
     }
 
-    fn bookmark(
+    fn handle_bookmark(
         &mut self,
         now: Timestamp,
         version: Revision,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
         if version < self.seen {
-            return with_closed_watch(self.older_store(now, version, random));
+            return with_closed_watch(self.handle_older_store(now, version, random));
         }
         self.seen = version;
         if self.delivered() != Some(version) {
-            return self.gap(now, random);
+            return self.handle_gap(now, random);
         }
         self.failures = 0;
         vec![SourceEffect::Emit(SourceEvent::Current {
@@ -296,15 +301,15 @@
         })]
     }
 
-    fn change(
+    fn apply_change(
         &mut self,
         now: Timestamp,
         version: Revision,
         random: &mut impl Rng,
-        apply: impl FnOnce(&mut Stamps) -> SourceChange,
+        apply: impl FnOnce(&mut ObjectStates) -> SourceChange,
     ) -> Vec<SourceEffect> {
         let Some(delivered) = &mut self.delivered else {
-            return self.gap(now, random);
+            return self.handle_gap(now, random);
         };
         let previous = delivered.revision;
         if version <= previous {
@@ -312,10 +317,10 @@
         }
         self.seen = self.seen.max(version);
         if version.number() != previous.number() + 1 {
-            return self.gap(now, random);
+            return self.handle_gap(now, random);
         }
         delivered.revision = version;
-        let change = apply(&mut delivered.stamps);
+        let change = apply(&mut delivered.states);
         self.failures = 0;
         vec![SourceEffect::Emit(SourceEvent::Change {
             previous,
@@ -324,45 +329,45 @@
         })]
     }
 
-    /// The watch has left out events, so the reader lists again.
-    fn gap(&mut self, now: Timestamp, random: &mut impl Rng) -> Vec<SourceEffect> {
-        self.wait(now, Step::List, random);
+    /// Closes a watch that skipped events and schedules a list.
+    fn handle_gap(&mut self, now: Timestamp, random: &mut impl Rng) -> Vec<SourceEffect> {
+        self.schedule_step(now, Step::List, random);
         vec![SourceEffect::CloseWatch]
     }
 
-    fn older_store(
+    fn handle_older_store(
         &mut self,
         now: Timestamp,
         answered: Revision,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
         self.history_suspect = true;
-        self.wait(now, Step::List, random);
+        self.schedule_step(now, Step::List, random);
         vec![SourceEffect::Emit(SourceEvent::OlderStore {
             seen: self.seen,
             answered,
         })]
     }
 
-    fn diverged_store(
+    fn handle_diverged_store(
         &mut self,
         now: Timestamp,
         revision: Revision,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
         self.history_suspect = true;
-        self.wait(now, Step::List, random);
+        self.schedule_step(now, Step::List, random);
         vec![SourceEffect::Emit(SourceEvent::DivergedStore { revision })]
     }
 
-    fn failed(
+    fn handle_failure(
         &mut self,
         now: Timestamp,
         error: PlatformError,
         step: Step,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
-        self.wait(now, step, random);
+        self.schedule_step(now, step, random);
         if self.unavailable_since.is_some() {
             return Vec::new();
         }
@@ -373,7 +378,7 @@
         })]
     }
 
-    fn wait(&mut self, now: Timestamp, step: Step, random: &mut impl Rng) {
+    fn schedule_step(&mut self, now: Timestamp, step: Step, random: &mut impl Rng) {
         self.failures = self.failures.saturating_add(1);
         let delay = self.settings.backoff.delay(self.failures, random);
         self.phase = Phase::Waiting {
@@ -382,14 +387,14 @@
         };
     }
 
-    fn heard(&mut self, now: Timestamp) {
-        self.heard_at = now;
+    fn record_reply(&mut self, now: Timestamp) {
+        self.last_reply_at = now;
         self.unavailable_since = None;
     }
 
-    /// The revision that a watch can be resumed from, unless a list is needed first.
+    /// Returns the revision from which a watch can be resumed; `None` when a list is needed first.
     fn resumable_revision(&self, now: Timestamp) -> Option<Revision> {
-        let silence = now.saturating_since(self.heard_at);
+        let silence = now.saturating_since(self.last_reply_at);
         let list_needed = self.history_suspect || self.snapshot_requested;
         if list_needed || silence > self.settings.resume_limit {
             return None;
@@ -397,7 +402,7 @@
         self.delivered()
     }
 
-    fn take_step(&mut self, now: Timestamp, step: Step) -> Vec<SourceEffect> {
+    fn start_step(&mut self, now: Timestamp, step: Step) -> Vec<SourceEffect> {
         match (step, self.resumable_revision(now)) {
             (Step::Watch, Some(from)) => {
                 self.phase = Phase::Opening;
@@ -411,10 +416,10 @@
     }
 }
 
-fn stamps_of(list: &ObjectList) -> Stamps {
+fn object_states(list: &ObjectList) -> ObjectStates {
     let objects = list.objects.iter();
     objects
-        .map(|object| (object.key.clone(), Stamp::of(object)))
+        .map(|object| (object.key.clone(), ObjectState::of(object)))
         .collect()
 }
 
--- a/crates/platform/src/source/task.rs
+++ b/crates/platform/src/source/task.rs
@@ -1,4 +1,4 @@
-//! The task that drives a reader with a client.
+//! Task that drives a reader with a client.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,28 +15,28 @@
 use crate::watch::WatchStream;
 use crate::wire::WatchEvent;
 
-/// Events that may wait for the consumer. A consumer that falls further behind holds up the watch.
+/// Capacity of the event channel. The watch is not read while the channel is full.
 const EVENT_CAPACITY: usize = 256;
 
-/// A reader at work; dropping it stops the reader.
+/// Handle of a running reader; dropping it stops the reader.
 #[derive(Debug)]
 pub struct RunningSource {
     events: mpsc::Receiver<SourceEvent>,
-    snapshot_wanted: Arc<Notify>,
+    snapshot_requested: Arc<Notify>,
     task: JoinHandle<()>,
 }
 
 impl RunningSource {
-    /// The next event. Cancel safe. `None` only after the task has ended, which it does not do by
-    /// itself.
+    /// Returns the next event. Cancel safe. Returns `None` only after the task terminated, which it
+    /// does only when it panics.
     pub async fn next(&mut self) -> Option<SourceEvent> {
         self.events.recv().await
     }
 
-    /// Asks for a whole snapshot, also of the revision delivered last. It is delivered once the
-    /// store answers with that revision or a higher one.
+    /// Requests a full snapshot, even of the revision delivered last. It is delivered once the store
+    /// replies with that revision or a higher one.
     pub fn request_snapshot(&self) {
-        self.snapshot_wanted.notify_one();
+        self.snapshot_requested.notify_one();
     }
 }
 
@@ -46,15 +46,15 @@
     }
 }
 
-/// Starts a reader that reads all the time.
+/// Starts a reader that reads without a lease.
 #[must_use]
 pub fn spawn(client: Arc<Client>, settings: SourceSettings) -> RunningSource {
     run(client, settings, None)
 }
 
-/// Starts a reader that reads while it holds one of its zone's leases.
+/// Starts a reader that reads only while it holds one of the leases of its zone.
 ///
-/// What it has seen and delivered stays known while it doesn't read.
+/// While it doesn't read, it keeps the highest seen revision and the delivered state.
 #[must_use]
 pub fn spawn_leased(
     client: Arc<Client>,
@@ -73,11 +73,11 @@
     let clock = Clock::start();
     let lease =
         lease_settings.map(|settings| ReaderLease::new(settings, clock.now(), &mut rand::rng()));
-    let snapshot_wanted = Arc::new(Notify::new());
+    let snapshot_requested = Arc::new(Notify::new());
     let driver = Driver {
         client,
         clock,
-        snapshot_wanted: Arc::clone(&snapshot_wanted),
+        snapshot_requested: Arc::clone(&snapshot_requested),
         lease_unavailable: false,
         source: ConfigurationSource::new(settings),
         watch: None,
@@ -92,37 +92,37 @@
     });
     RunningSource {
         events,
-        snapshot_wanted,
+        snapshot_requested,
         task,
     }
 }
 
-/// The consumer has dropped its end.
+/// An error that the consumer has dropped the event receiver.
 struct ConsumerGone;
 
-/// The source, its watch and its consumer.
+/// Drives the state machine with the client and delivers events to the consumer.
 struct Driver {
     client: Arc<Client>,
     clock: Clock,
     source: ConfigurationSource,
     watch: Option<WatchStream>,
-    /// The consumer wants a whole snapshot.
-    snapshot_wanted: Arc<Notify>,
-    /// The consumer was told that no lease can be asked for.
+    /// Notified when the consumer requests a full snapshot.
+    snapshot_requested: Arc<Notify>,
+    /// True if the current outage of lease requests was reported to the consumer.
     lease_unavailable: bool,
-    /// Effects not yet performed.
+    /// Effects that are not performed yet.
     effects: VecDeque<SourceEffect>,
     sender: mpsc::Sender<SourceEvent>,
 }
 
 impl Driver {
     async fn run(mut self) {
-        // Ends when the consumer is gone.
+        // Returns only when the consumer is gone.
         let _ = self.read().await;
     }
 
-    /// Reads while the lease is held. A renewal without an answer can prolong reading by one call
-    /// timeout at most.
+    /// Reads while the lease is held. A renewal without a reply can extend reading beyond the lease by
+    /// at most one call timeout.
     async fn run_leased(mut self, mut lease: ReaderLease) {
         let client = Arc::clone(&self.client);
         let clock = self.clock;
@@ -133,27 +133,27 @@
                     return;
                 }
             }
-            let kept = async {
+            let keep_lease = async {
                 while lease.may_read(clock.now()) {
-                    // A renewal that fails is repeated until the lease lapses.
+                    // A renewal that fails is retried until the lease expires.
                     renew(&client, &clock, &mut lease).await;
                 }
             };
             tokio::select! {
                 _ = self.read() => return,
-                () = kept => self.stop(),
+                () = keep_lease => self.stop(),
             }
         }
     }
 
-    /// Tells the consumer once for each outage that no lease can be asked for.
+    /// Reports failed lease requests to the consumer, once per outage.
     async fn report_renewal(&mut self, renewal: Renewal) -> Result<(), ConsumerGone> {
         match renewal {
             Renewal::Waited => {}
-            Renewal::Answered => self.lease_unavailable = false,
+            Renewal::Replied => self.lease_unavailable = false,
             Renewal::Failed(error) => self.report_lease_failure(error),
         }
-        self.emit_waiting().await
+        self.emit_pending().await
     }
 
     fn report_lease_failure(&mut self, error: PlatformError) {
@@ -166,7 +166,7 @@
         self.effects.push_back(SourceEffect::Emit(event));
     }
 
-    /// Stops reading. Events that the consumer has not taken yet are kept for it.
+    /// Stops reading. Events that were not delivered yet are keep_lease.
     fn stop(&mut self) {
         log::info!("event=configuration_reader_stopped reason=lease_lapsed");
         self.source.stop();
@@ -175,12 +175,12 @@
             .retain(|effect| matches!(effect, SourceEffect::Emit(_)));
     }
 
-    /// Reads until the consumer is gone. When it is cancelled, no event is lost.
+    /// Reads until the consumer is gone. Cancel safe: no event is lost.
     async fn read(&mut self) -> Result<(), ConsumerGone> {
         let first = self.source.start(self.clock.now());
         self.effects.extend(first);
         loop {
-            self.emit_waiting().await?;
+            self.emit_pending().await?;
             match self.effects.pop_front() {
                 Some(effect) => self.perform(effect).await,
                 None => self.wait_for_input().await,
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Hands the events at the head of the effects to the consumer.
-    async fn emit_waiting(&mut self) -> Result<(), ConsumerGone> {
+    /// Delivers the events at the front of the pending effects to the consumer.
+    async fn emit_pending(&mut self) -> Result<(), ConsumerGone> {
         while matches!(self.effects.front(), Some(SourceEffect::Emit(_))) {
             let permit = self.sender.reserve().await.map_err(|_| ConsumerGone)?;
             if let Some(SourceEffect::Emit(event)) = self.effects.pop_front() {
@@ -223,24 +223,25 @@
         }
     }
 
-    /// Waits for the next event of the watch, the source's next step or a wish of the consumer.
+    /// Waits for and handles the next event of the watch, the next step of the state machine or a
+    /// request of the consumer.
     async fn wait_for_input(&mut self) {
         let next = tokio::select! {
-            () = self.snapshot_wanted.notified() => Next::SnapshotWanted,
-            () = self.clock.sleep_until(self.source.next_wakeup()) => Next::Wakeup,
-            input = next_of(&mut self.watch) => Next::Input(input),
+            () = self.snapshot_requested.notified() => WakeReason::SnapshotRequested,
+            () = self.clock.sleep_until(self.source.next_wakeup()) => WakeReason::Wakeup,
+            input = next_watch_input(&mut self.watch) => WakeReason::Input(input),
         };
         let now = self.clock.now();
         match next {
-            Next::SnapshotWanted => {
+            WakeReason::SnapshotRequested => {
                 let effects = self.source.request_snapshot(now);
                 self.effects.extend(effects);
             }
-            Next::Wakeup => {
+            WakeReason::Wakeup => {
                 let effects = self.source.advance(now);
                 self.effects.extend(effects);
             }
-            Next::Input(input) => {
+            WakeReason::Input(input) => {
                 if !matches!(input, SourceInput::WatchEvent(_)) {
                     self.watch = None;
                 }
@@ -256,15 +257,15 @@
     }
 }
 
-/// What a waiting driver goes on with.
-enum Next {
-    SnapshotWanted,
+/// The reason for which a waiting driver wakes up.
+enum WakeReason {
+    SnapshotRequested,
     Wakeup,
     Input(SourceInput),
 }
 
-/// The next input of the open watch; never when none is open.
-async fn next_of(watch: &mut Option<WatchStream>) -> SourceInput {
+/// Returns the next input of the open watch; never completes when none is open.
+async fn next_watch_input(watch: &mut Option<WatchStream>) -> SourceInput {
     match watch {
         Some(watch) => watch_input(watch.next().await),
         None => std::future::pending().await,
@@ -286,28 +287,28 @@
     }
 }
 
-/// What a step of a lease came to.
+/// Result of one step of a lease.
 enum Renewal {
-    /// Nothing was due yet.
+    /// No request was due.
     Waited,
-    /// The platform granted or refused the lease.
-    Answered,
-    /// The platform did not answer.
+    /// The platform replied, whether it granted the lease or not.
+    Replied,
+    /// The request failed.
     Failed(PlatformError),
 }
 
-/// Waits until the lease needs something, or does it.
+/// Sends the lease request that is due, or waits until the next one is.
 async fn renew(client: &Client, clock: &Clock, lease: &mut ReaderLease) -> Renewal {
     let Some(request) = lease.advance(clock.now()) else {
         clock.sleep_until(lease.next_wakeup()).await;
         return Renewal::Waited;
     };
-    let answer = client
+    let outcome = client
         .acquire_lease(&request.name, &request.holder, request.ttl)
         .await;
-    lease.answered(clock.now(), answer.as_ref().ok(), &mut rand::rng());
-    match answer {
-        Ok(_) => Renewal::Answered,
+    lease.answered(clock.now(), outcome.as_ref().ok(), &mut rand::rng());
+    match outcome {
+        Ok(_) => Renewal::Replied,
         Err(error) => Renewal::Failed(error),
     }
 }
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with the platform: address choice, timeouts and failure classes.
+//! HTTP exchanges with the platform: choice of the address, timeouts and classes of failures.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,10 +18,11 @@
 use crate::settings::ClientSettings;
 use crate::wire::FailureAnswer;
 
-/// Idle connections are closed after this time, so that a stopped platform is not waited for.
+/// Time after which an idle connection is closed. Later calls then open a new connection instead of
+/// waiting on one to a stopped platform.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request before an address is chosen.
+/// A request without the address to send it to.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     /// HTTP method.
@@ -33,7 +34,7 @@
 }
 
 impl Call {
-    /// A call without a body.
+    /// Creates a call without a body.
     pub(crate) const fn new(method: Method, path: String) -> Self {
         Self {
             method,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// A call with a JSON body.
+    /// Creates a call with a JSON body.
     pub(crate) fn with_json<T: Serialize>(
         method: Method,
         path: String,
@@ -60,19 +61,19 @@
     }
 }
 
-/// A whole answer.
+/// A complete reply.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct Reply {
     /// Method and address of the request, for errors.
     pub(crate) target: String,
     /// HTTP status.
     pub(crate) status: StatusCode,
-    /// The body.
+    /// Complete body.
     pub(crate) body: Bytes,
 }
 
-impl Answer {
-    /// Reads the body as JSON.
+impl Reply {
+    /// Parses the body as JSON.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, PlatformError> {
         serde_json::from_slice(&self.body).map_err(|error| PlatformError::MalformedAnswer {
             target: self.target.clone(),
@@ -80,7 +81,7 @@
         })
     }
 
-    /// Reads the body of a successful answer as JSON; any other status is an error.
+    /// Parses the body of a successful reply as JSON; any other status is an error.
     pub(crate) fn success<T: DeserializeOwned>(&self) -> Result<T, PlatformError> {
         if self.status.is_success() {
             return self.json();
@@ -88,7 +89,7 @@
         Err(self.failure())
     }
 
-    /// The error that a status other than success stands for.
+    /// Returns the error for a status other than success.
     pub(crate) fn failure(&self) -> PlatformError {
         let target = self.target.clone();
         let status = self.status.as_u16();
@@ -109,21 +110,22 @@
 
     fn failure_detail(&self) -> String {
         serde_json::from_slice::<FailureAnswer>(&self.body)
-            .map_or_else(|_| "no reason given".to_owned(), |answer| answer.error)
+            .map_or_else(|_| "no reason specified".to_owned(), |reply| reply.error)
     }
 }
 
-/// Connections to the platform's addresses.
+/// HTTP connections to the addresses of the platform.
 #[derive(Debug)]
 pub(crate) struct Transport {
     addresses: Vec<SocketAddr>,
+    /// Index of the address that the next call uses.
     preferred: AtomicUsize,
     http: HttpClient<HttpConnector, Full<Bytes>>,
     settings: ClientSettings,
 }
 
 impl Transport {
-    /// Connects to nothing yet.
+    /// Creates a transport; connections are opened when calls need them.
     pub(crate) fn new(addresses: Vec<SocketAddr>, settings: ClientSettings) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(settings.connect_timeout));
@@ -140,24 +142,24 @@
         }
     }
 
-    /// The bounds in use.
+    /// Returns the settings of the client.
     pub(crate) const fn settings(&self) -> &ClientSettings {
         &self.settings
     }
 
-    /// Sends a call to the preferred address and reads the whole answer.
+    /// Sends a call to the preferred address and reads the complete reply.
     ///
-    /// After a transient failure the next address is preferred.
-    pub(crate) async fn exchange(&self, call: Call) -> Result<Answer, PlatformError> {
+    /// After a transient failure, later calls use the next address.
+    pub(crate) async fn exchange(&self, call: Call) -> Result<Reply, PlatformError> {
         let (index, address) = self.preferred_address()?;
         let target = target_of(&call, address);
         let exchange = self.exchange_with(call, address, &target);
         let result = self.bounded(&target, exchange).await;
-        self.note_result(index, &result);
+        self.record_result(index, &result);
         result
     }
 
-    /// Sends a call to the preferred address and returns the answer with its body unread.
+    /// Sends a call to the preferred address and returns the reply without reading its body.
     pub(crate) async fn open(
         &self,
         call: Call,
@@ -167,18 +169,18 @@
         let result = self
             .bounded(&target, self.send(call, address, &target))
             .await;
-        self.note_result(index, &result);
+        self.record_result(index, &result);
         result.map(|response| (target, response))
     }
 
-    /// Reads the whole body of an answer.
-    pub(crate) async fn read_answer(
+    /// Reads the complete body of a reply.
+    pub(crate) async fn read_reply(
         &self,
         target: &str,
         response: Response<Incoming>,
-    ) -> Result<Answer, PlatformError> {
+    ) -> Result<Reply, PlatformError> {
         let (parts, body) = response.into_parts();
-        let limited = Limited::new(body, self.settings.maximum_answer_bytes);
+        let limited = Limited::new(body, self.settings.maximum_reply_bytes);
         let collected = limited
             .collect()
             .await
@@ -186,14 +188,14 @@
                 target: target.to_owned(),
                 detail: error.to_string(),
             })?;
-        Ok(Answer {
+        Ok(Reply {
             target: target.to_owned(),
             status: parts.status,
             body: collected.to_bytes(),
         })
     }
 
-    /// Bounds a step of a call by the call timeout.
+    /// Applies the call timeout to a step of a call.
     pub(crate) async fn bounded<T>(
         &self,
         target: &str,
@@ -214,9 +216,9 @@
         call: Call,
         address: SocketAddr,
         target: &str,
-    ) -> Result<Answer, PlatformError> {
+    ) -> Result<Reply, PlatformError> {
         let response = self.send(call, address, target).await?;
-        self.read_answer(target, response).await
+        self.read_reply(target, response).await
     }
 
     async fn send(
@@ -248,13 +250,13 @@
         Ok((index, address))
     }
 
-    fn note_result<T>(&self, index: usize, result: &Result<T, PlatformError>) {
+    fn record_result<T>(&self, index: usize, result: &Result<T, PlatformError>) {
         if matches!(result, Err(error) if error.is_transient()) {
             self.prefer_next(index);
         }
     }
 
-    /// Prefers the address after `index`, unless another call already changed the preference.
+    /// Makes the address after `index` the preferred one, unless another call already changed it.
     pub(crate) fn prefer_next(&self, index: usize) {
         let next = (index + 1) % self.addresses.len().max(1);
         let _ = self
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -9,10 +9,10 @@
 use crate::error::PlatformError;
 use crate::wire::WatchEvent;
 
-/// Longest line that is accepted, in bytes.
+/// Maximum length of a line, in bytes.
 const MAXIMUM_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Splits bytes into the events of a watch, whatever the pieces in which they arrive.
+/// Decodes the byte stream of a watch into events. Lines may arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct EventDecoder {
     partial_line: Vec<u8>,
@@ -20,7 +20,8 @@
 }
 
 impl EventDecoder {
-    /// Takes in the next bytes. The error text says what can't be read.
+    /// Decodes the next bytes. The error text describes what can't be parsed; events decoded before
+    /// remain available.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), String> {
         let mut rest = bytes;
         while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
@@ -37,7 +38,7 @@
         Ok(())
     }
 
-    /// The next whole event, if one has arrived.
+    /// Returns the next decoded event, if any.
     pub fn pop(&mut self) -> Option<WatchEvent> {
         self.events.pop_front()
     }
@@ -59,8 +60,9 @@
     body: Incoming,
     decoder: EventDecoder,
     idle_timeout: Duration,
-    /// Told after the events that arrived before it.
+    /// Error to return after the events that arrived before it.
     failure: Option<PlatformError>,
+    /// True if the platform closed the watch or reading it failed.
     ended: bool,
 }
 
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The next event, or `None` after the platform ended the watch or an error was returned.
+    /// Returns the next event, or `None` after the platform closed the watch or an error was returned.
     ///
     /// Cancel safe: no event is lost when the returned future is dropped.
     pub async fn next(&mut self) -> Option<Result<WatchEvent, PlatformError>> {
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform's object API, as they stand in its JSON bodies.
+//! Messages of the platform's object API in its JSON encoding.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,19 +8,19 @@
 use uuid::Uuid;
 use wharfquay_resources::snapshot::Revision;
 
-/// Id of one intended write; every attempt of that write carries the same id.
+/// Id of one write operation; every attempt of the operation carries the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OperationId(Uuid);
 
 impl OperationId {
-    /// An id that no other write has.
+    /// Creates an id that no other write has.
     #[must_use]
     pub fn unique() -> Self {
         Self(Uuid::now_v7())
     }
 
-    /// Wraps a UUID that the caller chose.
+    /// Creates an id from a UUID.
     #[must_use]
     pub const fn from_uuid(uuid: Uuid) -> Self {
         Self(uuid)
@@ -33,17 +33,17 @@
     }
 }
 
-/// Identity of an object: kind and name, whether or not the kind is known to this program.
+/// Identity of an object: kind and name. The kind may be unknown to this program.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
-    /// The kind's name.
+    /// Name of the kind.
     pub kind: String,
-    /// The name, unique inside the kind.
+    /// Name, unique within the kind.
     pub name: String,
 }
 
 impl ObjectKey {
-    /// The identity made of `kind` and `name`.
+    /// Creates the identity from `kind` and `name`.
     #[must_use]
     pub fn new(kind: impl Into<String>, name: impl Into<String>) -> Self {
         Self {
@@ -65,21 +65,21 @@
     /// Kind and name.
     #[serde(flatten)]
     pub key: ObjectKey,
-    /// Version of the store in which the object was last written.
+    /// Version of the store after the last write to the object.
     pub version: Revision,
-    /// Write that gave the object this state.
+    /// Id of the last write to the object.
     pub operation: OperationId,
-    /// Who made that write.
+    /// Author of that write.
     #[serde(default)]
     pub author: String,
-    /// Content.
+    /// Content of the object.
     pub spec: Value,
 }
 
 /// Every object of a keyspace at one version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// Version of the last write that the list holds.
+    /// Version of the last write that the list includes.
     pub version: Revision,
     /// The objects, in order of kind and name.
     pub objects: Vec<Object>,
@@ -92,31 +92,31 @@
     pub expected_version: Revision,
     /// Id of this write.
     pub operation: OperationId,
-    /// Who makes the write.
+    /// Author of the write.
     #[serde(default)]
     pub author: String,
     /// New content.
     pub spec: Value,
 }
 
-/// Answer to a deletion.
+/// Reply to a deletion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeleteAnswer {
-    /// Version of the store in which the object was removed.
+    /// Version of the store after the deletion.
     pub version: Revision,
 }
 
-/// Answer to a write whose expected version is not the current one.
+/// Reply to a write whose expected version is not the current one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConflictAnswer {
-    /// The object as it stands, or `None` when it doesn't exist.
+    /// Current state of the object, or `None` when it doesn't exist.
     pub current: Option<Object>,
 }
 
 /// One line of a watch.
 ///
-/// The versions of the configuration keyspace are contiguous: each write makes one event whose
-/// version is one above that of the event before.
+/// The versions of the configuration keyspace are contiguous: each write causes one event, whose
+/// version is one above that of the previous event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum WatchEvent {
@@ -136,13 +136,13 @@
     },
     /// Every event up to this version has been sent.
     Bookmark {
-        /// The version that the watch has reached.
+        /// Version that the watch has reached.
         version: Revision,
     },
 }
 
 impl WatchEvent {
-    /// Version of the store that the event tells of.
+    /// Returns the version of the store that the event reports.
     #[must_use]
     pub const fn version(&self) -> Revision {
         match self {
@@ -156,61 +156,61 @@
 /// Body of a request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseBody {
-    /// Who wants to hold the lease.
+    /// Id of the process that requests the lease.
     pub holder: String,
-    /// Time after which the lease lapses unless it is renewed, in milliseconds.
+    /// Time after which the lease expires unless it is renewed, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// Answer to a request for a lease, granted or not.
+/// Reply to a request for a lease, whether it was granted or not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
-    /// Who holds the lease.
+    /// Id of the process that holds the lease.
     pub holder: String,
-    /// Time after which the lease lapses unless it is renewed, in milliseconds.
+    /// Time after which the lease expires unless it is renewed, in milliseconds.
     pub expires_in_ms: u64,
 }
 
-/// Whether a machine takes part, as the platform believes.
+/// State of a machine according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// The machine runs.
+    /// The machine is running.
     Live,
     /// The machine is about to be stopped.
     Leaving,
 }
 
-/// A machine, as the platform believes it to be.
+/// A machine according to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// Id of the machine's daemon.
     pub id: String,
-    /// Zone that the machine stands in.
+    /// Zone of the machine.
     pub zone: String,
-    /// Service that the machine's back end belongs to; absent at an edge.
+    /// Service of the machine's backend; `None` for an edge.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// Whether the machine takes part.
+    /// State of the machine.
     pub state: MachineState,
-    /// Where its daemon takes calls from other daemons.
+    /// Address at which its daemon accepts calls of other daemons.
     pub call_address: SocketAddr,
-    /// Where its daemon takes control messages.
+    /// Address at which its daemon accepts control messages.
     pub control_address: SocketAddr,
 }
 
-/// The platform's list of machines, which may lag behind reality.
+/// The platform's list of machines, which may lag behind the actual state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Version of the list; grows with every change.
+    /// Version of the list; increases with every change.
     pub version: u64,
     /// The machines, in order of their ids.
     pub machines: Vec<Machine>,
 }
 
-/// Body of an answer that reports a failure.
+/// Body of a reply that reports a failure.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureAnswer {
-    /// What is wrong, for a reader.
+    /// Description of the failure for operators.
     pub error: String,
 }
--- a/crates/platform/src/write.rs
+++ b/crates/platform/src/write.rs
@@ -1,4 +1,4 @@
-//! Writes with an expected version, and the recognition of writes whose answer was lost.
+//! Writes with an expected version, and recognition of writes whose reply was lost.
 
 use http::{Method, StatusCode};
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
@@ -8,23 +8,23 @@
 
 use crate::client::{Client, object_path};
 use crate::error::{Conflict, PlatformError};
-use crate::transport::{Answer, Call};
+use crate::transport::{Call, Reply};
 use crate::wire::{ConflictAnswer, DeleteAnswer, Object, ObjectKey, OperationId, PutBody};
 
-/// Conflicts after which [`Client::update_status`] gives up.
+/// Maximum number of conflicts that [`Client::update_status`] resolves before it fails.
 const MAXIMUM_UPDATE_CONFLICTS: u32 = 16;
 
-/// Which set of objects a write or read is about. Each has its own versions.
+/// A set of objects. Each keyspace has its own versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Keyspace {
-    /// Configuration, which operators write and readers watch.
+    /// Configuration, written by operators and watched by readers.
     Objects,
-    /// Status, which the system writes.
+    /// Status, written by the system.
     Status,
 }
 
 impl Keyspace {
-    /// First part of the keyspace's paths.
+    /// Returns the path prefix of the keyspace.
     #[must_use]
     pub const fn path(self) -> &'static str {
         match self {
@@ -34,7 +34,7 @@
     }
 }
 
-/// What a write does to its object.
+/// The action of a write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteAction {
     /// Creates or replaces the object with this content.
@@ -43,25 +43,25 @@
     Delete,
 }
 
-/// One intended write. Every attempt of it carries the same operation id.
+/// A write operation. Every attempt of it carries the same operation id.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteRequest {
-    /// Where the object lies.
+    /// Keyspace of the object.
     pub keyspace: Keyspace,
     /// Object to write.
     pub key: ObjectKey,
     /// Version that the object must have; zero means that it must not exist.
     pub expected_version: Revision,
-    /// Id of the write.
+    /// Id of the write operation.
     pub operation: OperationId,
-    /// Who makes the write.
+    /// Author of the write.
     pub author: String,
-    /// What to do.
+    /// Action of the write.
     pub action: WriteAction,
 }
 
 impl WriteRequest {
-    /// A write that creates or replaces a configuration object.
+    /// Creates a write that creates or replaces a configuration object.
     #[must_use]
     pub fn put(
         key: ObjectKey,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A write that deletes a configuration object.
+    /// Creates a write that deletes a configuration object.
     #[must_use]
     pub fn delete(key: ObjectKey, expected_version: Revision, author: impl Into<String>) -> Self {
         Self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The same write in the status keyspace.
+    /// Returns the same write for the status keyspace.
     #[must_use]
     pub fn in_status(mut self) -> Self {
         self.keyspace = Keyspace::Status;
@@ -105,27 +105,28 @@
 pub struct WriteReceipt {
     /// The object after the write; `None` after a deletion.
     pub object: Option<Object>,
-    /// Version of the store after the write; absent when a deletion was recognised on re-read,
-    /// which doesn't tell it.
+    /// Version of the store after the write; `None` when a deletion was recognised by the missing
+    /// object, which has no version.
     pub version: Option<Revision>,
-    /// Attempts made.
+    /// Number of attempts.
     pub attempts: u32,
-    /// Whether the answer was lost and the effect was recognised by reading the object back.
+    /// True if the reply was lost and the write was recognised by the state of the object.
     pub recognised: bool,
 }
 
 impl WriteRequest {
-    /// Whether an object carries this write's operation id.
+    /// Returns true if the object has the operation id of this write.
     #[must_use]
     pub fn made(&self, current: Option<&Object>) -> bool {
         current.is_some_and(|object| object.operation == self.operation)
     }
 
-    /// Whether the object that a conflict shows is the work of an earlier attempt of this write.
+    /// Returns true if the object in a conflict shows that an earlier attempt of this write took
+    /// effect.
     ///
-    /// An object that doesn't exist satisfies a deletion, whoever made it. This holds only for the
-    /// answer to a write: a plain read may be answered from an older state, in which the object is
-    /// not created yet.
+    /// For a deletion that is an object that doesn't exist, even if another write deleted it. This is
+    /// valid only for the reply to a write: the reply to a read may come from an older state, in which
+    /// the object is not created yet.
     #[must_use]
     pub fn explains_conflict(&self, current: Option<&Object>) -> bool {
         match (&self.action, current) {
@@ -135,7 +136,7 @@
     }
 }
 
-/// The error for a write that met another version.
+/// Creates the error for a write whose expected version was not the current one.
 #[must_use]
 pub fn conflict(
     request: &WriteRequest,
@@ -153,69 +154,70 @@
 impl Client {
     /// Makes one attempt of a write.
     ///
-    /// A [`PlatformError::Conflict`] is returned unless the current object already carries the
-    /// write's operation id. Other errors may leave open whether the write took effect, see
-    /// [`PlatformError::leaves_write_open`].
+    /// On a conflict, returns [`PlatformError::Conflict`] unless the current object already has the
+    /// operation id of the write. After other errors it may be unknown whether the write took effect,
+    /// see
+    /// [`PlatformError::may_have_taken_effect`].
     pub async fn write(&self, request: &WriteRequest) -> Result<WriteReceipt, PlatformError> {
-        let answer = self.transport.exchange(write_call(request)?).await?;
-        if answer.status == StatusCode::CONFLICT {
-            return resolve_conflict(request, &answer);
+        let reply = self.transport.exchange(write_call(request)?).await?;
+        if reply.status == StatusCode::CONFLICT {
+            return resolve_conflict(request, &reply);
         }
         if request.action == WriteAction::Delete {
-            let deleted: DeleteAnswer = answer.success()?;
+            let deleted: DeleteAnswer = reply.success()?;
             return Ok(receipt(None, Some(deleted.version)));
         }
-        let object: Object = answer.success()?;
+        let object: Object = reply.success()?;
         let version = object.version;
         Ok(receipt(Some(object), Some(version)))
     }
 
-    /// Makes a write, repeating it until it is known to have taken effect or to have met another
-    /// version, or until the write timeout.
+    /// Makes a write and retries it until it is known to have taken effect, until it conflicts with
+    /// another version, or until the write timeout.
     ///
-    /// After an attempt without an answer the object is read back: if it carries the write's
-    /// operation id, the write took effect. Otherwise the same operation is sent again, which is
-    /// safe since at most one attempt can meet the expected version; a conflict then shows the
-    /// object as it stands. A read that shows anything else proves nothing, since it may be
-    /// answered from an older state. A deletion is taken as done when the object is gone after an
-    /// attempt without an answer, whoever deleted it.
+    /// After an attempt without a reply the object is read back: if it has the operation id of the
+    /// write, the write took effect. Otherwise the same operation is sent again, which is safe since
+    /// at most one attempt can match the expected version; a conflict then returns the current
+    /// object. A read that returns anything else proves nothing, since the reply may come from an
+    /// older state. A deletion counts as done when the object doesn't exist after an attempt without
+    /// a reply, even if another write deleted it.
     pub async fn write_with_retry(
         &self,
         request: &WriteRequest,
     ) -> Result<WriteReceipt, PlatformError> {
         let give_up_at = Instant::now() + self.settings().write_timeout;
         let mut attempts = 0;
-        let mut open = false;
+        let mut unresolved = false;
         loop {
             attempts += 1;
             let error = match self.write(request).await {
                 Ok(receipt) => return Ok(with_attempts(receipt, attempts)),
                 Err(error) => error,
             };
-            if let PlatformError::Conflict(met) = error {
-                let result = settle_conflict(request, met.current, open);
+            if let PlatformError::Conflict(conflict) = error {
+                let result = resolve_retry_conflict(request, conflict.current, unresolved);
                 return result.map(|receipt| with_attempts(receipt, attempts));
             }
             if !error.is_transient() {
                 return Err(error);
             }
-            open |= error.leaves_write_open();
+            unresolved |= error.may_have_taken_effect();
             self.back_off(attempts).await;
-            if open && let Some(object) = self.read_back(request).await? {
+            if unresolved && let Some(object) = self.read_back(request).await? {
                 return Ok(with_attempts(recognised(Some(object)), attempts));
             }
             if Instant::now() >= give_up_at {
-                return Err(given_up(request, attempts, open, error));
+                return Err(abandoned(request, attempts, unresolved, error));
             }
         }
     }
 
-    /// Writes a status object whose content follows from the current one.
+    /// Writes a status object whose new content depends on the current one.
     ///
-    /// `change` is called again with the newer object when another writer came first; it returns
-    /// `None` to leave the object as it is. The last conflict is returned when other writers came
-    /// first too often. The change must bear being made twice: an attempt without an answer may have
-    /// taken effect and been replaced before the next one.
+    /// `change` returns the new content, or `None` to leave the object unchanged. It is called again
+    /// with the newer object after a conflict with another writer; after too many conflicts the last
+    /// one is returned. The change must tolerate being applied twice: an attempt without a reply may
+    /// have taken effect and been replaced before the next one.
     pub async fn update_status(
         &self,
         key: &ObjectKey,
@@ -231,16 +233,16 @@
             let version = current.map_or(Revision::ZERO, |object| object.version);
             match self.put_status(key.clone(), version, author, spec).await {
                 Ok(_) => return Ok(()),
-                Err(PlatformError::Conflict(met)) if conflicts < MAXIMUM_UPDATE_CONFLICTS => {
+                Err(PlatformError::Conflict(conflict)) if conflicts < MAXIMUM_UPDATE_CONFLICTS => {
                     conflicts += 1;
-                    current = met.current;
+                    current = conflict.current;
                 }
                 Err(error) => return Err(error),
             }
         }
     }
 
-    /// Reads a status object, repeating the read until the write timeout.
+    /// Reads a status object and retries transient failures until the write timeout.
     async fn get_status_with_retry(
         &self,
         key: &ObjectKey,
@@ -266,8 +268,8 @@
         tokio::time::sleep(delay).await;
     }
 
-    /// Reads the object back after an attempt without an answer; returns it if it carries the
-    /// write's operation id.
+    /// Reads the object back after an attempt without a reply; returns it if it has the operation id
+    /// of the write.
     async fn read_back(&self, request: &WriteRequest) -> Result<Option<Object>, PlatformError> {
         match self.get_in(request.keyspace, &request.key).await {
             Ok(current) => Ok(current.filter(|object| request.made(Some(object)))),
@@ -301,28 +303,26 @@
     }
 }
 
-/// A conflict with an object that already carries the operation id is a success.
-fn resolve_conflict(
-    request: &WriteRequest,
-    answer: &Answer,
-) -> Result<WriteReceipt, PlatformError> {
-    let current = answer.json::<ConflictAnswer>()?.current;
+/// Resolves a conflict of one attempt: it is a success if the object already has the operation id.
+fn resolve_conflict(request: &WriteRequest, reply: &Reply) -> Result<WriteReceipt, PlatformError> {
+    let current = reply.json::<ConflictAnswer>()?.current;
     if request.made(current.as_ref()) {
         return Ok(recognised(current));
     }
     Err(conflict(request, current, false))
 }
 
-/// A conflict after an attempt without an answer may be with that very attempt.
-fn settle_conflict(
+/// Resolves a conflict of a retried write: after an attempt without a reply, the conflict may be with
+/// that attempt.
+fn resolve_retry_conflict(
     request: &WriteRequest,
     current: Option<Object>,
-    open: bool,
+    unresolved: bool,
 ) -> Result<WriteReceipt, PlatformError> {
-    if open && request.explains_conflict(current.as_ref()) {
+    if unresolved && request.explains_conflict(current.as_ref()) {
         return Ok(recognised(current));
     }
-    Err(conflict(request, current, open))
+    Err(conflict(request, current, unresolved))
 }
 
 const fn receipt(object: Option<Object>, version: Option<Revision>) -> WriteReceipt {
@@ -350,15 +350,15 @@
     }
 }
 
-fn given_up(
+fn abandoned(
     request: &WriteRequest,
     attempts: u32,
-    open: bool,
+    unresolved: bool,
     last: PlatformError,
 ) -> PlatformError {
     let key = request.key.clone();
     let last = Box::new(last);
-    if open {
+    if unresolved {
         return PlatformError::WriteUnresolved {
             key,
             attempts,
--- a/crates/platform/tests/watch_decoder.rs
+++ b/crates/platform/tests/watch_decoder.rs
@@ -1,4 +1,4 @@
-//! The watch's lines, in whatever pieces they arrive.
+//! Tests that the watch decoder accepts lines in pieces of any size and reports invalid lines.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -16,7 +16,6 @@
     std::iter::from_fn(|| decoder.pop()).collect()
 }
 
-/// Seed of the generated inputs.
 const SEED: u64 = 11;
 
 fn configuration() -> ProptestConfig {
@@ -31,7 +30,7 @@
     #![proptest_config(configuration())]
 
     #[test]
-    fn pieces_make_the_same_events_as_the_whole(
+    fn pieces_of_any_size_decode_to_the_same_events(
         numbers in proptest::collection::vec(any::<u64>(), 0..20),
         cuts in proptest::collection::vec(1_usize..60, 1..80),
     ) {
@@ -46,7 +45,7 @@
         let mut rest = bytes.as_slice();
         for cut in cuts.iter().cycle() {
             let (piece, after) = rest.split_at((*cut).min(rest.len()));
-            decoder.push(piece).expect("well formed");
+            decoder.push(piece).expect("a valid event");
             decoded.extend(decode_all(&mut decoder));
             rest = after;
             if rest.is_empty() {
@@ -58,8 +57,8 @@
 }
 
 #[test]
-fn what_is_no_event_is_an_error_and_what_came_before_is_kept() {
-    let endless = vec![b'x'; 5 * 1024 * 1024];
+fn an_invalid_line_is_an_error_and_earlier_events_are_kept() {
+    let overlong = vec![b'x'; 5 * 1024 * 1024];
     let rows: [(&[u8], &str); 4] = [
         (
             b"{\"type\":\"patch\",\"version\":1}\n",
@@ -70,13 +69,13 @@
             "missing field `object`",
         ),
         (b"not json\n", "expected ident"),
-        (&endless, "line of more than 4194304 bytes"),
+        (&overlong, "line of more than 4194304 bytes"),
     ];
     for (bytes, expected) in rows {
         let mut decoder = EventDecoder::default();
         decoder
             .push(b"{\"type\":\"bookmark\",\"version\":7}\n")
-            .expect("well formed");
+            .expect("a valid event");
         let error = decoder.push(bytes).expect_err(expected);
         assert!(error.contains(expected), "{error}");
         assert_eq!(decode_all(&mut decoder), [bookmark(7)]);
