--- a/crates/platform/src/lease.rs
+++ b/crates/platform/src/lease.rs
@@ -106,8 +106,8 @@
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let request_at = self.requested_at.is_none().then_some(self.next_request_at);
-        let lapse_at = self.held.map(|held| held.until);
-        request_at.into_iter().chain(lapse_at).min()
+        let expires_at = self.held.map(|held| held.until);
+        request_at.into_iter().chain(expires_at).min()
     }
 
     /// Drops an expired lease and returns the request that is due, if any.
--- a/crates/platform/src/source/event.rs
+++ b/crates/platform/src/source/event.rs
@@ -54,12 +54,12 @@
         previous: Revision,
         /// Revision after the change.
         revision: Revision,
-        /// The changed object.
+        /// Effect of the change.
         change: SourceChange,
     },
     /// The store replied and has nothing newer than this revision, which the consumer has.
     Current {
-        /// The affected revision.
+        /// Latest revision of the store.
         revision: Revision,
     },
     /// The store can't be read. Emitted once per outage; the reader continues to retry.
@@ -79,7 +79,7 @@
     /// The store replied with other content for a revision that the consumer already has. Replies are
     /// ignored until the store has a higher revision.
     DivergedStore {
-        /// The affected revision.
+        /// Revision with different content.
         revision: Revision,
     },
 }
--- a/crates/platform/src/source/task.rs
+++ b/crates/platform/src/source/task.rs
@@ -166,7 +166,7 @@
         self.effects.push_back(SourceEffect::Emit(event));
     }
 
-    /// Stops reading. Events that were not delivered yet are keep_lease.
+    /// Stops reading. Events that were not delivered yet are kept.
     fn stop(&mut self) {
         log::info!("event=configuration_reader_stopped reason=lease_lapsed");
         self.source.stop();
--- a/crates/resources/src/fields.rs
+++ b/crates/resources/src/fields.rs
@@ -183,7 +183,7 @@
         integer(0, 600_000),
         "ms",
         FieldDefault::Value("5000"),
-        "Time over which the traffic share of a newly started backend grows to its full size.",
+        "Time over which the traffic share of a newly started (cold) backend grows to its full size.",
     ),
     field(
         "calls",
--- a/crates/resources/src/kinds.rs
+++ b/crates/resources/src/kinds.rs
@@ -19,8 +19,8 @@
     /// Maximum time that a call may wait in a backend's queue, in milliseconds.
     #[serde(default = "default_queue_wait_ms")]
     pub queue_wait_ms: u32,
-    /// Time over which the traffic share of a newly started backend grows to its full size, in
-    /// milliseconds.
+    /// Time over which the traffic share of a newly started (cold) backend grows to its full size,
+    /// in milliseconds.
     #[serde(default = "default_warm_up_ms")]
     pub warm_up_ms: u32,
     /// Services that this one calls; used for validation and planning.
@@ -40,7 +40,8 @@
     5_000
 }
 
-/// A kind of originating request: which requests match it and how they are treated.
+/// A kind of originating request, which is a request that enters at an edge: which requests match
+/// it and how they are treated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestKind {
@@ -167,7 +168,8 @@
     }
 }
 
-/// The replica group that records claims on idempotency keys.
+/// The replica group that records claims on idempotency keys, by which repeats of a request are
+/// recognised.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimGroup {
--- a/crates/resources/src/reference.rs
+++ b/crates/resources/src/reference.rs
@@ -47,13 +47,15 @@
     match kind {
         ResourceKind::Service => "A service: a set of interchangeable backends.",
         ResourceKind::RequestKind => {
-            "A kind of originating request: which requests match it and how they are treated."
+            "A kind of originating request, which is a request that enters at an edge: which requests match it and how they are treated."
         }
         ResourceKind::RetryBudget => "Limits on retries.",
         ResourceKind::Drain => {
             "A request to drain backends: they get no new calls while their calls in flight complete."
         }
-        ResourceKind::ClaimGroup => "The replica group that records claims on idempotency keys.",
+        ResourceKind::ClaimGroup => {
+            "The replica group that records claims on idempotency keys, by which repeats of a request are recognised."
+        }
     }
 }
 
--- a/crates/resources/src/status/aggregate.rs
+++ b/crates/resources/src/status/aggregate.rs
@@ -16,7 +16,7 @@
 pub struct DaemonReport {
     /// Id of the daemon.
     pub id: String,
-    /// Zone of the daemon.
+    /// ZoneReports of the daemon.
     pub zone: String,
     /// Service of its backend; `None` for an edge.
     pub service: Option<String>,
@@ -41,13 +41,13 @@
     acceptance: &Acceptance,
     reports: &[DaemonReport],
 ) -> BTreeMap<ResourceId, Status> {
-    let zones = Zones::of(reports);
+    let zones = ReportsByZone::of(reports);
     let verdicts = verdicts(acceptance).into_iter();
     verdicts
         .map(|(id, (version, verdict))| {
             let status = Status {
                 observed_version: version,
-                zones: zones.up_to(version, drain_target(&acceptance.snapshot, &id)),
+                zones: zones.statuses_for(version, drain_target(&acceptance.snapshot, &id)),
                 verdict,
             };
             (id, status)
@@ -94,7 +94,7 @@
 }
 
 /// The reports of one zone, with the values that all statuses share.
-struct Zone<'a> {
+struct ZoneReports<'a> {
     reports: Vec<&'a DaemonReport>,
     /// Lowest revision that a daemon of the zone reported; zero when none reported one.
     lowest: Revision,
@@ -102,7 +102,7 @@
     reported: u32,
 }
 
-impl<'a> Zone<'a> {
+impl<'a> ZoneReports<'a> {
     fn new(reports: Vec<&'a DaemonReport>) -> Self {
         let revisions = reports.iter().filter_map(|report| report.revision);
         Self {
@@ -113,7 +113,7 @@
     }
 
     /// Returns the status of the zone for a version, with the calls in flight that the drain covers.
-    fn up_to(&self, version: Revision, drain: Option<&DrainTarget>) -> ZoneStatus {
+    fn status_for(&self, version: Revision, drain: Option<&DrainTarget>) -> ZoneStatus {
         ZoneStatus {
             revision: self.lowest.min(version),
             daemons: count(self.reports.len()),
@@ -132,11 +132,11 @@
 }
 
 /// The reports grouped by zone.
-struct Zones<'a> {
-    zones: BTreeMap<&'a str, Zone<'a>>,
+struct ReportsByZone<'a> {
+    zones: BTreeMap<&'a str, ZoneReports<'a>>,
 }
 
-impl<'a> Zones<'a> {
+impl<'a> ReportsByZone<'a> {
     fn of(reports: &'a [DaemonReport]) -> Self {
         let mut by_zone: BTreeMap<&str, Vec<&DaemonReport>> = BTreeMap::new();
         for report in reports {
@@ -145,19 +145,19 @@
         let zones = by_zone.into_iter();
         Self {
             zones: zones
-                .map(|(name, reports)| (name, Zone::new(reports)))
+                .map(|(name, reports)| (name, ZoneReports::new(reports)))
                 .collect(),
         }
     }
 
-    fn up_to(
+    fn statuses_for(
         &self,
         version: Revision,
         drain: Option<&DrainTarget>,
     ) -> BTreeMap<String, ZoneStatus> {
         let zones = self.zones.iter();
         zones
-            .map(|(name, zone)| ((*name).to_owned(), zone.up_to(version, drain)))
+            .map(|(name, zone)| ((*name).to_owned(), zone.status_for(version, drain)))
             .collect()
     }
 }
