--- a/crates/resources/src/acceptance.rs
+++ b/crates/resources/src/acceptance.rs
@@ -287,8 +287,8 @@
     }
 }
 
-fn still_referenced(target: &ResourceId, user: &ResourceId) -> Finding {
-    let message = format!("deleted while {user} refers to it");
+fn still_referenced(target: &ResourceId, referrer: &ResourceId) -> Finding {
+    let message = format!("deleted while {referrer} refers to it");
     let allowed = "deletion after the last reference";
     Finding::new(ProblemCode::StillReferenced, "", message, allowed).about(target)
 }
--- a/crates/resources/src/spec.rs
+++ b/crates/resources/src/spec.rs
@@ -358,9 +358,10 @@
 /// Returns true if the text is a valid resource name.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
-    let starts_well = text.starts_with(|first: char| is_name_start(first));
-    let is_part = |part: char| is_name_start(part) || matches!(part, '_' | '-');
-    starts_well && text.len() <= MAXIMUM_NAME_LENGTH && text.chars().all(is_part)
+    let has_valid_start = text.starts_with(|first: char| is_name_start(first));
+    let is_valid_character =
+        |character: char| is_name_start(character) || matches!(character, '_' | '-');
+    has_valid_start && text.len() <= MAXIMUM_NAME_LENGTH && text.chars().all(is_valid_character)
 }
 
 const fn is_name_start(character: char) -> bool {
@@ -370,10 +371,13 @@
 /// Returns true if the text is a valid daemon id or zone.
 #[must_use]
 pub fn is_identifier(text: &str) -> bool {
-    let starts_well = text.starts_with(|first: char| first.is_ascii_alphanumeric());
-    let is_part =
-        |part: char| part.is_ascii_alphanumeric() || matches!(part, '_' | '-' | '.' | ':');
-    starts_well && text.len() <= MAXIMUM_IDENTIFIER_LENGTH && text.chars().all(is_part)
+    let has_valid_start = text.starts_with(|first: char| first.is_ascii_alphanumeric());
+    let is_valid_character = |character: char| {
+        character.is_ascii_alphanumeric() || matches!(character, '_' | '-' | '.' | ':')
+    };
+    has_valid_start
+        && text.len() <= MAXIMUM_IDENTIFIER_LENGTH
+        && text.chars().all(is_valid_character)
 }
 
 fn is_path_prefix(text: &str) -> bool {
--- a/crates/resources/src/validate/risks.rs
+++ b/crates/resources/src/validate/risks.rs
@@ -171,7 +171,7 @@
             "target",
             format!(
                 "no back end of \"{service}\" is left{}",
-                users_of(snapshot, service)
+                dependents_of(snapshot, service)
             ),
             "a drain of some back ends or of a zone",
         );
@@ -182,19 +182,19 @@
 
 /// Returns the callers and request kinds that depend on a service as a clause of a message; empty
 /// when there are none.
-fn users_of(snapshot: &Snapshot, service: &str) -> String {
+fn dependents_of(snapshot: &Snapshot, service: &str) -> String {
     let callers = snapshot.services.values();
     let callers = callers.filter(|caller| caller.calls.iter().any(|called| called == service));
     let kinds = snapshot.request_kinds.values();
     let kinds = kinds.filter(|kind| kind.service == service);
-    let users: Vec<&str> = callers
+    let dependents: Vec<&str> = callers
         .map(|caller| caller.name.as_str())
         .chain(kinds.map(|kind| kind.name.as_str()))
         .collect();
-    if users.is_empty() {
+    if dependents.is_empty() {
         return String::new();
     }
-    format!(", which {} need", users.join(", "))
+    format!(", which {} need", dependents.join(", "))
 }
 
 fn warn_of_claim_group(snapshot: &Snapshot, group: &ClaimGroup) -> Vec<Finding> {
--- a/crates/resources/tests/parse_errors.rs
+++ b/crates/resources/tests/parse_errors.rs
@@ -136,7 +136,7 @@
 ];
 
 #[test]
-fn each_broken_field_is_named_with_its_line_and_what_is_allowed() {
+fn each_invalid_field_is_reported_with_its_line_and_the_allowed_values() {
     for case in SINGLE_FIELD_CASES {
         let parsed = parse(&[file("f", case.text)]);
         assert_eq!(messages(&parsed), [case.message], "text: {}", case.text);
@@ -225,7 +225,7 @@
     );
     let third = file("c.toml", "[[service]]\nname = \"a\"\nslots = 1\n");
     let parsed = parse(&[first, second, third]);
-    let places: Vec<(&str, usize, u16)> = parsed
+    let positions: Vec<(&str, usize, u16)> = parsed
         .problems
         .iter()
         .map(|problem| {
@@ -242,7 +242,7 @@
         ("b.toml", 4, 5005),
         ("c.toml", 2, 5101),
     ];
-    assert_eq!(places, expected);
+    assert_eq!(positions, expected);
 }
 
 #[test]
