--- a/crates/resources/src/status/aggregate.rs
+++ b/crates/resources/src/status/aggregate.rs
@@ -1,7 +1,8 @@
-//! Statuses from the acceptance of a revision and the reports of daemons.
+//! Computes statuses from the acceptance of a revision and the reports of daemons.
 //!
-//! A zone's revision is shown up to the version that a status is about. A status is therefore final
-//! once its version is in force everywhere, and later revisions of other resources write nothing.
+//! The revision of a zone is capped at the version that a status is about. A status is therefore
+//! final once its version is in force everywhere, and later revisions of other resources cause no
+//! further writes.
 
 use std::collections::BTreeMap;
 
@@ -10,43 +11,43 @@
 use crate::snapshot::{Revision, Snapshot};
 use crate::status::{Status, ZoneStatus, verdicts};
 
-/// What is known of one live daemon.
+/// State of one live daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonReport {
     /// Id of the daemon.
     pub id: String,
-    /// Zone of the daemon.
+    /// ZoneReports of the daemon.
     pub zone: String,
-    /// Service of its back end; absent at an edge.
+    /// Service of its backend; `None` for an edge.
     pub service: Option<String>,
-    /// Revision that it has in force; absent while it has not reported one.
+    /// Revision in force at the daemon; `None` until it reports one.
     pub revision: Option<Revision>,
-    /// Calls that run or wait at its back end.
+    /// Calls that are running or queued at its backend.
     pub calls_in_flight: u64,
 }
 
-/// A status to write.
+/// A pending write to the status keyspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatusChange {
-    /// The status of this resource is now this one.
+    /// Writes the status of this resource.
     Put(ResourceId, Status),
-    /// The resource is gone.
+    /// Deletes the status of this resource, which no longer exists.
     Delete(ResourceId),
 }
 
-/// The status of every judged resource.
+/// Returns the status of every resource that was accepted or rejected.
 #[must_use]
 pub fn build_statuses(
     acceptance: &Acceptance,
     reports: &[DaemonReport],
 ) -> BTreeMap<ResourceId, Status> {
-    let zones = Zones::of(reports);
+    let zones = ReportsByZone::of(reports);
     let verdicts = verdicts(acceptance).into_iter();
     verdicts
         .map(|(id, (version, verdict))| {
             let status = Status {
                 observed_version: version,
-                zones: zones.up_to(version, drain_target(&acceptance.snapshot, &id)),
+                zones: zones.statuses_for(version, drain_target(&acceptance.snapshot, &id)),
                 verdict,
             };
             (id, status)
@@ -54,10 +55,9 @@
         .collect()
 }
 
-/// What has to be written so that the written statuses say what the wanted ones say.
+/// Returns the writes that bring the stored statuses (`written`) up to date with `wanted`.
 ///
-/// Where both say that a version is in force everywhere, other counts of daemons are no reason to
-/// write.
+/// When a version is in force everywhere in both, a different number of daemons causes no write.
 #[must_use]
 pub fn status_changes(
     written: &BTreeMap<ResourceId, Status>,
@@ -67,13 +67,13 @@
     let deletions = gone.map(|id| StatusChange::Delete(id.clone()));
     let outdated = wanted.iter().filter(|(id, status)| {
         let written = written.get(id);
-        written.is_none_or(|written| !says_the_same(written, status))
+        written.is_none_or(|written| !is_equivalent(written, status))
     });
     let puts = outdated.map(|(id, status)| StatusChange::Put(id.clone(), status.clone()));
     deletions.chain(puts).collect()
 }
 
-fn says_the_same(written: &Status, wanted: &Status) -> bool {
+fn is_equivalent(written: &Status, wanted: &Status) -> bool {
     if written == wanted {
         return true;
     }
@@ -93,14 +93,16 @@
     Some(&drain.target)
 }
 
-/// The reports of one zone, and what every status of that zone takes from them.
-struct Zone<'a> {
+/// The reports of one zone, with the values that all statuses share.
+struct ZoneReports<'a> {
     reports: Vec<&'a DaemonReport>,
+    /// Lowest revision that a daemon of the zone reported; zero when none reported one.
     lowest: Revision,
+    /// Daemons that reported a revision.
     reported: u32,
 }
 
-impl<'a> Zone<'a> {
+impl<'a> ZoneReports<'a> {
     fn new(reports: Vec<&'a DaemonReport>) -> Self {
         let revisions = reports.iter().filter_map(|report| report.revision);
         Self {
@@ -110,8 +112,8 @@
         }
     }
 
-    /// How far the zone is with a version; calls in flight are those that the drain covers.
-    fn up_to(&self, version: Revision, drain: Option<&DrainTarget>) -> ZoneStatus {
+    /// Returns the status of the zone for a version, with the calls in flight that the drain covers.
+    fn status_for(&self, version: Revision, drain: Option<&DrainTarget>) -> ZoneStatus {
         ZoneStatus {
             revision: self.lowest.min(version),
             daemons: count(self.reports.len()),
@@ -129,12 +131,12 @@
     }
 }
 
-/// The reports by zone.
-struct Zones<'a> {
-    zones: BTreeMap<&'a str, Zone<'a>>,
+/// The reports grouped by zone.
+struct ReportsByZone<'a> {
+    zones: BTreeMap<&'a str, ZoneReports<'a>>,
 }
 
-impl<'a> Zones<'a> {
+impl<'a> ReportsByZone<'a> {
     fn of(reports: &'a [DaemonReport]) -> Self {
         let mut by_zone: BTreeMap<&str, Vec<&DaemonReport>> = BTreeMap::new();
         for report in reports {
@@ -143,19 +145,19 @@
         let zones = by_zone.into_iter();
         Self {
             zones: zones
-                .map(|(name, reports)| (name, Zone::new(reports)))
+                .map(|(name, reports)| (name, ZoneReports::new(reports)))
                 .collect(),
         }
     }
 
-    fn up_to(
+    fn statuses_for(
         &self,
         version: Revision,
         drain: Option<&DrainTarget>,
     ) -> BTreeMap<String, ZoneStatus> {
         let zones = self.zones.iter();
         zones
-            .map(|(name, zone)| ((*name).to_owned(), zone.up_to(version, drain)))
+            .map(|(name, zone)| ((*name).to_owned(), zone.status_for(version, drain)))
             .collect()
     }
 }
