--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -14,18 +14,18 @@
 use crate::change_text::change_lines;
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
 use crate::connection::{AUTHOR, PLATFORM, PlatformView, TIMEOUT, author, block_on, connect};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::input::read_files;
 use crate::output::{Output, print_error_lines};
 use crate::write::write_or_report;
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "apply",
-    summary: "Write resource files to the platform, changing nothing that someone else changed",
+    summary: "Write resource files to the platform without overwriting changes by others",
     details: "\
-The files are checked together with what the platform holds; with any error nothing is written.
-Each resource is written by compare-and-swap. At the first conflict the command stops and names
-who changed what; what was written before stays written and is listed.",
+The files are checked together with the platform's resources; with any error nothing is written.
+Each resource is written by compare-and-swap. At the first conflict the command stops and reports
+who changed what; the writes before the conflict remain and are listed.",
     positionals: Positionals {
         usage: "FILE…",
         minimum: 1,
@@ -41,27 +41,28 @@
     examples: &[
         Example {
             line: "wharfquay apply scenarios/lagos.resources.toml --dry-run --platform 127.0.0.1:7000",
-            meaning: "Show what would change.",
+            meaning: "Show the differences and write nothing.",
         },
         Example {
             line: "wharfquay apply scenarios/lagos.resources.toml --platform 127.0.0.1:7000",
-            meaning: "Write it.",
+            meaning: "Write the resources.",
         },
     ],
     run,
 };
 
-/// A resource to write, and what is there now.
+/// A resource to write, and the object that the platform holds.
 struct PlannedWrite {
     id: ResourceId,
     resource: Resource,
+    /// The platform's object; `None` when the resource does not exist.
     current: Option<Object>,
     change: Change,
 }
 
-/// What became of one resource, as printed with `--json`.
+/// Result of one resource, as printed with `--json`.
 #[derive(Serialize)]
-struct Applied {
+struct WriteResult {
     id: String,
     #[serde(flatten)]
     change: Change,
@@ -73,10 +74,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum WriteOutcome {
+    /// A dry run; the resource would be written.
     Planned,
     Written,
+    /// The platform already holds the resource as specified.
     Unchanged,
+    /// Another author wrote the resource since it was read.
     Conflict,
+    /// The write failed, or an earlier write did.
     NotWritten,
 }
 
@@ -92,11 +97,11 @@
     }
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let read = read_files(&arguments.paths());
     if !read.problems.is_empty() {
         print_error_lines(&read.problems);
-        return Ok(Finish::ProblemFound);
+        return Ok(ExitStatus::ProblemFound);
     }
     let client = connect(arguments)?;
     block_on(async {
@@ -104,22 +109,23 @@
         let parsed = parse_over(&read.files, &view.acceptance.snapshot);
         print_error_lines(&parsed.problems);
         if parsed.has_errors() {
-            return Ok(Finish::ProblemFound);
+            return Ok(ExitStatus::ProblemFound);
         }
         let writes = plan_writes(parsed.resources, &view);
         if arguments.has("dry-run") {
             let planned = writes.into_iter().map(|write| {
                 let outcome = outcome_without_write(&write.change, WriteOutcome::Planned);
-                applied(write, outcome, None)
+                write_result(write, outcome, None)
             });
-            print_applied(&planned.collect::<Vec<_>>(), arguments, output)?;
-            return Ok(Finish::Done);
+            print_results(&planned.collect::<Vec<_>>(), arguments, output)?;
+            return Ok(ExitStatus::Success);
         }
         write_all(&client, writes, arguments, output).await
     })
 }
 
-/// The writes, services first and drains last, so that references hold at each step.
+/// Returns the writes, services first and drains last, so that each reference exists when it is
+/// written.
 fn plan_writes(resources: Vec<Resource>, view: &PlatformView) -> Vec<PlannedWrite> {
     let mut writes: Vec<PlannedWrite> = resources
         .into_iter()
@@ -168,8 +174,12 @@
     }
 }
 
-fn applied(write: PlannedWrite, outcome: WriteOutcome, version: Option<Revision>) -> Applied {
-    Applied {
+fn write_result(
+    write: PlannedWrite,
+    outcome: WriteOutcome,
+    version: Option<Revision>,
+) -> WriteResult {
+    WriteResult {
         id: write.id.to_string(),
         change: write.change,
         outcome,
@@ -177,36 +187,36 @@
     }
 }
 
-/// Writes in order until one fails; reports every resource either way.
+/// Writes in order until one fails; prints the result of every resource in any case.
 async fn write_all(
     client: &Client,
     writes: Vec<PlannedWrite>,
     arguments: &Arguments,
     output: &mut Output,
-) -> Result<Finish, CliError> {
+) -> Result<ExitStatus, CliError> {
     let author = author(arguments);
     let mut results = Vec::new();
     let mut failure = None;
     for write in writes {
         if write.change == Change::Unchanged || failure.is_some() {
             let outcome = outcome_without_write(&write.change, WriteOutcome::NotWritten);
-            results.push(applied(write, outcome, None));
+            results.push(write_result(write, outcome, None));
             continue;
         }
         match write_one(client, &write, &author).await {
-            Ok(version) => results.push(applied(write, WriteOutcome::Written, version)),
-            Err(PlatformError::Conflict(met)) => {
-                failure = Some(PlatformError::Conflict(met));
-                results.push(applied(write, WriteOutcome::Conflict, None));
+            Ok(version) => results.push(write_result(write, WriteOutcome::Written, version)),
+            Err(PlatformError::Conflict(conflict)) => {
+                failure = Some(PlatformError::Conflict(conflict));
+                results.push(write_result(write, WriteOutcome::Conflict, None));
             }
             Err(error) => {
                 failure = Some(error);
-                results.push(applied(write, WriteOutcome::NotWritten, None));
+                results.push(write_result(write, WriteOutcome::NotWritten, None));
             }
         }
     }
-    print_applied(&results, arguments, output)?;
-    failure.map_or(Ok(Finish::Done), |error| Err(error.into()))
+    print_results(&results, arguments, output)?;
+    failure.map_or(Ok(ExitStatus::Success), |error| Err(error.into()))
 }
 
 async fn write_one(
@@ -224,8 +234,8 @@
     Ok(receipt.version)
 }
 
-fn print_applied(
-    results: &[Applied],
+fn print_results(
+    results: &[WriteResult],
     arguments: &Arguments,
     output: &mut Output,
 ) -> Result<(), CliError> {
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Parsing of a command's arguments by its specification.
+//! Parses a command's arguments by its specification.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -12,15 +12,15 @@
 use crate::commands::{CommandSpec, Flag};
 use crate::error::CliError;
 
-/// What the arguments ask for.
+/// Result of parsing.
 pub(crate) enum Parsed {
-    /// The command's help text.
+    /// The command's help text is requested.
     Help,
-    /// The command.
+    /// The command is to be executed with these arguments.
     Run(Arguments),
 }
 
-/// The arguments of one command.
+/// Parsed arguments of one command.
 #[derive(Debug, Default)]
 pub(crate) struct Arguments {
     flags: BTreeMap<&'static str, Vec<OsString>>,
@@ -28,7 +28,7 @@
 }
 
 impl Arguments {
-    /// Reads the arguments that follow a command's name.
+    /// Parses the arguments that follow a command's name.
     pub(crate) fn parse(command: &CommandSpec, rest: Vec<OsString>) -> Result<Parsed, CliError> {
         let mut parser = lexopt::Parser::from_args(rest);
         let mut arguments = Self::default();
@@ -72,12 +72,12 @@
         })
     }
 
-    /// Whether a flag was given.
+    /// Returns true if the flag is present.
     pub(crate) fn has(&self, flag: &str) -> bool {
         self.flags.contains_key(flag)
     }
 
-    /// The value of a flag as text; the last one when it was given several times.
+    /// Returns the value of a flag as text; the last one when the flag is repeated.
     pub(crate) fn text(&self, flag: &str) -> Option<String> {
         let values = self.flags.get(flag)?;
         values
@@ -85,7 +85,7 @@
             .map(|value| value.to_string_lossy().into_owned())
     }
 
-    /// Every value of a flag as text.
+    /// Returns every value of a flag as text.
     pub(crate) fn texts(&self, flag: &str) -> Vec<String> {
         let values = self.flags.get(flag).into_iter().flatten();
         values
@@ -93,13 +93,14 @@
             .collect()
     }
 
-    /// Every value of a flag as a path.
+    /// Returns every value of a flag as a path.
     pub(crate) fn path_values(&self, flag: &str) -> Vec<PathBuf> {
         let values = self.flags.get(flag).into_iter().flatten();
         values.map(PathBuf::from).collect()
     }
 
-    /// The value of a flag in another type.
+    /// Parses the value of a flag; `None` when the flag is absent. `allowed` describes the valid
+    /// values, for the error.
     pub(crate) fn value<T>(&self, flag: &str, allowed: &str) -> Result<Option<T>, CliError>
     where
         T: FromStr,
@@ -111,12 +112,12 @@
         parse_value(&format!("--{flag}"), &text, allowed).map(Some)
     }
 
-    /// The positional arguments as paths.
+    /// Returns the positional arguments as paths.
     pub(crate) fn paths(&self) -> Vec<PathBuf> {
         self.positionals.iter().map(PathBuf::from).collect()
     }
 
-    /// The positional arguments as text.
+    /// Returns the positional arguments as text.
     pub(crate) fn words(&self) -> Vec<String> {
         self.positionals
             .iter()
@@ -125,7 +126,7 @@
     }
 }
 
-/// Reads the text of a flag or argument in another type.
+/// Parses the value of a flag, argument or header. `name` and `allowed` are for the error.
 pub(crate) fn parse_value<T>(name: &str, text: &str, allowed: &str) -> Result<T, CliError>
 where
     T: FromStr,
--- a/crates/cli/src/change_text.rs
+++ b/crates/cli/src/change_text.rs
@@ -1,13 +1,13 @@
-//! Differences and conflicts in words.
+//! Text for changes and conflicts of resources.
 
 use wharfquay_platform::error::Conflict;
 use wharfquay_platform::wire::Object;
 use wharfquay_resources::diff::{Change, changed_fields};
 use wharfquay_resources::kinds::ResourceId;
 
-/// The changed fields, one indented line each.
+/// Returns the changed fields, one indented line each.
 pub(crate) fn change_lines(change: &Change) -> String {
-    let (mark, fields) = match change {
+    let (sign, fields) = match change {
         Change::Created { fields } => ("+", fields.as_slice()),
         Change::Updated { fields } => ("~", fields.as_slice()),
         Change::Deleted => return "  - deleted\n".to_owned(),
@@ -16,28 +16,35 @@
     fields
         .iter()
         .map(|field| match &field.after {
-            Some(after) if mark == "+" => format!("  + {}: {after}\n", field.field),
-            _ => format!("  {mark} {field}\n"),
+            Some(after) if sign == "+" => format!("  + {}: {after}\n", field.field),
+            _ => format!("  {sign} {field}\n"),
         })
         .collect()
 }
 
-/// Who changed what since `seen`, one line each.
+/// Describes who wrote the resource since `last_read`, and the changed fields, one line each.
+/// `last_read` is absent when the resource did not exist.
 pub(crate) fn conflict_lines(
     id: &ResourceId,
-    seen: Option<&Object>,
-    met: &Conflict,
+    last_read: Option<&Object>,
+    conflict: &Conflict,
 ) -> Vec<String> {
-    let Some(current) = &met.current else {
-        return vec![format!("conflict: {id} was deleted meanwhile")];
+    let Some(current) = &conflict.current else {
+        return vec![format!("conflict: {id} was deleted since it was read")];
+    };
+    let verb = if last_read.is_some() {
+        "changed"
+    } else {
+        "created"
     };
-    let verb = if seen.is_some() { "changed" } else { "created" };
     let mut lines = vec![format!(
         "conflict: {id} was {verb} by \"{}\" (version {})",
         current.author,
         current.version.number()
     )];
-    let before = seen.map(|object| object.spec.clone()).unwrap_or_default();
+    let before = last_read
+        .map(|object| object.spec.clone())
+        .unwrap_or_default();
     let fields = changed_fields(id, &before, &current.spec);
     lines.extend(fields.iter().map(|field| format!("  {field}")));
     lines
--- a/crates/cli/src/check/sorts.rs
+++ b/crates/cli/src/check/file_kind.rs
@@ -1,4 +1,4 @@
-//! The sorts of files that `check` knows, told apart by their top-level keys.
+//! Kinds of files that `check` supports, distinguished by their top-level keys.
 
 use wharfquay_daemon::settings::{self, SettingsError};
 use wharfquay_emulator::scenario::{Scenario, ScenarioError};
@@ -6,17 +6,17 @@
 use wharfquay_resources::parse::SourceFile;
 use wharfquay_resources::problem::{Finding, Problem, ProblemCode};
 
-/// Keys that only a daemon's settings have.
+/// Top-level keys that only a daemon's settings have.
 const SETTINGS_KEYS: &[&str] = &[
     "id", "zone", "platform", "admin", "inbound", "outbound", "edge",
 ];
-/// Keys that only a scenario has.
+/// Top-level keys that only a scenario has.
 const SCENARIO_KEYS: &[&str] = &["zones", "latency", "callers", "request"];
 
-/// What a file holds.
+/// Kind of a file's content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FileSort {
-    /// Resources.
+pub(super) enum FileKind {
+    /// Resources of the configuration.
     Resources,
     /// Settings of one daemon.
     DaemonSettings,
@@ -24,9 +24,9 @@
     Scenario,
 }
 
-impl FileSort {
-    /// The sort of a file. What can't be told apart counts as resources, whose check reports every
-    /// key that it doesn't know.
+impl FileKind {
+    /// Returns the kind of a file. An ambiguous or unparsable file counts as resources, because
+    /// that check reports every unknown key.
     pub(super) fn of(file: &SourceFile) -> Self {
         let Ok(table) = toml::from_str::<toml::Table>(&file.text) else {
             return Self::Resources;
@@ -44,7 +44,7 @@
     }
 }
 
-/// The problem of a daemon's settings, if there is one.
+/// Returns the first problem of a daemon's settings, or `None` if they are valid.
 pub(super) fn check_settings(file: &SourceFile) -> Option<Problem> {
     let error = settings::parse(&file.name, &file.text, &[]).err()?;
     let (line, field, message, allowed) = match error {
@@ -61,7 +61,7 @@
             ..
         } => {
             let line = line_of_field(&file.text, &field);
-            (line, field, format!("given {given}"), allowed)
+            (line, field, format!("{given} is not valid"), allowed)
         }
         other => (1, "file".to_owned(), other.to_string(), String::new()),
     };
@@ -69,7 +69,7 @@
     Some(problem(file, line, code, field, message, allowed))
 }
 
-/// The problem of a scenario, if there is one.
+/// Returns the first problem of a scenario, or `None` if it is valid.
 pub(super) fn check_scenario(file: &SourceFile) -> Option<Problem> {
     let error = Scenario::parse(&file.name, &file.text).err()?;
     let code = ProblemCode::InvalidScenario;
@@ -109,7 +109,8 @@
     }
 }
 
-/// Line of a field, such as `limits.header_bytes`, in a file of plain tables; 1 when it isn't there.
+/// Returns the line of a field, such as `limits.header_bytes`, in a file of plain tables; 1 when
+/// the field is absent.
 fn line_of_field(text: &str, field: &str) -> usize {
     let (wanted_table, wanted_key) = field.rsplit_once('.').unwrap_or(("", field));
     let mut table = "";
--- a/crates/cli/src/check/mod.rs
+++ b/crates/cli/src/check/mod.rs
@@ -1,15 +1,15 @@
 //! `check`: reports every problem of files in one run.
 
-mod sorts;
+mod file_kind;
 
 use serde::Serialize;
 use wharfquay_resources::parse::{Parsed, SourceFile, parse};
 use wharfquay_resources::problem::{Problem, Severity};
 
 use crate::arguments::Arguments;
-use crate::check::sorts::{FileSort, check_scenario, check_settings};
+use crate::check::file_kind::{FileKind, check_scenario, check_settings};
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::input::read_files;
 use crate::output::Output;
 
@@ -17,10 +17,10 @@
     name: "check",
     summary: "Report every problem of resource files in one run",
     details: "\
-Settings of daemons and scenarios are checked too; the sort of a file follows from its keys.
-All resource files together have to stand by themselves: references may lead from one file to another.
-Each problem is one line, `file:line: field: problem (allowed: …) [code]`; docs/CONFIGURATION.md
-lists the codes. Warnings point at risky but legal settings and leave the exit code at 0.",
+Settings of daemons and scenarios are checked too; the kind of a file follows from its keys. All
+resource files are checked as one set: a resource may refer to one in another file. Each problem is
+one line, `file:line: field: problem (allowed: …) [code]`; docs/CONFIGURATION.md lists the codes.
+Warnings indicate risky but legal settings and leave the exit code at 0.",
     positionals: Positionals {
         usage: "FILE…",
         minimum: 1,
@@ -54,7 +54,7 @@
     problems: &'a [Problem],
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let paths = arguments.paths();
     let read = read_files(&paths);
     let mut parsed = check_files(&read.files);
@@ -71,21 +71,21 @@
     }
     let is_failed = report.errors > 0 || (arguments.has("strict") && report.warnings > 0);
     Ok(if is_failed {
-        Finish::ProblemFound
+        ExitStatus::ProblemFound
     } else {
-        Finish::Done
+        ExitStatus::Success
     })
 }
 
-/// Checks the resource files as one set, and every other file by itself.
+/// Checks the resource files as one set, and every other file separately.
 fn check_files(files: &[SourceFile]) -> Parsed {
     let mut resource_files = Vec::new();
     let mut problems = Vec::new();
     for file in files {
-        match FileSort::of(file) {
-            FileSort::Resources => resource_files.push(file.clone()),
-            FileSort::DaemonSettings => problems.extend(check_settings(file)),
-            FileSort::Scenario => problems.extend(check_scenario(file)),
+        match FileKind::of(file) {
+            FileKind::Resources => resource_files.push(file.clone()),
+            FileKind::DaemonSettings => problems.extend(check_settings(file)),
+            FileKind::Scenario => problems.extend(check_scenario(file)),
         }
     }
     let mut parsed = parse(&resource_files);
@@ -93,7 +93,7 @@
     parsed
 }
 
-/// Prints one line for each problem.
+/// Prints one line for each problem to the standard output.
 pub(crate) fn print_problems(problems: &[Problem], output: &mut Output) -> Result<(), CliError> {
     for problem in problems {
         output.line(&problem.to_string())?;
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,10 +1,10 @@
-//! The table of commands.
+//! Table of the commands.
 
 use wharfquay_resources::nearest::suggestion;
 
 use crate::arguments::Arguments;
 use crate::command_names;
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::Output;
 use crate::{
     apply, check, completion, delete, demo, drain, explain, get, plan, replay, status, trace, watch,
@@ -17,12 +17,12 @@
     pub(crate) name: &'static str,
     /// Placeholder of the value; `None` for a switch.
     pub(crate) value: Option<&'static str>,
-    /// Meaning, in one line.
+    /// One-line description.
     pub(crate) help: &'static str,
 }
 
 impl Flag {
-    /// A flag without a value.
+    /// Specifies a flag without a value.
     pub(crate) const fn switch(name: &'static str, help: &'static str) -> Self {
         Self {
             name,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A flag with a value.
+    /// Specifies a flag with a value.
     pub(crate) const fn with_value(
         name: &'static str,
         value: &'static str,
@@ -45,45 +45,46 @@
     }
 }
 
-/// How many positional arguments a command takes.
+/// Number of positional arguments that a command takes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Positionals {
-    /// How they are shown in the usage line; empty when there are none.
+    /// Placeholders in the usage line; empty when there are none.
     pub(crate) usage: &'static str,
-    /// Fewest.
+    /// Smallest number of arguments.
     pub(crate) minimum: usize,
-    /// Most.
+    /// Largest number of arguments.
     pub(crate) maximum: usize,
 }
 
-/// A command line that is shown in the help text, and what it does.
+/// A command line that the help text shows, with a description.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Example {
-    /// The command line.
+    /// The command line, including the program's name.
     pub(crate) line: &'static str,
-    /// What it does.
+    /// What the command line does, in one sentence.
     pub(crate) meaning: &'static str,
 }
 
-/// A command: what its help, its parser and its shell completion need, and its function.
+/// Specification of a command, for its help text, argument parsing and shell completion, and its
+/// function.
 pub(crate) struct CommandSpec {
     /// Name on the command line.
     pub(crate) name: &'static str,
-    /// What it does, in one line.
+    /// One-line description.
     pub(crate) summary: &'static str,
-    /// More about it; empty when the summary says everything.
+    /// Further description; empty when the summary is sufficient.
     pub(crate) details: &'static str,
-    /// Its positional arguments.
+    /// Number of positional arguments.
     pub(crate) positionals: Positionals,
-    /// Its flags, without `--help`.
+    /// Flags, without `--help`.
     pub(crate) flags: &'static [Flag],
-    /// Examples.
+    /// Examples for the help text.
     pub(crate) examples: &'static [Example],
-    /// Its function.
-    pub(crate) run: fn(&Arguments, &mut Output) -> Result<Finish, CliError>,
+    /// Executes the command.
+    pub(crate) run: fn(&Arguments, &mut Output) -> Result<ExitStatus, CliError>,
 }
 
-/// The flag of every command whose output is data.
+/// Flag of every command whose output is data.
 pub(crate) const JSON: Flag = Flag::switch("json", "Print JSON instead of text");
 
 /// Every command, in the order of the help text.
@@ -104,7 +105,7 @@
     &completion::COMMAND,
 ];
 
-/// The command with this name.
+/// Returns the command with this name.
 pub(crate) fn find_command(name: &str) -> Result<&'static CommandSpec, CliError> {
     let found = COMMANDS.iter().find(|command| command.name == name);
     found.copied().ok_or_else(|| CliError::UnknownCommand {
--- a/crates/cli/src/completion.rs
+++ b/crates/cli/src/completion.rs
@@ -5,7 +5,7 @@
 use crate::arguments::Arguments;
 use crate::command_names;
 use crate::commands::{COMMANDS, CommandSpec, Example, Positionals};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::Output;
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
@@ -35,7 +35,7 @@
     run,
 };
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let shell = arguments.words().concat();
     let script = match shell.as_str() {
         "bash" => bash(),
@@ -51,10 +51,10 @@
         }
     };
     output.text(&script)?;
-    Ok(Finish::Done)
+    Ok(ExitStatus::Success)
 }
 
-/// The flags of a command with their dashes, `--help` included.
+/// Returns the flags of a command with their dashes, including `--help`.
 fn flags_of(command: &CommandSpec) -> String {
     let names = command.flags.iter().map(|flag| flag.name).chain(["help"]);
     let flags: Vec<String> = names.map(|name| format!("--{name}")).collect();
@@ -148,7 +148,7 @@
     script
 }
 
-/// Text without the characters that end a quoted word or a description in the shells.
+/// Replaces the characters that end a quoted word or a description in the shells.
 fn escape(text: &str) -> String {
     text.replace('\'', "’").replace(['[', ']', ':'], " ")
 }
--- a/crates/cli/src/configuration.rs
+++ b/crates/cli/src/configuration.rs
@@ -1,11 +1,11 @@
-//! The configuration that a command works with: from files or from the platform.
+//! Reads the configuration that a command works with, from files or from the platform.
 
 use wharfquay_resources::parse::parse;
 use wharfquay_resources::snapshot::Snapshot;
 
 use crate::arguments::Arguments;
 use crate::commands::Flag;
-use crate::connection::{PlatformView, block_on, connect, names_platform};
+use crate::connection::{PlatformView, block_on, connect, platform_is_specified};
 use crate::error::CliError;
 use crate::input::read_files;
 use crate::output::{print_error_lines, progress};
@@ -13,10 +13,10 @@
 pub(crate) const FILE: Flag = Flag::with_value(
     "file",
     "FILE",
-    "Resource file to work with instead of the platform; may be repeated",
+    "Resource file to read instead of the platform; may be repeated",
 );
 
-/// Reads the configuration that the flags name.
+/// Reads the configuration from the files of `--file` or, without them, from the platform.
 pub(crate) fn read_configuration(arguments: &Arguments) -> Result<Snapshot, CliError> {
     let paths = arguments.path_values(FILE.name);
     if paths.is_empty() {
@@ -27,13 +27,13 @@
     parsed.problems.splice(0..0, read.problems);
     print_error_lines(&parsed.problems);
     if parsed.has_errors() {
-        return Err(CliError::BrokenConfiguration);
+        return Err(CliError::InvalidConfiguration);
     }
     Ok(parsed.snapshot())
 }
 
 fn read_from_platform(arguments: &Arguments) -> Result<Snapshot, CliError> {
-    if !names_platform(arguments) {
+    if !platform_is_specified(arguments) {
         return Err(CliError::MissingFlag {
             flag: "file or --platform",
             allowed: "a resource file, or the platform's ip:port",
@@ -43,7 +43,7 @@
     let view = block_on(PlatformView::read(&client))?;
     for rejection in &view.acceptance.rejections {
         progress(&format!(
-            "{} is left out, since it is rejected",
+            "{} is omitted, since it is rejected",
             rejection.id
         ));
     }
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -1,4 +1,4 @@
-//! What the commands that talk to the platform share: flags, client, progress and reading.
+//! Flags, client, progress messages and reads for the commands that use the platform.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -18,13 +18,13 @@
 use crate::error::CliError;
 use crate::output::progress;
 
-/// Environment variable that names the platform when no flag does.
+/// Environment variable with the platform's addresses, used without `--platform`.
 const PLATFORM_VARIABLE: &str = "WHARFQUAY_PLATFORM";
-/// Environment variable that names the author when no flag does.
+/// Environment variable with the author's name, used without `--author`.
 const USER_VARIABLE: &str = "USER";
 const UNKNOWN_AUTHOR: &str = "unknown";
 const ADDRESS_FORM: &str = "ip:port, several separated by commas";
-/// Time after which, and then again and again, progress is shown.
+/// Interval of progress messages; the first one comes after this time.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
 const TIMEOUT_FORM: &str = "1 to 3600000, in milliseconds";
@@ -33,7 +33,7 @@
 pub(crate) const PLATFORM: Flag = Flag::with_value(
     "platform",
     "IP:PORT",
-    "Address of the platform, several by commas (or $WHARFQUAY_PLATFORM)",
+    "Comma-separated addresses of the platform (or $WHARFQUAY_PLATFORM)",
 );
 pub(crate) const AUTHOR: Flag = Flag::with_value(
     "author",
@@ -43,10 +43,10 @@
 pub(crate) const TIMEOUT: Flag = Flag::with_value(
     "timeout-ms",
     "MS",
-    "Time after which to give up (default: 10000)",
+    "Timeout of reads and writes (default: 10000)",
 );
 
-/// Runs a future on a runtime of its own.
+/// Runs a future to completion on a new single-threaded runtime.
 pub(crate) fn block_on<T>(
     future: impl Future<Output = Result<T, CliError>>,
 ) -> Result<T, CliError> {
@@ -57,8 +57,8 @@
     runtime.block_on(future)
 }
 
-/// Waits for a future and shows progress when it takes long.
-pub(crate) async fn with_progress<T>(what: &str, future: impl Future<Output = T>) -> T {
+/// Awaits a future, and shows progress messages while it takes long.
+pub(crate) async fn with_progress<T>(operation: &str, future: impl Future<Output = T>) -> T {
     let started = Instant::now();
     let mut ticks = tokio::time::interval_at(started + PROGRESS_INTERVAL, PROGRESS_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -67,13 +67,13 @@
         tokio::select! {
             result = &mut future => return result,
             _ = ticks.tick() => {
-                progress(&format!("{what}: {} s", started.elapsed().as_secs()));
+                progress(&format!("{operation}: {} s", started.elapsed().as_secs()));
             }
         }
     }
 }
 
-/// The client of the platform that flags or the environment name.
+/// Creates a client of the platform that the flags or the environment specify.
 pub(crate) fn connect(arguments: &Arguments) -> Result<Client, CliError> {
     let addresses = platform_addresses(arguments)?.ok_or(CliError::MissingFlag {
         flag: PLATFORM.name,
@@ -90,23 +90,24 @@
     Ok(Client::new(addresses, settings))
 }
 
-/// Whether a flag or the environment names the platform.
-pub(crate) fn names_platform(arguments: &Arguments) -> bool {
+/// Returns true if a flag or the environment specifies the platform.
+pub(crate) fn platform_is_specified(arguments: &Arguments) -> bool {
     arguments.has(PLATFORM.name) || std::env::var_os(PLATFORM_VARIABLE).is_some()
 }
 
-/// The addresses of the platform; `None` when neither a flag nor the environment names one.
+/// Returns the addresses of the platform; `None` when neither a flag nor the environment specifies
+/// one.
 pub(crate) fn platform_addresses(
     arguments: &Arguments,
 ) -> Result<Option<Vec<SocketAddr>>, CliError> {
-    let given = arguments.text(PLATFORM.name);
-    let Some(text) = given.or_else(|| std::env::var(PLATFORM_VARIABLE).ok()) else {
+    let specified = arguments.text(PLATFORM.name);
+    let Some(text) = specified.or_else(|| std::env::var(PLATFORM_VARIABLE).ok()) else {
         return Ok(None);
     };
     parse_addresses("--platform", &text).map(Some)
 }
 
-/// Reads addresses that are separated by commas.
+/// Parses addresses that are separated by commas. `name` is the flag, for the error.
 pub(crate) fn parse_addresses(name: &str, text: &str) -> Result<Vec<SocketAddr>, CliError> {
     let parts = text.split(',').map(str::trim);
     parts
@@ -114,10 +115,10 @@
         .collect()
 }
 
-/// The time after which a command gives up.
+/// Returns the timeout of reads and writes.
 pub(crate) fn timeout(arguments: &Arguments) -> Result<Duration, CliError> {
-    let given: Option<u64> = arguments.value(TIMEOUT.name, TIMEOUT_FORM)?;
-    let millis = given.unwrap_or(DEFAULT_TIMEOUT_MS);
+    let specified: Option<u64> = arguments.value(TIMEOUT.name, TIMEOUT_FORM)?;
+    let millis = specified.unwrap_or(DEFAULT_TIMEOUT_MS);
     if (1..=MAXIMUM_TIMEOUT_MS).contains(&millis) {
         return Ok(Duration::from_millis(millis));
     }
@@ -129,21 +130,21 @@
     ))
 }
 
-/// The author of writes.
+/// Returns the author of writes.
 pub(crate) fn author(arguments: &Arguments) -> String {
-    let given = arguments.text(AUTHOR.name);
-    given
+    let specified = arguments.text(AUTHOR.name);
+    specified
         .or_else(|| std::env::var(USER_VARIABLE).ok())
         .filter(|name| !name.is_empty())
         .unwrap_or_else(|| UNKNOWN_AUTHOR.to_owned())
 }
 
-/// Reads the identity of a resource from two words.
+/// Parses the identity of a resource from its kind and name.
 pub(crate) fn parse_id(kind: &str, name: &str) -> Result<ResourceId, CliError> {
     Ok(ResourceId::new(parse_kind(kind)?, name))
 }
 
-/// Reads the name of a resource kind.
+/// Parses the name of a resource kind.
 pub(crate) fn parse_kind(text: &str) -> Result<ResourceKind, CliError> {
     let names: Vec<&str> = ResourceKind::ALL.iter().map(|kind| kind.as_str()).collect();
     let found = ResourceKind::ALL
@@ -154,16 +155,16 @@
     })
 }
 
-/// What the platform holds, as objects and as the resources that can be accepted.
+/// Objects that the platform holds, and the configuration that is accepted from them.
 pub(crate) struct PlatformView {
     /// Every object of a known kind.
     pub(crate) objects: BTreeMap<ResourceId, Object>,
-    /// Which of them are acceptable.
+    /// The accepted configuration, and the objects that are rejected.
     pub(crate) acceptance: Acceptance,
 }
 
 impl PlatformView {
-    /// Reads everything that the platform holds.
+    /// Reads every object from the platform.
     pub(crate) async fn read(client: &Client) -> Result<Self, CliError> {
         let list = with_progress("reading the platform's objects", client.list()).await?;
         Ok(Self::from_list(&list))
--- a/crates/cli/src/daemon_status.rs
+++ b/crates/cli/src/daemon_status.rs
@@ -1,4 +1,4 @@
-//! The status page of a daemon's admin side.
+//! Status page on a daemon's admin listener.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 use crate::connection::parse_addresses;
 use crate::error::CliError;
 
-/// Largest status page that is read, in bytes.
+/// Maximum size of a status page, in bytes.
 const MAXIMUM_PAGE_BYTES: usize = 16 * 1024 * 1024;
 
 pub(crate) const DAEMON: Flag = Flag::with_value(
     "daemon",
     "IP:PORT",
-    "Admin address of a daemon, several by commas or repeated",
+    "Comma-separated admin addresses of daemons; may be repeated",
 );
 
-/// The addresses of the daemons that flags name.
+/// Returns the admin addresses of the daemons that the flags specify.
 pub(crate) fn daemon_addresses(arguments: &Arguments) -> Result<Vec<SocketAddr>, CliError> {
     let texts = arguments.texts(DAEMON.name);
     let lists: Vec<Vec<SocketAddr>> = texts
@@ -37,34 +37,34 @@
     Ok(lists.concat())
 }
 
-/// What a daemon says about itself.
+/// Status that a daemon reports.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct DaemonStatus {
-    /// Name of the daemon.
+    /// Id of the daemon.
     pub(crate) id: String,
-    /// Its zone.
+    /// Zone of the daemon.
     pub(crate) zone: String,
-    /// Service of its back end; absent at an edge.
+    /// Service of the daemon's backend; absent at an edge.
     #[serde(default)]
     pub(crate) service: Option<String>,
-    /// Whether it can serve.
+    /// True if the daemon can serve.
     #[serde(default)]
     pub(crate) ready: bool,
-    /// Whether its back end is leaving.
+    /// True if the daemon's backend is leaving.
     #[serde(default)]
     pub(crate) leaving: bool,
-    /// Revision in force.
+    /// Revision of the configuration in force.
     #[serde(default)]
     pub(crate) revision: u64,
-    /// Calls that have not ended.
+    /// Calls that have not completed.
     #[serde(default)]
     pub(crate) calls_in_flight: u64,
-    /// Admission at its back end; absent at an edge.
+    /// Admission at the daemon's backend; absent at an edge.
     #[serde(default)]
     pub(crate) admission: Option<AdmissionStatus>,
 }
 
-/// Admission at one back end.
+/// Admission status of one backend.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub(crate) struct AdmissionStatus {
@@ -74,12 +74,12 @@
     pub(crate) in_flight: u32,
     /// Concurrency limit in force.
     pub(crate) limit: u32,
-    /// Calls that wait.
+    /// Calls that wait in the queue.
     pub(crate) queued: u32,
 }
 
 impl DaemonStatus {
-    /// Calls that run or wait.
+    /// Returns the number of calls in flight or queued.
     pub(crate) fn pending_calls(&self) -> u64 {
         let admission = self.admission.unwrap_or_default();
         let at_backend = u64::from(admission.in_flight) + u64::from(admission.queued);
@@ -87,15 +87,15 @@
     }
 }
 
-/// Why a status page can't be read.
+/// An error that prevents a read of a status page.
 #[derive(Debug, Display)]
 pub(crate) enum StatusError {
-    /// no answer within {0:?}
+    /// no response within {0:?}
     Timeout(Duration),
     /// no connection: {0}
     Connection(String),
-    /// the daemon answered {0}
-    Refused(StatusCode),
+    /// the daemon responded with {0}
+    UnexpectedStatus(StatusCode),
     /// malformed page: {0}
     Malformed(String),
 }
@@ -121,7 +121,7 @@
         .await
         .map_err(|error| StatusError::Connection(describe_chain(&error)))?;
     if response.status() != StatusCode::OK {
-        return Err(StatusError::Refused(response.status()));
+        return Err(StatusError::UnexpectedStatus(response.status()));
     }
     let body = Limited::new(response.into_body(), MAXIMUM_PAGE_BYTES);
     let page = body
@@ -131,20 +131,20 @@
     read_page(&page.to_bytes()).map_err(|error| StatusError::Malformed(error.to_string()))
 }
 
-/// Reads a page as an object, since a derived reader would take a list for a structure too.
+/// Parses a page as a JSON object first, since the derived deserializer would also accept an array.
 fn read_page(page: &[u8]) -> Result<DaemonStatus, serde_json::Error> {
     let object: serde_json::Map<String, serde_json::Value> = serde_json::from_slice(page)?;
     serde_json::from_value(object.into())
 }
 
-/// An error with its causes.
+/// Returns the text of an error and its causes.
 fn describe_chain(error: &dyn std::error::Error) -> String {
     let causes = std::iter::successors(Some(error), |error| error.source());
     let texts: Vec<String> = causes.map(ToString::to_string).collect();
     texts.join(": ")
 }
 
-/// An admission level in words: which priorities are admitted, and how much of the last one.
+/// Describes an admission level: the priorities that are admitted, and the share of the last one.
 pub(crate) fn describe_level(level: u16) -> String {
     let level = AdmissionLevel::new(level);
     if level == AdmissionLevel::OPEN {
@@ -153,15 +153,15 @@
     if level == AdmissionLevel::CLOSED {
         return "closed".to_owned();
     }
-    let whole = level.number() / Rank::COUNT;
+    let admitted_priorities = level.number() / Rank::COUNT;
     let part = level.number() % Rank::COUNT;
     let percent = f64::from(part) * 100.0 / f64::from(Rank::COUNT);
-    let last = u16::from(Priority::LOWEST.number()).min(whole);
-    match (whole, part) {
+    let last = u16::from(Priority::LOWEST.number()).min(admitted_priorities);
+    match (admitted_priorities, part) {
         (0, _) => format!("0 at {percent:.0}%"),
         (1, 0) => "0".to_owned(),
-        (_, 0) => format!("0-{}", whole - 1),
+        (_, 0) => format!("0-{}", admitted_priorities - 1),
         (1, _) => format!("0, 1 at {percent:.0}%"),
-        _ => format!("0-{}, {last} at {percent:.0}%", whole - 1),
+        _ => format!("0-{}, {last} at {percent:.0}%", admitted_priorities - 1),
     }
 }
--- a/crates/cli/src/delete.rs
+++ b/crates/cli/src/delete.rs
@@ -1,4 +1,4 @@
-//! `delete`: removes a resource from the platform by compare-and-swap.
+//! `delete`: deletes a resource from the platform by compare-and-swap.
 
 use wharfquay_platform::conversion::object_key;
 use wharfquay_platform::wire::Object;
@@ -13,7 +13,7 @@
 use crate::connection::{
     AUTHOR, PLATFORM, PlatformView, TIMEOUT, author, block_on, connect, parse_id,
 };
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::{Output, progress};
 use crate::write::write_or_report;
 
@@ -58,7 +58,7 @@
     run,
 };
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let words = arguments.words();
     let id = parse_id(&words[0], &words[1])?;
     let expected: Option<u64> = arguments.value("expected-version", VERSION_FORM)?;
@@ -68,9 +68,9 @@
         let Some(current) = view.objects.get(&id) else {
             return Err(CliError::NotFound(id.to_string()));
         };
-        let users = references_to(&id, &view);
-        if !users.is_empty() {
-            for finding in users {
+        let references = references_to(&id, &view);
+        if !references.is_empty() {
+            for finding in references {
                 progress(&finding.to_string());
             }
             return Err(CliError::StillReferenced(id.to_string()));
@@ -84,11 +84,11 @@
         }
         delete(&client, &id, current, version, &author(arguments)).await?;
         output.line(&format!("{id}: deleted"))?;
-        Ok(Finish::Done)
+        Ok(ExitStatus::Success)
     })
 }
 
-/// The references that would lead nowhere without the resource.
+/// Returns the references that would be dangling without the resource.
 fn references_to(id: &ResourceId, view: &PlatformView) -> Vec<Finding> {
     let mut rest = view.acceptance.snapshot.clone();
     rest.remove(id);
@@ -101,7 +101,7 @@
     current: &Object,
     expected: Revision,
     output: &mut Output,
-) -> Result<Finish, CliError> {
+) -> Result<ExitStatus, CliError> {
     let found = current.version.number();
     if current.version != expected {
         let line = format!(
@@ -110,24 +110,24 @@
             expected.number()
         );
         output.line(&line)?;
-        return Ok(Finish::ProblemFound);
+        return Ok(ExitStatus::ProblemFound);
     }
     output.line(&format!(
         "{id}: would be deleted: version {found} by \"{}\"",
         current.author
     ))?;
-    Ok(Finish::Done)
+    Ok(ExitStatus::Success)
 }
 
-/// Deletes the resource if `expected` is its version.
+/// Deletes the resource if `expected` is its current version.
 pub(crate) async fn delete(
     client: &Client,
     id: &ResourceId,
-    seen: &Object,
+    last_read: &Object,
     expected: Revision,
     author: &str,
 ) -> Result<(), CliError> {
     let request = WriteRequest::delete(object_key(id), expected, author);
-    write_or_report(client, &request, id, Some(seen)).await?;
+    write_or_report(client, &request, id, Some(last_read)).await?;
     Ok(())
 }
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: runs a whole deployment on loopback in this process, through a surge.
+//! `demo`: runs a whole deployment on loopback in this process, with a surge of demand.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,34 +9,50 @@
 
 use crate::arguments::Arguments;
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::{Output, progress};
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "demo",
-    summary: "Run a whole deployment on loopback through a surge",
+    summary: "Run a whole deployment on loopback, with a surge of demand",
     details: "\
-Starts the stand-in for the platform, a daemon beside each back end, an edge in each zone, the back
-ends and their callers in this process, without leaving loopback. Shows the progress once a second
-and a table at the end, and ends by itself within 60 s. Exit code 1 means that a promise was broken. Refusals beside
-answers to less important requests are shown (inverted) but not judged, since they may be due to
-a service that only the refused request needs.",
+Starts the emulated platform, a daemon beside each backend, an edge in each zone, the backends and
+their callers in this process, on loopback only. Shows the progress once a second and a table at the
+end, and exits within 60 s. Exit code 1 means that a promise was broken. Refusals of requests while
+less important ones succeed are shown (inverted) but don't count as a broken promise, since they may
+be due to a service that only the refused request needs.",
     positionals: Positionals {
         usage: "",
         minimum: 0,
         maximum: 0,
     },
     flags: &[
-        Flag::with_value("scenario", "NAME", "Deployment, lagos or gujarat (default lagos)"),
-        Flag::with_value("seconds", "N", "Length of the load, 3 to 40 (default 30)"),
-        Flag::with_value("factor", "F", "Demand during the surge, 1 to 20 (default 4)"),
-        Flag::with_value("rate-factor", "F", "Factor on all demand, 0.001 to 10 (default 1)"),
+        Flag::with_value(
+            "scenario",
+            "NAME",
+            "Scenario of the deployment, lagos or gujarat (default lagos)",
+        ),
+        Flag::with_value("seconds", "N", "Duration of the load, 3 to 40 (default 30)"),
+        Flag::with_value(
+            "factor",
+            "F",
+            "Factor on the demand during the surge, 1 to 20 (default 4)",
+        ),
+        Flag::with_value(
+            "rate-factor",
+            "F",
+            "Factor on all demand, 0.001 to 10 (default 1)",
+        ),
         Flag::with_value(
             "time-factor",
             "N",
-            "Slow motion for few processors, 1 to 8 (default 1 with 8 processors and more)",
+            "Slowdown for few processors, 1 to 8 (default 1 with 8 processors or more)",
+        ),
+        Flag::with_value(
+            "seed",
+            "N",
+            "Seed of arrivals and service times (default 1)",
         ),
-        Flag::with_value("seed", "N", "Seed of arrivals and service times (default 1)"),
         JSON,
     ],
     examples: &[
@@ -57,34 +73,34 @@
 const DEFAULT_FACTOR: f64 = 4.0;
 const DEFAULT_RATE_FACTOR: f64 = 1.0;
 const DEFAULT_SEED: u64 = 1;
-const LARGEST_TIME_FACTOR: u32 = 8;
-/// The demonstration ends by itself after this time, whatever happens.
-const LONGEST_RUN: Duration = Duration::from_secs(58);
+const MAXIMUM_TIME_FACTOR: u32 = 8;
+/// Time limit of the whole demonstration. It stays below the 60 s that the help text promises.
+const RUN_TIMEOUT: Duration = Duration::from_secs(58);
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let settings = settings(arguments)?;
     progress(&format!("starting {} on loopback", settings.scenario.name));
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .map_err(CliError::Runtime)?;
-    let demonstration = demo::run(settings, show_moment);
-    let result = runtime.block_on(async { tokio::time::timeout(LONGEST_RUN, demonstration).await });
+    let demonstration = demo::run(settings, show_progress);
+    let result = runtime.block_on(async { tokio::time::timeout(RUN_TIMEOUT, demonstration).await });
     runtime.shutdown_background();
-    let report = result.unwrap_or(Err(DeploymentError::TooLong(LONGEST_RUN)))?;
+    let report = result.unwrap_or(Err(DeploymentError::TooLong(RUN_TIMEOUT)))?;
     if arguments.has(JSON.name) {
         output.json(&report)?;
     } else {
         output.text(&report.to_string())?;
     }
-    Ok(finish_of(&report))
+    Ok(exit_status_of(&report))
 }
 
-fn finish_of(report: &DemoReport) -> Finish {
+fn exit_status_of(report: &DemoReport) -> ExitStatus {
     if report.broken_promises.is_empty() {
-        Finish::Done
+        ExitStatus::Success
     } else {
-        Finish::ProblemFound
+        ExitStatus::ProblemFound
     }
 }
 
@@ -104,20 +120,21 @@
     })
 }
 
-/// How much slower everything runs: as given, or as this machine's processors need it.
+/// Returns the factor by which work and deadlines are lengthened and rates lowered: the flag's
+/// value or, without the flag, a value that suits the number of processors.
 fn time_factor(arguments: &Arguments) -> Result<u32, CliError> {
-    let suitable = f64::from(suitable_factor().min(LARGEST_TIME_FACTOR));
-    let largest = f64::from(LARGEST_TIME_FACTOR);
+    let suitable = f64::from(suitable_factor().min(MAXIMUM_TIME_FACTOR));
+    let largest = f64::from(MAXIMUM_TIME_FACTOR);
     let factor = number(arguments, "time-factor", suitable, 1.0, largest)? as u32;
     if factor > 1 {
         progress(&format!(
-            "slow motion: work and deadlines x {factor}, rates / {factor}"
+            "slowdown: work and deadlines x {factor}, rates / {factor}"
         ));
     }
     Ok(factor)
 }
 
-/// The value of a flag, which must lie in a range.
+/// Returns the value of a flag, or an error when it is out of range.
 fn number(
     arguments: &Arguments,
     flag: &str,
@@ -126,24 +143,24 @@
     highest: f64,
 ) -> Result<f64, CliError> {
     let allowed = format!("{lowest} to {highest}");
-    let given = arguments.value(flag, &allowed)?.unwrap_or(default);
-    if (lowest..=highest).contains(&given) {
-        return Ok(given);
+    let value = arguments.value(flag, &allowed)?.unwrap_or(default);
+    if (lowest..=highest).contains(&value) {
+        return Ok(value);
     }
     Err(CliError::InvalidValue {
         name: format!("--{flag}"),
-        given: given.to_string(),
+        given: value.to_string(),
         problem: "out of range".to_owned(),
         allowed,
     })
 }
 
-fn show_moment(moment: Moment) {
-    let (now, before) = (moment.progress, moment.before);
+fn show_progress(sample: Moment) {
+    let (now, before) = (sample.progress, sample.before);
     progress(&format!(
-        "{:>5.1} s {:<6} sent {:>6}/s  whole in time {:>6}/s  refused {:>6}/s  other {:>5}/s",
-        moment.elapsed.as_secs_f64(),
-        if moment.surge { "surge" } else { "" },
+        "{:>5.1} s {:<6} sent {:>6}/s  complete in time {:>6}/s  refused {:>6}/s  other {:>5}/s",
+        sample.elapsed.as_secs_f64(),
+        if sample.surge { "surge" } else { "" },
         now.sent - before.sent,
         now.whole - before.whole,
         now.refused - before.refused,
--- a/crates/cli/src/drain/estimate.rs
+++ b/crates/cli/src/drain/estimate.rs
@@ -1,5 +1,5 @@
-//! What a drain leaves of each service: back ends by the platform's machine list, and load by the
-//! status pages of daemons.
+//! Estimate of what a drain leaves of each service: live backends from the platform's machine list,
+//! and load from the daemons' status pages.
 
 use std::collections::BTreeMap;
 
@@ -10,37 +10,37 @@
 use crate::daemon_status::DaemonStatus;
 use crate::table::TextTable;
 
-/// Live back ends of one service.
+/// Live backends of one service before and after the drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct BackendCount {
     before: u32,
     after: u32,
 }
 
-/// Calls of one service, and the concurrency limits of the back ends that stay.
+/// Calls of one service, and the concurrency limits of the backends that remain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ServiceLoad {
     calls: u64,
-    limit_left: u64,
+    remaining_limit: u64,
 }
 
 impl ServiceLoad {
-    /// Share of the limits that stay which the calls would take; `None` when no limit stays.
+    /// Share of the remaining limits that the calls would take; `None` when no limit remains.
     fn utilisation_after(self) -> Option<f64> {
-        (self.limit_left > 0).then(|| self.calls as f64 / self.limit_left as f64)
+        (self.remaining_limit > 0).then(|| self.calls as f64 / self.remaining_limit as f64)
     }
 }
 
-/// What a drain leaves of each service that it covers.
+/// Effect of a drain on each service that it covers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Estimate {
     services: BTreeMap<String, BackendCount>,
-    /// Only of services whose daemons were asked.
+    /// Only services that have a queried daemon.
     loads: BTreeMap<String, ServiceLoad>,
 }
 
 impl Estimate {
-    /// Services that had a back end and would have none.
+    /// Returns the services that have a backend now and would have none.
     pub(super) fn emptied_services(&self) -> Vec<&str> {
         let emptied = |count: &BackendCount| count.before > 0 && count.after == 0;
         let services = self.services.iter();
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// Services whose calls would not fit into the limits that stay.
+    /// Returns the services whose calls would exceed the remaining limits.
     pub(super) fn overloaded_services(&self) -> Vec<&str> {
         let is_over = |load: &ServiceLoad| load.utilisation_after().is_none_or(|share| share > 1.0);
         let loads = self.loads.iter();
@@ -60,7 +60,7 @@
             .collect()
     }
 
-    /// The same estimate with the load that daemons report, of those services that the drain covers.
+    /// Adds the load that daemons report for the services that the drain covers.
     pub(super) fn with_load(mut self, target: &DrainTarget, statuses: &[DaemonStatus]) -> Self {
         for status in statuses {
             let (Some(service), Some(admission)) = (&status.service, status.admission) else {
@@ -73,21 +73,21 @@
             load.calls += u64::from(admission.in_flight) + u64::from(admission.queued);
             let stays = !status.leaving && !target.covers(&status.id, &status.zone, Some(service));
             if stays {
-                load.limit_left += u64::from(admission.limit);
+                load.remaining_limit += u64::from(admission.limit);
             }
         }
         self
     }
 
-    /// The table of services.
+    /// Renders the estimate as a table of services.
     pub(super) fn render(&self) -> String {
         if self.services.is_empty() {
-            return "the machine list has no live back end that the drain covers\n".to_owned();
+            return "the machine list has no live backend that the drain covers\n".to_owned();
         }
-        let mut table = TextTable::new(&["SERVICE", "LIVE BACK ENDS", "LEFT", "LOAD AFTER"]);
+        let mut table = TextTable::new(&["SERVICE", "LIVE BACKENDS", "LEFT", "LOAD AFTER"]);
         for (service, count) in &self.services {
             let share = f64::from(count.after) * 100.0 / f64::from(count.before.max(1));
-            table.row([
+            table.add_row([
                 service.clone(),
                 format!("{} -> {}", count.before, count.after),
                 format!("{share:.0}%"),
@@ -97,7 +97,8 @@
         table.render()
     }
 
-    /// Busy share of the limits that stay; unknown when no daemon of the service was asked.
+    /// Describes the share of the remaining limits in use; "unknown" when no daemon of the service
+    /// was queried.
     fn describe_load(&self, service: &str) -> String {
         let Some(load) = self.loads.get(service) else {
             return "unknown".to_owned();
@@ -110,7 +111,7 @@
     }
 }
 
-/// Counts the back ends before and after the drain, those that other drains cover left out.
+/// Counts the backends before and after the drain, without those that other drains cover.
 pub(super) fn estimate(
     snapshot: &Snapshot,
     target: &DrainTarget,
--- a/crates/cli/src/drain/follow.rs
+++ b/crates/cli/src/drain/follow.rs
@@ -1,4 +1,4 @@
-//! Following a drain until no call is left, and its withdrawal until the back ends take part again.
+//! Follows a drain until no call is in flight, and an undrain until the backends serve again.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,75 +12,77 @@
 use wharfquay_resources::status::{Status, Verdict};
 
 use crate::daemon_status::DaemonStatus;
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::{Output, progress};
 use crate::status::daemons::{DaemonView, read_daemons};
 use crate::status::platform::read_status;
 
-/// Time between two looks.
+/// Interval between polls of the drain's state.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Time after which progress is shown again.
+/// Interval between progress messages.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest wait for the status page of one daemon.
+/// Timeout of a read of one daemon's status page.
 const DAEMON_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time beyond the drain's limit for the change to reach every daemon and be reported.
 const REPORT_ALLOWANCE: Duration = Duration::from_secs(10);
 
-/// What to follow.
+/// The drain to follow, and where its progress is read.
 pub(super) struct FollowOptions<'a> {
+    /// Client of the platform, which holds the drain's status.
     pub(super) client: &'a Client,
     pub(super) drain: &'a Drain,
-    /// Version of the drain that was written.
+    /// Version under which the drain was written; an older observed version says nothing about it.
     pub(super) version: Revision,
+    /// Admin addresses of `--daemon`; empty to follow only the resource's status.
     pub(super) daemons: Vec<SocketAddr>,
 }
 
-/// How far the drain is, by one look.
-enum Look {
+/// Progress of the drain at one poll.
+enum DrainProgress {
     Empty,
     Rejected(String),
     Pending(String),
 }
 
-/// Looks again and again until the drain's back ends are empty or its limit has passed.
+/// Polls until the drain's backends have no call in flight or the drain's limit has passed.
 pub(super) async fn follow_until_empty(
     options: &FollowOptions<'_>,
     output: &mut Output,
-) -> Result<Finish, CliError> {
+) -> Result<ExitStatus, CliError> {
     let limit = Duration::from_millis(u64::from(options.drain.limit_ms)) + REPORT_ALLOWANCE;
     let started = Instant::now();
-    let mut shown = started;
+    let mut last_shown = started;
     let mut covered = CoveredDaemons::default();
     loop {
-        let pending = match look(options, &mut covered).await {
-            Look::Empty => {
+        let pending = match poll(options, &mut covered).await {
+            DrainProgress::Empty => {
                 let millis = started.elapsed().as_millis();
                 output.line(&format!("empty after {millis} ms"))?;
-                return Ok(Finish::Done);
+                return Ok(ExitStatus::Success);
             }
-            Look::Rejected(reason) => {
+            DrainProgress::Rejected(reason) => {
                 return Err(CliError::DrainRejected(reason));
             }
-            Look::Pending(state) => state,
+            DrainProgress::Pending(state) => state,
         };
         if started.elapsed() >= limit {
             let state = pending;
             return Err(CliError::NotEmpty { limit, state });
         }
-        if shown.elapsed() >= PROGRESS_INTERVAL {
-            shown = Instant::now();
+        if last_shown.elapsed() >= PROGRESS_INTERVAL {
+            last_shown = Instant::now();
             progress(&pending);
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Looks again and again until no daemon that the target covers is leaving any more.
-pub(super) async fn follow_until_back(
+/// Polls until no daemon that the target covers is leaving.
+pub(super) async fn follow_until_serving(
     target: &DrainTarget,
     daemons: &[SocketAddr],
     output: &mut Output,
-) -> Result<Finish, CliError> {
+) -> Result<ExitStatus, CliError> {
     let started = Instant::now();
     loop {
         let views = read_daemons(daemons, DAEMON_TIMEOUT).await;
@@ -89,8 +91,8 @@
         let ids: Vec<&str> = leaving.map(|status| status.id.as_str()).collect();
         if ids.is_empty() {
             let millis = started.elapsed().as_millis();
-            output.line(&format!("taking part again after {millis} ms"))?;
-            return Ok(Finish::Done);
+            output.line(&format!("serving again after {millis} ms"))?;
+            return Ok(ExitStatus::Success);
         }
         if started.elapsed() >= REPORT_ALLOWANCE {
             return Err(CliError::StillLeaving {
@@ -102,56 +104,58 @@
     }
 }
 
-async fn look(options: &FollowOptions<'_>, covered: &mut CoveredDaemons) -> Look {
-    let by_status = look_at_status(options).await;
-    if options.daemons.is_empty() || !matches!(by_status, Look::Pending(_)) {
+/// Reads the resource's status. While that is pending and daemons are specified, their status pages
+/// decide.
+async fn poll(options: &FollowOptions<'_>, covered: &mut CoveredDaemons) -> DrainProgress {
+    let by_status = poll_status(options).await;
+    if options.daemons.is_empty() || !matches!(by_status, DrainProgress::Pending(_)) {
         return by_status;
     }
     let views = read_daemons(&options.daemons, DAEMON_TIMEOUT).await;
     covered.update(options, &views);
-    covered.judge()
+    covered.evaluate()
 }
 
-async fn look_at_status(options: &FollowOptions<'_>) -> Look {
+async fn poll_status(options: &FollowOptions<'_>) -> DrainProgress {
     let id = Resource::Drain(options.drain.clone()).id();
     let object = match options.client.get_status(&object_key(&id)).await {
         Ok(Some(object)) => object,
-        Ok(None) => return Look::Pending("no status of the drain yet".to_owned()),
-        Err(error) => return Look::Pending(error.to_string()),
+        Ok(None) => return DrainProgress::Pending("no status of the drain yet".to_owned()),
+        Err(error) => return DrainProgress::Pending(error.to_string()),
     };
     match read_status(&object) {
-        Some(status) if status.observed_version >= options.version => judge_status(&status),
-        _ => Look::Pending("the drain is not observed yet".to_owned()),
+        Some(status) if status.observed_version >= options.version => evaluate_status(&status),
+        _ => DrainProgress::Pending("the drain is not observed yet".to_owned()),
     }
 }
 
-fn judge_status(status: &Status) -> Look {
+fn evaluate_status(status: &Status) -> DrainProgress {
     if let Verdict::Rejected { reason, .. } = &status.verdict {
-        return Look::Rejected(reason.clone());
+        return DrainProgress::Rejected(reason.clone());
     }
     let in_flight = status.in_flight();
     if !status.is_in_force_everywhere() {
-        return Look::Pending("not in force at every daemon yet".to_owned());
+        return DrainProgress::Pending("not in force at every daemon yet".to_owned());
     }
     if in_flight > 0 {
-        return Look::Pending(format!("{in_flight} calls in flight"));
+        return DrainProgress::Pending(format!("{in_flight} calls in flight"));
     }
-    Look::Empty
+    DrainProgress::Empty
 }
 
-/// The last state of each daemon that the drain covers.
+/// Last known state of each daemon that the drain covers.
 #[derive(Default)]
 struct CoveredDaemons {
     daemons: BTreeMap<SocketAddr, CoveredState>,
 }
 
 enum CoveredState {
-    /// The daemon has not heard of the drain.
-    Unaware,
-    /// The back end gets no new work and has this many calls left.
+    /// The drain is not in force at the daemon yet.
+    NotLeaving,
+    /// The backend gets no new work and has this many calls in flight or queued.
     Leaving(u64),
-    /// The daemon answered before and does no longer, so that it has ended.
-    Ended,
+    /// The daemon responded before and no longer does; it is taken to have terminated.
+    Terminated,
 }
 
 impl CoveredDaemons {
@@ -162,40 +166,40 @@
                     let state = if status.leaving {
                         CoveredState::Leaving(status.pending_calls())
                     } else {
-                        CoveredState::Unaware
+                        CoveredState::NotLeaving
                     };
                     self.daemons.insert(view.address, state);
                 }
                 Some(_) => {}
                 None => {
                     if let Some(state) = self.daemons.get_mut(&view.address) {
-                        *state = CoveredState::Ended;
+                        *state = CoveredState::Terminated;
                     }
                 }
             }
         }
     }
 
-    fn judge(&self) -> Look {
+    fn evaluate(&self) -> DrainProgress {
         if self.daemons.is_empty() {
-            return Look::Pending("no daemon given by --daemon is covered".to_owned());
+            return DrainProgress::Pending("no daemon of --daemon is covered".to_owned());
         }
-        let mut unaware = 0;
+        let mut not_leaving = 0;
         let mut calls = 0;
         for state in self.daemons.values() {
             match state {
-                CoveredState::Unaware => unaware += 1,
+                CoveredState::NotLeaving => not_leaving += 1,
                 CoveredState::Leaving(pending) => calls += pending,
-                CoveredState::Ended => {}
+                CoveredState::Terminated => {}
             }
         }
-        if unaware > 0 {
-            return Look::Pending(format!("{unaware} daemons are not leaving yet"));
+        if not_leaving > 0 {
+            return DrainProgress::Pending(format!("{not_leaving} daemons are not leaving yet"));
         }
         if calls > 0 {
-            return Look::Pending(format!("{calls} calls in flight"));
+            return DrainProgress::Pending(format!("{calls} calls in flight"));
         }
-        Look::Empty
+        DrainProgress::Empty
     }
 }
 
--- a/crates/cli/src/drain/mod.rs
+++ b/crates/cli/src/drain/mod.rs
@@ -1,4 +1,4 @@
-//! `drain` and `undrain`: write or withdraw the intention that back ends leave, and follow it.
+//! `drain` and `undrain`: write or delete a drain of backends, and follow its progress.
 
 mod estimate;
 mod follow;
@@ -23,7 +23,7 @@
 use crate::daemon_status::{DAEMON, DaemonStatus, daemon_addresses};
 use crate::drain::estimate::{Estimate, estimate};
 use crate::drain::follow::{FollowOptions, follow_until_empty};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::{Output, progress};
 use crate::plan::options::drain_target;
 use crate::status::daemons::read_daemons;
@@ -39,13 +39,13 @@
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "drain",
-    summary: "Make a zone, a service or one back end leave, and follow until it is empty",
+    summary: "Drain a zone, a service or one backend, and follow until it has no call in flight",
     details: "\
-Writes a drain resource and follows it: until the resource's status says that every daemon has it in
-force and no call is in flight, or until the daemons given by --daemon say so. From those daemons'
-calls and limits follows whether the rest can carry the load. A drain that leaves a service without
-a back end, or with more calls than its limits, is refused without --force. Following ends with exit code 1 when
-calls are left after the drain's limit.",
+Writes a drain resource and follows it until the resource's status shows that every daemon has it
+in force and no call is in flight, or until the daemons of --daemon report that. The calls and
+limits of those daemons also show whether the remaining backends can carry the load. A drain that
+leaves a service without a backend, or with more calls than its limits, is refused without --force.
+Following fails with exit code 1 when calls are in flight after the drain's limit.",
     positionals: Positionals {
         usage: "zone|service|backend NAME",
         minimum: 2,
@@ -60,11 +60,11 @@
         Flag::with_value(
             "limit-ms",
             "MS",
-            "Longest time for calls in flight (default: 30000)",
+            "Time allowed for calls in flight to complete (default: 30000)",
         ),
         Flag::switch(
             "force",
-            "Drain even if the rest can't carry the load",
+            "Drain even if the remaining backends can't carry the load",
         ),
         Flag::switch("dry-run", "Show the estimate and write nothing"),
         NO_WAIT,
@@ -76,31 +76,36 @@
     examples: &[
         Example {
             line: "wharfquay drain zone ikeja --platform 127.0.0.1:7000",
-            meaning: "Drain a zone and follow until it is empty.",
+            meaning: "Drain a zone and follow until it has no call in flight.",
         },
         Example {
             line: "wharfquay drain backend booking-1 --no-wait",
-            meaning: "Only write the intention.",
+            meaning: "Write the drain and do not follow it.",
         },
     ],
     run,
 };
 
-/// The status of every daemon that answers.
+/// Reads the status of every daemon and drops those that do not respond.
 async fn read_statuses(addresses: &[SocketAddr], timeout: Duration) -> Vec<DaemonStatus> {
     let views = read_daemons(addresses, timeout).await;
     views.into_iter().filter_map(|view| view.status).collect()
 }
 
-/// Reads the target from two words.
+/// Reads the drain target from the positional arguments.
 fn read_target(arguments: &Arguments) -> Result<DrainTarget, CliError> {
     let words = arguments.words();
     drain_target(&words[0], &words[1]).ok_or_else(|| {
-        CliError::invalid_value("target", &words.join(" "), "no target", TARGET_FORM)
+        CliError::invalid_value(
+            "target",
+            &words.join(" "),
+            "not a drain target",
+            TARGET_FORM,
+        )
     })
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let drain = read_drain(arguments)?;
     let daemons = daemon_addresses(arguments)?;
     let client = connect(arguments)?;
@@ -114,13 +119,13 @@
         output.text(&estimate.render())?;
         check_drain(arguments, snapshot, &drain, &estimate)?;
         if arguments.has("dry-run") {
-            return Ok(Finish::Done);
+            return Ok(ExitStatus::Success);
         }
         let version = write_drain(&client, &view, &drain, &author(arguments)).await?;
         let id = Resource::Drain(drain.clone()).id();
         output.line(&format!("{id}: written, version {}", version.number()))?;
         if arguments.has(NO_WAIT.name) {
-            return Ok(Finish::Done);
+            return Ok(ExitStatus::Success);
         }
         let options = FollowOptions {
             client: &client,
@@ -153,21 +158,22 @@
     texts.join("; ")
 }
 
-/// A resource name made of the target: what a name can't hold becomes a hyphen.
+/// Returns a resource name made from the target; characters that a name can't contain become
+/// hyphens.
 fn default_name(target: &DrainTarget) -> String {
     let (kind, name) = match target {
         DrainTarget::Backend(name) => ("backend", name),
         DrainTarget::Service(name) => ("service", name),
         DrainTarget::Zone(name) => ("zone", name),
     };
-    let safe = |character: char| match character.to_ascii_lowercase() {
+    let sanitized = |character: char| match character.to_ascii_lowercase() {
         allowed @ ('a'..='z' | '0'..='9' | '_' | '-') => allowed,
         _ => '-',
     };
-    format!("{kind}-{}", name.chars().map(safe).collect::<String>())
+    format!("{kind}-{}", name.chars().map(sanitized).collect::<String>())
 }
 
-/// Refuses a drain that must not be written.
+/// Refuses a drain that is invalid or, without `--force`, leaves a service without enough capacity.
 fn check_drain(
     arguments: &Arguments,
     base: &Snapshot,
@@ -204,6 +210,7 @@
     Ok(())
 }
 
+/// Writes the drain unless the platform already holds it unchanged; returns its version.
 async fn write_drain(
     client: &Client,
     view: &PlatformView,
--- a/crates/cli/src/drain/undrain.rs
+++ b/crates/cli/src/drain/undrain.rs
@@ -1,4 +1,4 @@
-//! `undrain`: withdraws the intention that back ends leave.
+//! `undrain`: deletes the drains of a target.
 
 use wharfquay_platform::wire::Object;
 use wharfquay_resources::kinds::{DrainTarget, Resource, ResourceId, ResourceKind};
@@ -9,19 +9,19 @@
 use crate::connection::{AUTHOR, PLATFORM, PlatformView, TIMEOUT, author, block_on, connect};
 use crate::daemon_status::{DAEMON, daemon_addresses};
 use crate::delete::delete;
-use crate::drain::follow::follow_until_back;
+use crate::drain::follow::follow_until_serving;
 use crate::drain::{NO_WAIT, read_target};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::Output;
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "undrain",
-    summary: "Withdraw every drain of a zone, a service or one back end",
+    summary: "Delete every drain of a zone, a service or one backend",
     details: "\
-Deletes the drain resources with exactly this target. A back end that leaves for another reason (the
-machine list, its own health endpoint, a stop of its daemon, or a drain of another target) goes on
-leaving. With --daemon the command follows until those daemons take part again, and ends with exit
-code 1 when one of them still leaves after 10 s.",
+Deletes the drain resources with exactly this target. A backend that is leaving for another reason
+(the machine list, its own health endpoint, a stop of its daemon, or a drain of another target)
+continues to leave. With --daemon the command follows until those daemons serve again, and fails
+with exit code 1 when one of them is still leaving after 10 s.",
     positionals: Positionals {
         usage: "zone|service|backend NAME",
         minimum: 2,
@@ -38,7 +38,7 @@
     examples: &[
         Example {
             line: "wharfquay undrain zone ikeja --platform 127.0.0.1:7000",
-            meaning: "Let a zone take part again.",
+            meaning: "Let a zone serve again.",
         },
         Example {
             line: "wharfquay undrain backend booking-1 --dry-run",
@@ -48,7 +48,7 @@
     run,
 };
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let target = read_target(arguments)?;
     let daemons = daemon_addresses(arguments)?;
     let client = connect(arguments)?;
@@ -57,7 +57,7 @@
         let drains = drains_of(&view, &target);
         if drains.is_empty() {
             return Err(CliError::NotFound(
-                arguments.words().join(" ") + ": a drain of it",
+                arguments.words().join(" ") + ": a drain with this target",
             ));
         }
         for (id, object) in drains {
@@ -70,13 +70,13 @@
         }
         let is_followed = !arguments.has("dry-run") && !arguments.has(NO_WAIT.name);
         if daemons.is_empty() || !is_followed {
-            return Ok(Finish::Done);
+            return Ok(ExitStatus::Success);
         }
-        follow_until_back(&target, &daemons, output).await
+        follow_until_serving(&target, &daemons, output).await
     })
 }
 
-/// The drains with this target, accepted or not.
+/// Returns the drains with this target, whether accepted or rejected.
 fn drains_of<'a>(
     view: &'a PlatformView,
     target: &DrainTarget,
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -9,50 +9,50 @@
 use wharfquay_emulator::scenario::ScenarioError;
 use wharfquay_platform::PlatformError;
 
-/// How a command ended.
+/// Result of a command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Finish {
-    /// The command did what it was asked.
-    Done,
-    /// The command did its work and found a problem.
+pub(crate) enum ExitStatus {
+    /// The command succeeded.
+    Success,
+    /// The command ran and found a problem.
     ProblemFound,
-    /// The command was used wrongly.
-    BadUse,
+    /// The arguments can't be used.
+    UsageError,
     /// The platform can't be reached.
     PlatformUnreachable,
 }
 
-impl Finish {
-    /// The program's exit code.
+impl ExitStatus {
+    /// Returns the program's exit code.
     pub(crate) fn exit_code(self) -> ExitCode {
         ExitCode::from(match self {
-            Self::Done => 0,
+            Self::Success => 0,
             Self::ProblemFound => 1,
-            Self::BadUse => 2,
+            Self::UsageError => 2,
             Self::PlatformUnreachable => 3,
         })
     }
 }
 
-/// Why a command could not do its work.
+/// An error that stops a command.
 #[derive(Debug, Display)]
 pub(crate) enum CliError {
     /// 7001: unknown command "{given}"{hint} (allowed: {allowed})
     UnknownCommand {
-        /// The command as given.
+        /// The command as specified.
         given: String,
-        /// A hint at a similar command.
+        /// Suggestion of a similar command; may be empty.
         hint: String,
-        /// The commands.
+        /// The known commands.
         allowed: String,
     },
     /// 7002: {command}: unknown flag "{given}"{hint} (allowed: {allowed})
     UnknownFlag {
         /// The command.
         command: &'static str,
-        /// The flag as given.
+        /// The flag as specified.
         given: String,
-        /// A hint at a similar flag.
+        /// Suggestion of a similar flag; may be empty.
         hint: String,
         /// The command's flags.
         allowed: String,
@@ -63,27 +63,27 @@
     ArgumentCount {
         /// The command.
         command: &'static str,
-        /// How many were given.
+        /// Number of arguments.
         given: usize,
-        /// The usage of the arguments.
+        /// The expected arguments, as in the usage line.
         allowed: &'static str,
     },
     /// 7005: {name}: "{given}" is not valid: {problem} (allowed: {allowed})
     InvalidValue {
-        /// The flag or argument.
+        /// The flag, argument or header.
         name: String,
-        /// The value as given.
+        /// The value as specified.
         given: String,
-        /// What is wrong with it.
+        /// Why the value is not valid.
         problem: String,
-        /// What is allowed.
+        /// The allowed values.
         allowed: String,
     },
     /// 7006: --{flag} is required (allowed: {allowed})
     MissingFlag {
-        /// The flag.
+        /// The flag, without the leading dashes.
         flag: &'static str,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
     },
     /// 7007: the output can't be written: {0}
@@ -102,36 +102,36 @@
         path: String,
         /// Line of the file, from 1.
         line: usize,
-        /// What is wrong.
+        /// Why the line can't be parsed.
         problem: String,
     },
     /// 7012: {path}: can't be read: {source} (allowed: a readable file)
     Unreadable {
         /// The file.
         path: String,
-        /// What the operating system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// 7013: the configuration has errors (allowed: files that `wharfquay check` passes)
-    BrokenConfiguration,
+    InvalidConfiguration,
     /// 7014: scenario: {0}
     Scenario(ScenarioError),
     /// 7015: the demonstration can't run: {0}
     Demonstration(DeploymentError),
     /// 7016: the drain is rejected: {0}
     DrainRejected(String),
-    /// 7017: not known to be empty after {limit:?}: {state}
+    /// 7017: the drain is not confirmed empty after {limit:?}: {state}
     NotEmpty {
         /// How long the drain was followed.
         limit: Duration,
-        /// How far it was.
+        /// Last known progress of the drain.
         state: String,
     },
     /// 7018: {0}
     InvalidResource(String),
-    /// 7019: no back end of {0} would be left (allowed: with --force)
+    /// 7019: no backend of {0} would be left (allowed: with --force)
     LeavesNoBackend(String),
-    /// 7022: the rest of {0} can't carry its calls (allowed: with --force)
+    /// 7022: the remaining backends of {0} can't carry its calls (allowed: with --force)
     LeavesOverload(String),
     /// 7023: {0} is not deleted, since a new group would reuse its epochs (allowed: with --force)
     ReusesEpochs(String),
@@ -141,13 +141,13 @@
     StillLeaving {
         /// How long the daemons were followed.
         limit: Duration,
-        /// Their ids.
+        /// Ids of the daemons that are still leaving.
         daemons: String,
     },
 }
 
 impl CliError {
-    /// The error about the value of a flag or argument.
+    /// Creates the error for an invalid value of a flag, argument or header.
     pub(crate) fn invalid_value(name: &str, given: &str, problem: &str, allowed: &str) -> Self {
         Self::InvalidValue {
             name: name.to_owned(),
@@ -157,18 +157,18 @@
         }
     }
 
-    /// Whether the reader of the output went away, as `head` does, which is no failure.
+    /// Returns true if the reader of the output closed it, as `head` does, which is not a failure.
     pub(crate) fn is_closed_output(&self) -> bool {
         matches!(self, Self::Output(error) if error.kind() == io::ErrorKind::BrokenPipe)
     }
 
-    /// The program's exit code.
+    /// Returns the program's exit code.
     pub(crate) fn exit_code(&self) -> ExitCode {
-        let finish = match self {
+        let status = match self {
             Self::Output(_)
             | Self::Runtime(_)
             | Self::NotFound(_)
-            | Self::BrokenConfiguration
+            | Self::InvalidConfiguration
             | Self::Demonstration(_)
             | Self::MalformedRecord { .. }
             | Self::DrainRejected(_)
@@ -178,19 +178,19 @@
             | Self::ReusesEpochs(_)
             | Self::InvalidDrain(_)
             | Self::StillLeaving { .. }
-            | Self::StillReferenced(_) => Finish::ProblemFound,
-            Self::Platform(error) => finish_of(error),
-            _ => Finish::BadUse,
+            | Self::StillReferenced(_) => ExitStatus::ProblemFound,
+            Self::Platform(error) => exit_status_of(error),
+            _ => ExitStatus::UsageError,
         };
-        finish.exit_code()
+        status.exit_code()
     }
 }
 
-fn finish_of(error: &PlatformError) -> Finish {
+fn exit_status_of(error: &PlatformError) -> ExitStatus {
     match error {
-        PlatformError::Rejected { .. } | PlatformError::Conflict(_) => Finish::ProblemFound,
-        PlatformError::InvalidName { .. } | PlatformError::NoAddress => Finish::BadUse,
-        _ => Finish::PlatformUnreachable,
+        PlatformError::Rejected { .. } | PlatformError::Conflict(_) => ExitStatus::ProblemFound,
+        PlatformError::InvalidName { .. } | PlatformError::NoAddress => ExitStatus::UsageError,
+        _ => ExitStatus::PlatformUnreachable,
     }
 }
 
--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -5,18 +5,17 @@
 
 use wharfquay_emulator::experiment::control_command::{self, ControlExperiment};
 
-/// Exit status for arguments that can't be used.
-const BAD_USE: u8 = 2;
+/// Exit code for arguments that can't be used.
+const USAGE_ERROR: u8 = 2;
 
-/// The usage text.
 const USAGE: &str = "\
 usage: wharfquay experiment NAME [options]
 
   surge        a surge of demand: goodput and recovery of each policy
   propagation  time until a configuration change is in force, control traffic
-  drain        time until every daemon knows that back ends leave
-  churn        restarts, failures, loss of a rack and a zone, parted regions
-  start        a start of all, and its calls to the platform's directory
+  drain        time until every daemon knows that backends are leaving
+  churn        restarts, failures, loss of a rack and a zone, partitioned regions
+  start        a simultaneous start of the whole deployment, and its calls to the platform's directory
 ";
 
 /// Runs the experiment that the first argument names.
@@ -38,7 +37,7 @@
                 "wharfquay experiment: unknown experiment \"{}\" (allowed: surge, propagation, drain, churn, start)",
                 name.display()
             );
-            ExitCode::from(BAD_USE)
+            ExitCode::from(USAGE_ERROR)
         }
     }
 }
--- a/crates/cli/src/explain/candidates.rs
+++ b/crates/cli/src/explain/candidates.rs
@@ -1,25 +1,25 @@
-//! The back ends of a service and why each may or may not be chosen.
+//! Backends of a service, and why each may or may not be chosen.
 
 use serde::Serialize;
 use wharfquay_platform::wire::{Machine, MachineState};
 use wharfquay_resources::snapshot::Snapshot;
 
-/// A back end of the service.
+/// A backend of the service.
 #[derive(Debug, Serialize)]
 pub(super) struct Candidate {
-    /// Id of its daemon.
+    /// Id of the backend's daemon.
     pub(super) id: String,
-    /// Its zone.
+    /// Zone of the backend.
     pub(super) zone: String,
-    /// Where its daemon takes calls.
+    /// Address at which the backend's daemon accepts calls.
     pub(super) address: String,
-    /// Whether new requests may be sent to it.
+    /// True if new requests may be sent to it.
     pub(super) usable: bool,
-    /// Why.
+    /// Why it is usable or not.
     pub(super) reason: String,
 }
 
-/// The service's back ends in the order of preference: usable ones of the edge's zone first.
+/// Returns the service's backends in order of preference: usable ones of the edge's zone first.
 pub(super) fn list_candidates(
     snapshot: &Snapshot,
     service: &str,
@@ -29,7 +29,7 @@
     let machines = machines.iter();
     let mut candidates: Vec<Candidate> = machines
         .filter(|machine| machine.service.as_deref() == Some(service))
-        .map(|machine| weigh(snapshot, service, zone, machine))
+        .map(|machine| evaluate_candidate(snapshot, service, zone, machine))
         .collect();
     candidates.sort_by_key(|candidate| {
         let is_remote = Some(candidate.zone.as_str()) != zone;
@@ -38,7 +38,12 @@
     candidates
 }
 
-fn weigh(snapshot: &Snapshot, service: &str, zone: Option<&str>, machine: &Machine) -> Candidate {
+fn evaluate_candidate(
+    snapshot: &Snapshot,
+    service: &str,
+    zone: Option<&str>,
+    machine: &Machine,
+) -> Candidate {
     let leaving = leaving_reason(snapshot, service, machine);
     let usable = leaving.is_none();
     let reason = leaving.unwrap_or_else(|| preference(zone, &machine.zone));
@@ -51,6 +56,7 @@
     }
 }
 
+/// Returns why the backend is leaving; `None` when it is not.
 fn leaving_reason(snapshot: &Snapshot, service: &str, machine: &Machine) -> Option<String> {
     if machine.state == MachineState::Leaving {
         return Some("leaving by the machine list".to_owned());
--- a/crates/cli/src/explain/mod.rs
+++ b/crates/cli/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! `explain`: what the configuration makes of one request, and which back ends could serve it.
+//! `explain`: shows how the configuration handles one request, and which backends could serve it.
 
 mod candidates;
 mod request;
@@ -16,8 +16,10 @@
 use crate::arguments::Arguments;
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
 use crate::configuration::{FILE, read_configuration};
-use crate::connection::{PLATFORM, TIMEOUT, block_on, connect, names_platform, with_progress};
-use crate::error::{CliError, Finish};
+use crate::connection::{
+    PLATFORM, TIMEOUT, block_on, connect, platform_is_specified, with_progress,
+};
+use crate::error::{CliError, ExitStatus};
 use crate::explain::candidates::{Candidate, list_candidates};
 use crate::explain::request::read_request;
 use crate::output::Output;
@@ -28,11 +30,11 @@
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "explain",
-    summary: "Show what the configuration makes of a request, and why",
+    summary: "Show how the configuration handles a request, and why",
     details: "\
-The request is given as its request line and headers. Shown are the request kinds that were
-weighed, the priority, the deadline, the retry allowance, the decision at the edge, and, with
---platform, each back end of the service and why it may or may not be chosen.",
+The request is specified by its request line and headers. The output has the request kinds that
+were considered, the priority, the deadline, the retry allowance, the decision at the edge, and,
+with --platform, each backend of the service and why it may or may not be chosen.",
     positionals: Positionals {
         usage: "'METHOD PATH'",
         minimum: 1,
@@ -44,11 +46,11 @@
             "'NAME: VALUE'",
             "Header of the request; may be repeated",
         ),
-        Flag::with_value("zone", "ZONE", "Zone of the edge; its back ends come first"),
+        Flag::with_value("zone", "ZONE", "Zone of the edge; its backends come first"),
         Flag::with_value(
             "level",
             "N",
-            "Admission level to decide under (default: 32768, open)",
+            "Admission level at the edge (default: 32768, open)",
         ),
         Flag::with_value(
             "rank",
@@ -63,19 +65,19 @@
     examples: &[
         Example {
             line: "wharfquay explain 'GET /slots' --header 'host: slot' --file scenarios/lagos.resources.toml",
-            meaning: "Explain a request under a file.",
+            meaning: "Explain a request under the configuration in a file.",
         },
         Example {
             line: "wharfquay explain 'POST /appointments' --header 'wharfquay-service: booking' --zone ikeja --platform 127.0.0.1:7000",
-            meaning: "Explain a request under what is in force, with the candidate back ends.",
+            meaning: "Explain a request under the configuration in force, with the candidate backends.",
         },
     ],
     run,
 };
 
-/// A request kind that was weighed.
+/// A request kind of the service, and whether it matches the request.
 #[derive(Serialize)]
-struct WeighedKind {
+struct KindMatch {
     name: String,
     verdict: String,
 }
@@ -84,7 +86,7 @@
 #[derive(Serialize)]
 struct Explanation {
     request: RequestFacts,
-    kinds: Vec<WeighedKind>,
+    kinds: Vec<KindMatch>,
     decision: Decision,
     retry_budget: Option<String>,
     chain: Option<Vec<String>>,
@@ -92,7 +94,7 @@
     candidates: Option<Vec<Candidate>>,
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let level: Option<u16> = arguments.value("level", LEVEL_FORM)?;
     let rank: Option<u16> = arguments.value("rank", RANK_FORM)?;
     let rank = Rank::from_number(rank.unwrap_or_default());
@@ -110,8 +112,8 @@
         list_candidates(&snapshot, &request.service, zone.as_deref(), &machines)
     });
     let explanation = Explanation {
-        kinds: weigh_kinds(&snapshot, &request),
-        retry_budget: budget_name(&snapshot, &decision),
+        kinds: match_kinds(&snapshot, &request),
+        retry_budget: retry_budget_name(&snapshot, &decision),
         chain: heaviest_chain(&snapshot, &request.service, |_| 1),
         candidates,
         decision,
@@ -124,14 +126,14 @@
     }
     let is_served = explanation.decision.refused.is_none();
     Ok(if is_served {
-        Finish::Done
+        ExitStatus::Success
     } else {
-        Finish::ProblemFound
+        ExitStatus::ProblemFound
     })
 }
 
 fn read_machines(arguments: &Arguments) -> Result<Option<Vec<Machine>>, CliError> {
-    if !names_platform(arguments) {
+    if !platform_is_specified(arguments) {
         return Ok(None);
     }
     let client = connect(arguments)?;
@@ -142,20 +144,24 @@
     Ok(Some(list.machines))
 }
 
-/// Every request kind of the service and why it matches or not.
-fn weigh_kinds(snapshot: &Snapshot, request: &RequestFacts) -> Vec<WeighedKind> {
+/// Returns every request kind of the service and why it matches or not.
+fn match_kinds(snapshot: &Snapshot, request: &RequestFacts) -> Vec<KindMatch> {
     let chosen = snapshot.match_request(&request.service, &request.method, &request.path);
     let kinds = snapshot.request_kinds.values();
     kinds
         .filter(|kind| kind.service == request.service)
-        .map(|kind| WeighedKind {
+        .map(|kind| KindMatch {
             name: kind.name.clone(),
-            verdict: weigh(kind, chosen, request),
+            verdict: describe_match(kind, chosen, request),
         })
         .collect()
 }
 
-fn weigh(kind: &RequestKind, chosen: Option<&RequestKind>, request: &RequestFacts) -> String {
+fn describe_match(
+    kind: &RequestKind,
+    chosen: Option<&RequestKind>,
+    request: &RequestFacts,
+) -> String {
     let prefix = &kind.path_prefix;
     if let Some(method) = kind
         .method
@@ -179,7 +185,8 @@
     }
 }
 
-fn budget_name(snapshot: &Snapshot, decision: &Decision) -> Option<String> {
+/// Returns the name of the retry budget that applies to the request.
+fn retry_budget_name(snapshot: &Snapshot, decision: &Decision) -> Option<String> {
     let treatment = decision.treatment.as_ref()?;
     let kind = snapshot.request_kinds.get(&treatment.request_kind)?;
     let budget = snapshot.retry_budget_for(kind)?;
@@ -192,7 +199,7 @@
         text.push_str(&format!("request kind {}: {}\n", kind.name, kind.verdict));
     }
     if explanation.kinds.is_empty() {
-        text.push_str("request kind: none is addressed to this service\n");
+        text.push_str("request kind: this service has none\n");
     }
     text.push_str(&render_treatment(explanation));
     let refused = explanation.decision.refused;
@@ -203,7 +210,7 @@
     text.push_str(&format!("decision: {decision}\n"));
     match &explanation.candidates {
         Some(candidates) => text.push_str(&render_candidates(candidates)),
-        None => text.push_str("back ends: not known without --platform\n"),
+        None => text.push_str("backends: not known without --platform\n"),
     }
     text
 }
@@ -233,11 +240,11 @@
 
 fn render_candidates(candidates: &[Candidate]) -> String {
     if candidates.is_empty() {
-        return "back ends: the machine list has none of this service\n".to_owned();
+        return "backends: the machine list has none of this service\n".to_owned();
     }
-    let mut table = TextTable::new(&["BACK END", "ZONE", "ADDRESS", "USABLE", "WHY"]);
+    let mut table = TextTable::new(&["BACKEND", "ZONE", "ADDRESS", "USABLE", "WHY"]);
     for candidate in candidates {
-        table.row([
+        table.add_row([
             candidate.id.clone(),
             candidate.zone.clone(),
             candidate.address.clone(),
--- a/crates/cli/src/explain/request.rs
+++ b/crates/cli/src/explain/request.rs
@@ -1,4 +1,4 @@
-//! Reading of a request line and headers.
+//! Parses a request line and headers.
 
 use uuid::Uuid;
 use wharfquay_core::priority::Rank;
@@ -32,7 +32,7 @@
         .iter()
         .map(|header| read_header(header))
         .collect::<Result<_, _>>()?;
-    let deadline = find(&headers, headers::DEADLINE.as_str());
+    let deadline = find_header(&headers, headers::DEADLINE.as_str());
     let deadline_ms = deadline
         .map(|value| parse_value(headers::DEADLINE.as_str(), value, DEADLINE_FORM))
         .transpose()?;
@@ -41,7 +41,7 @@
         method,
         path,
         deadline_ms,
-        has_idempotency_key: has_key(&headers)?,
+        has_idempotency_key: has_valid_key(&headers)?,
         rank,
     })
 }
@@ -52,7 +52,7 @@
         return Err(CliError::invalid_value(
             "request line",
             line,
-            "no method and path",
+            "the method or the path is missing",
             REQUEST_LINE_FORM,
         ));
     };
@@ -81,16 +81,16 @@
     })
 }
 
-fn find<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|header| header.name == name)?;
     Some(&found.value)
 }
 
-/// The service header names the service, or else the host does.
+/// Returns the service that the service header names or, without one, the host header.
 fn service_of(headers: &[Header]) -> Result<String, CliError> {
-    let named = find(headers, headers::SERVICE.as_str());
+    let named = find_header(headers, headers::SERVICE.as_str());
     let host = || {
-        let host = find(headers, HOST)?;
+        let host = find_header(headers, HOST)?;
         Some(host.rsplit_once(':').map_or(host, |(name, _)| name))
     };
     let service = named.or_else(host).filter(|name| !name.is_empty());
@@ -101,10 +101,11 @@
     Ok(service.to_owned())
 }
 
-fn has_key(headers: &[Header]) -> Result<bool, CliError> {
+/// Returns true if the request has a valid idempotency key.
+fn has_valid_key(headers: &[Header]) -> Result<bool, CliError> {
     let header = headers::IDEMPOTENCY_KEY;
     let name = header.as_str();
-    let Some(value) = find(headers, name) else {
+    let Some(value) = find_header(headers, name) else {
         return Ok(false);
     };
     let key: Uuid = parse_value(name, value, KEY_FORM)?;
@@ -114,7 +115,7 @@
     Err(CliError::invalid_value(
         name,
         value,
-        "another UUID version",
+        "wrong UUID version",
         KEY_FORM,
     ))
 }
--- a/crates/cli/src/get.rs
+++ b/crates/cli/src/get.rs
@@ -7,7 +7,7 @@
 use crate::arguments::Arguments;
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
 use crate::connection::{PLATFORM, PlatformView, TIMEOUT, block_on, connect, parse_kind};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::Output;
 use crate::table::TextTable;
 
@@ -15,7 +15,7 @@
     name: "get",
     summary: "Show resources that the platform holds",
     details: "\
-Without a name the resources are listed. With one, or with --toml, they are printed as a resource
+Without a name the resources are listed. With a name, or with --toml, they are printed as a resource
 file that `check` and `apply` read.",
     positionals: Positionals {
         usage: "[KIND [NAME]]",
@@ -39,20 +39,20 @@
         },
         Example {
             line: "wharfquay get --toml > all.resources.toml",
-            meaning: "Save everything; the platform stands in $WHARFQUAY_PLATFORM.",
+            meaning: "Save everything; the platform's address is in $WHARFQUAY_PLATFORM.",
         },
     ],
     run,
 };
 
-/// Which resources a command is about.
+/// Resources that a command applies to.
 pub(crate) struct Selection {
     kind: Option<ResourceKind>,
     name: Option<String>,
 }
 
 impl Selection {
-    /// Reads a kind and a name, both of which may be absent.
+    /// Parses a kind and a name, both of which may be absent.
     pub(crate) fn parse(arguments: &Arguments) -> Result<Self, CliError> {
         let mut words = arguments.words().into_iter();
         let kind = words.next().map(|kind| parse_kind(&kind)).transpose()?;
@@ -62,21 +62,21 @@
         })
     }
 
-    /// Whether the selection covers this resource.
+    /// Returns true if the selection covers this resource.
     pub(crate) fn covers(&self, id: &ResourceId) -> bool {
         let covers_kind = self.kind.is_none_or(|kind| kind == id.kind);
         let covers_name = self.name.as_ref().is_none_or(|name| *name == id.name);
         covers_kind && covers_name
     }
 
-    /// The one resource that is named, if one is.
+    /// Returns the one resource that is named; `None` when the selection has no name.
     pub(crate) fn single(&self) -> Option<ResourceId> {
         let name = self.name.as_ref()?;
         Some(ResourceId::new(self.kind?, name))
     }
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let selection = Selection::parse(arguments)?;
     let client = connect(arguments)?;
     let view = block_on(PlatformView::read(&client))?;
@@ -98,13 +98,13 @@
     } else {
         output.text(&list(&selected))?;
     }
-    Ok(Finish::Done)
+    Ok(ExitStatus::Success)
 }
 
 fn list(selected: &[(&ResourceId, &Object)]) -> String {
     let mut table = TextTable::new(&["KIND", "NAME", "VERSION", "AUTHOR"]);
     for (id, object) in selected {
-        table.row([
+        table.add_row([
             id.kind.to_string(),
             id.name.clone(),
             object.version.number().to_string(),
@@ -114,7 +114,7 @@
     table.render()
 }
 
-/// One resource as a table of a resource file.
+/// Returns one resource as a table of a resource file.
 fn to_toml(id: &ResourceId, object: &Object) -> String {
     let mut text = format!(
         "# version {}, by {:?}\n[[{}]]\n",
@@ -130,8 +130,8 @@
     text
 }
 
-/// A JSON value in TOML's notation. Text in quotes is written alike in both, but for what the
-/// checks of names refuse.
+/// Returns a JSON value in TOML syntax. Strings are the same in both, except for characters that
+/// the validation of names rejects.
 fn toml_value(value: &Value) -> String {
     match value {
         Value::Object(table) => {
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -1,4 +1,4 @@
-//! Help texts, made from the specifications of the commands.
+//! Help texts, generated from the specifications of the commands.
 
 use std::fmt::Write;
 
@@ -6,16 +6,16 @@
 
 const EXIT_CODES: &str = "\
 Exit codes:
-  0  done
-  1  found a problem
-  2  bad use
+  0  success
+  1  problem found
+  2  usage error
   3  platform unreachable
 ";
 
-/// The overview of all commands.
+/// Returns the overview of all commands.
 pub(crate) fn overview() -> String {
     let mut text = String::from(
-        "wharfquay: toolbox of the overload control layer\n\nUsage: wharfquay COMMAND [ARGUMENTS]\n\nCommands:\n",
+        "wharfquay: command line of the overload control layer\n\nUsage: wharfquay COMMAND [ARGUMENTS]\n\nCommands:\n",
     );
     for command in COMMANDS {
         // Writing to a String can't fail.
@@ -26,7 +26,7 @@
     text
 }
 
-/// The help text of one command.
+/// Returns the help text of one command.
 pub(crate) fn command(command: &CommandSpec) -> String {
     let mut text = format!("{}\n\nUsage: {}\n", command.summary, usage(command));
     if !command.details.is_empty() {
--- a/crates/cli/src/input.rs
+++ b/crates/cli/src/input.rs
@@ -1,20 +1,20 @@
-//! Reading of resource files.
+//! Reads resource files.
 
 use std::path::{Path, PathBuf};
 
 use wharfquay_resources::parse::SourceFile;
 use wharfquay_resources::problem::{Finding, Problem, ProblemCode};
 
-/// Files that could be read, and a problem for each that could not.
+/// Files that were read, and a problem for each file that could not be read.
 #[derive(Debug, Default)]
 pub(crate) struct ReadFiles {
-    /// The files, in the order given.
+    /// Files that were read, in the order of the arguments.
     pub(crate) files: Vec<SourceFile>,
-    /// What could not be read.
+    /// One problem for each file that could not be read.
     pub(crate) problems: Vec<Problem>,
 }
 
-/// Reads every file, and goes on after one that can't be read.
+/// Reads every file; a file that can't be read does not stop the others.
 pub(crate) fn read_files(paths: &[PathBuf]) -> ReadFiles {
     let mut read = ReadFiles::default();
     for path in paths {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,7 +1,5 @@
-//! The commands of the operators' toolbox.
-//!
-//! Each command has a module with its specification (flags, examples) and its function. The
-//! specifications drive parsing, help and shell completion.
+//! Command line of the operators. Each command has a module with its specification (flags,
+//! examples) and its function. The specifications drive parsing, help and shell completion.
 
 mod apply;
 mod arguments;
@@ -35,10 +33,11 @@
 
 use crate::arguments::{Arguments, Parsed};
 use crate::commands::{COMMANDS, CommandSpec, find_command};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::{Output, progress};
 
-/// Runs the program with these arguments, the program's name left out.
+/// Runs the program with these arguments, which exclude the program's name, and returns its exit
+/// code.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments: Vec<OsString> = arguments.into_iter().collect();
     if let [first, rest @ ..] = arguments.as_slice()
@@ -49,31 +48,31 @@
     let mut output = Output::default();
     let result = dispatch(arguments, &mut output);
     match result {
-        Ok(finish) => finish.exit_code(),
+        Ok(status) => status.exit_code(),
         Err(error) => report(&error),
     }
 }
 
 fn report(error: &CliError) -> ExitCode {
     if error.is_closed_output() {
-        return Finish::Done.exit_code();
+        return ExitStatus::Success.exit_code();
     }
     progress(&error.to_string());
     error.exit_code()
 }
 
-fn dispatch(arguments: Vec<OsString>, output: &mut Output) -> Result<Finish, CliError> {
+fn dispatch(arguments: Vec<OsString>, output: &mut Output) -> Result<ExitStatus, CliError> {
     let mut rest = arguments.into_iter();
     let Some(first) = rest.next() else {
         output.text(&help::overview())?;
-        return Ok(Finish::BadUse);
+        return Ok(ExitStatus::UsageError);
     };
     let first = first.to_string_lossy().into_owned();
     match first.as_str() {
         "--help" | "-h" | "help" => show_help(rest.next(), output),
         "--version" | "-V" => {
             output.line(&format!("wharfquay {}", env!("CARGO_PKG_VERSION")))?;
-            Ok(Finish::Done)
+            Ok(ExitStatus::Success)
         }
         name => {
             let command = find_command(name)?;
@@ -82,30 +81,30 @@
     }
 }
 
-fn show_help(name: Option<OsString>, output: &mut Output) -> Result<Finish, CliError> {
+fn show_help(name: Option<OsString>, output: &mut Output) -> Result<ExitStatus, CliError> {
     let text = match name {
         Some(name) => help::command(find_command(&name.to_string_lossy())?),
         None => help::overview(),
     };
     output.text(&text)?;
-    Ok(Finish::Done)
+    Ok(ExitStatus::Success)
 }
 
 fn run_command(
     command: &'static CommandSpec,
     rest: Vec<OsString>,
     output: &mut Output,
-) -> Result<Finish, CliError> {
+) -> Result<ExitStatus, CliError> {
     match Arguments::parse(command, rest)? {
         Parsed::Help => {
             output.text(&help::command(command))?;
-            Ok(Finish::Done)
+            Ok(ExitStatus::Success)
         }
         Parsed::Run(arguments) => (command.run)(&arguments, output),
     }
 }
 
-/// The names of all commands.
+/// Returns the names of all commands.
 fn command_names() -> impl Iterator<Item = &'static str> {
     COMMANDS.iter().map(|command| command.name)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! wharfquay: the toolbox of operators.
+//! Entry point of the `wharfquay` command line.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Output of data to the standard output, and of progress to the standard error.
+//! Writes data to the standard output, and progress and errors to the standard error.
 
 use std::io::{self, Write};
 
@@ -8,7 +8,7 @@
 
 use crate::error::CliError;
 
-/// The program's standard output.
+/// Standard output of the program.
 #[derive(Debug)]
 pub(crate) struct Output {
     stdout: io::Stdout,
@@ -23,7 +23,7 @@
 }
 
 impl Output {
-    /// Writes text that ends its own lines.
+    /// Writes text that has its own line ends.
     pub(crate) fn text(&mut self, text: &str) -> Result<(), CliError> {
         let mut stdout = self.stdout.lock();
         stdout
@@ -44,20 +44,20 @@
     }
 }
 
-/// Writes one line to the standard error. A line that can't be written is lost, since there is no
-/// other place to report that.
-pub(crate) fn notice(line: &str) {
+/// Writes one line to the standard error. A failed write is ignored, since there is no other place
+/// to report it.
+pub(crate) fn error_line(line: &str) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
-/// Reports progress of something that takes long, on the standard error.
+/// Reports progress of a long operation, or an error, on the standard error.
 pub(crate) fn progress(message: &str) {
-    notice(&format!("wharfquay: {message}"));
+    error_line(&format!("wharfquay: {message}"));
 }
 
 /// Writes one line for each problem to the standard error.
 pub(crate) fn print_error_lines(problems: &[Problem]) {
     for problem in problems {
-        notice(&problem.to_string());
+        error_line(&problem.to_string());
     }
 }
--- a/crates/cli/src/plan/mod.rs
+++ b/crates/cli/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! `plan`: what a drain, the loss of a zone or more demand does to each service.
+//! `plan`: estimates what a drain, the loss of a zone or higher demand does to each service.
 
 mod load;
 pub(crate) mod options;
@@ -14,28 +14,28 @@
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
 use crate::configuration::FILE;
 use crate::connection::{PLATFORM, TIMEOUT};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::Output;
 use crate::plan::load::slots_per_request;
 use crate::plan::options::{PlanOptions, read_options};
 use crate::plan::sharing::{KindDemand, share_slots};
-use crate::plan::topology::{PlannedBackend, ServiceCapacity, capacities, without};
+use crate::plan::topology::{PlannedBackend, ServiceCapacity, capacities, without_targets};
 use crate::table::TextTable;
 
-/// Utilisation from which on a service has little headroom.
+/// Utilisation above which a service has little headroom.
 const TIGHT_UTILISATION: f64 = 0.8;
-/// Shares above this count as everything.
-const WHOLE_SHARE: f64 = 0.999_999;
+/// Shares from this value up count as all requests; allows for rounding errors.
+const FULLY_ADMITTED_SHARE: f64 = 0.999_999;
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "plan",
-    summary: "Estimate what a drain, a lost zone or more demand does to each service",
+    summary: "Estimate what a drain, a lost zone or higher demand does to each service",
     details: "\
-Load and call chains come from a scenario; --rate puts a measured rate in place of a given one.
-The back ends come from the scenario, or with --platform from the machine list. Utilisation is the
-mean number of busy slots over the number of slots, without waits in queues. Where it goes over 1,
-the table of request kinds shows which priorities would be refused, and how much of them. The exit
-code is 1 when some request would be refused.",
+Load and call chains come from a scenario; --rate replaces the rate of a request kind, for
+example by a measured one. The backends come from the scenario, or with --platform from the machine
+list. Utilisation is the mean number of busy slots over the number of slots, without waits in
+queues. Where it exceeds 1, the table of request kinds shows which priorities would be refused, and
+how much of them. The exit code is 1 when some request would be refused.",
     positionals: Positionals {
         usage: "SCENARIO",
         minimum: 1,
@@ -50,7 +50,7 @@
         Flag::with_value(
             "lose-zone",
             "ZONE",
-            "Lose a zone's back ends; may be repeated",
+            "Lose a zone's backends; may be repeated",
         ),
         Flag::with_value(
             "factor",
@@ -74,11 +74,11 @@
         },
         Example {
             line: "wharfquay plan scenarios/gujarat.toml --drain backend=stock-1 --rate look_up_job=1500",
-            meaning: "Drain one back end at a measured rate.",
+            meaning: "Drain one backend at a measured rate.",
         },
         Example {
             line: "wharfquay plan lagos --file drains.toml --platform 127.0.0.1:7000 --json",
-            meaning: "Judge the drains of a file against the live machines.",
+            meaning: "Plan the drains of a file with the live machines.",
         },
     ],
     run,
@@ -90,19 +90,25 @@
     service: String,
     backends_before: u32,
     backends_after: u32,
-    /// Busy slots over slots; absent when no back end is there.
+    /// Busy slots over available slots; absent when the service has no backend.
     utilisation_before: Option<f64>,
     utilisation_after: Option<f64>,
     state: ServiceState,
 }
 
+/// Load of a service after the change.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum ServiceState {
+    /// No request uses the service.
     Idle,
+    /// Utilisation is at most `TIGHT_UTILISATION`.
     Fits,
+    /// Utilisation is at most 1 but above `TIGHT_UTILISATION`.
     Tight,
+    /// Utilisation exceeds 1.
     Overloaded,
+    /// Requests need the service and no backend remains.
     NoBackend,
 }
 
@@ -113,17 +119,17 @@
             Self::Fits => "fits",
             Self::Tight => "tight",
             Self::Overloaded => "OVERLOADED",
-            Self::NoBackend => "NO BACK END",
+            Self::NoBackend => "NO BACKEND",
         }
     }
 }
 
-/// A request kind after the change.
+/// Admission of a request kind after the change.
 #[derive(Serialize)]
 struct KindPlan {
     request_kind: String,
     priority: u8,
-    /// Requests per second.
+    /// Demand after the change, in requests per second.
     rate: f64,
     /// Share of the requests that is admitted, 0 to 1.
     admitted: f64,
@@ -136,7 +142,7 @@
     request_kinds: Vec<KindPlan>,
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let options = read_options(arguments)?;
     let plan = make_plan(&options);
     if arguments.has("json") {
@@ -145,11 +151,11 @@
         output.text(&render(&plan))?;
     }
     let mut kinds = plan.request_kinds.iter();
-    let is_refused = kinds.any(|kind| kind.admitted < WHOLE_SHARE && kind.rate > 0.0);
+    let is_refused = kinds.any(|kind| kind.admitted < FULLY_ADMITTED_SHARE && kind.rate > 0.0);
     Ok(if is_refused {
-        Finish::ProblemFound
+        ExitStatus::ProblemFound
     } else {
-        Finish::Done
+        ExitStatus::Success
     })
 }
 
@@ -157,13 +163,14 @@
     let scenario = &options.scenario;
     let before = demands(scenario, |request| options.rate_before(request));
     let after = demands(scenario, |request| options.rate_after(request));
-    let left = without(&options.backends, &options.leaving);
+    let remaining = without_targets(&options.backends, &options.leaving);
     Plan {
-        services: plan_services(scenario, &options.backends, &left, &before, &after),
-        request_kinds: plan_kinds(&after, &left),
+        services: plan_services(scenario, &options.backends, &remaining, &before, &after),
+        request_kinds: plan_kinds(&after, &remaining),
     }
 }
 
+/// Returns the demand of each request kind at the rate that `rate_of` returns for it.
 fn demands(scenario: &Scenario, rate_of: impl Fn(&RequestModel) -> f64) -> Vec<KindDemand> {
     let requests = scenario.requests.iter();
     requests
@@ -231,8 +238,8 @@
     }
 }
 
-fn plan_kinds(demands: &[KindDemand], left: &[PlannedBackend]) -> Vec<KindPlan> {
-    let capacity: BTreeMap<String, f64> = capacities(left)
+fn plan_kinds(demands: &[KindDemand], remaining: &[PlannedBackend]) -> Vec<KindPlan> {
+    let capacity: BTreeMap<String, f64> = capacities(remaining)
         .into_iter()
         .map(|(service, capacity)| (service, f64::from(capacity.slots)))
         .collect();
@@ -251,22 +258,22 @@
 }
 
 fn render(plan: &Plan) -> String {
-    let mut services = TextTable::new(&["SERVICE", "BACK ENDS", "UTILISATION", "STATE"]);
+    let mut services = TextTable::new(&["SERVICE", "BACKENDS", "UTILISATION", "STATE"]);
     for service in &plan.services {
-        services.row([
+        services.add_row([
             service.service.clone(),
             format!("{} -> {}", service.backends_before, service.backends_after),
             format!(
                 "{} -> {}",
-                shown(service.utilisation_before),
-                shown(service.utilisation_after)
+                format_utilisation(service.utilisation_before),
+                format_utilisation(service.utilisation_after)
             ),
             service.state.as_str().to_owned(),
         ]);
     }
     let mut kinds = TextTable::new(&["REQUEST KIND", "PRIORITY", "PER SECOND", "ADMITTED"]);
     for kind in &plan.request_kinds {
-        kinds.row([
+        kinds.add_row([
             kind.request_kind.clone(),
             kind.priority.to_string(),
             format!("{:.1}", kind.rate),
@@ -276,6 +283,6 @@
     format!("{}\n{}", services.render(), kinds.render())
 }
 
-fn shown(utilisation: Option<f64>) -> String {
+fn format_utilisation(utilisation: Option<f64>) -> String {
     utilisation.map_or_else(|| "-".to_owned(), |share| format!("{share:.2}"))
 }
--- a/crates/cli/src/plan/options.rs
+++ b/crates/cli/src/plan/options.rs
@@ -1,4 +1,4 @@
-//! The flags of `plan`.
+//! Flags of `plan`.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -23,19 +23,21 @@
 const MAXIMUM_FACTOR: f64 = 1_000.0;
 const BUILTIN_SCENARIOS: [&str; 2] = ["lagos", "gujarat"];
 
-/// What to plan.
+/// Input of a plan.
 pub(super) struct PlanOptions {
     pub(super) scenario: Scenario,
-    /// The back ends before the change.
+    /// The backends before the change.
     pub(super) backends: Vec<PlannedBackend>,
-    /// What leaves.
+    /// The targets that are drained or lost.
     pub(super) leaving: Vec<DrainTarget>,
+    /// Requests per second by request kind, where `--rate` replaces the scenario's rate.
     rates: BTreeMap<String, f64>,
+    /// Multiplies the rate of every kind.
     factor: f64,
 }
 
 impl PlanOptions {
-    /// Requests per second of a kind before the change.
+    /// Returns the requests per second of a kind before the change.
     pub(super) fn rate_before(&self, request: &RequestModel) -> f64 {
         self.rates
             .get(&request.kind)
@@ -43,19 +45,19 @@
             .unwrap_or(request.rate)
     }
 
-    /// Requests per second of a kind after the change.
+    /// Returns the requests per second of a kind after the change.
     pub(super) fn rate_after(&self, request: &RequestModel) -> f64 {
         self.rate_before(request) * self.factor
     }
 }
 
-/// Reads the flags, the scenario and, where asked for, the machine list.
+/// Reads the flags, the scenario and, with `--platform`, the machine list.
 pub(super) fn read_options(arguments: &Arguments) -> Result<PlanOptions, CliError> {
     let scenario = read_scenario(&arguments.words().concat())?;
     let factor = read_factor(arguments)?;
     let rates = read_rates(arguments, &scenario)?;
     let mut leaving = read_drains(arguments)?;
-    leaving.extend(drains_of_files(arguments, &scenario)?);
+    leaving.extend(drains_from_files(arguments, &scenario)?);
     let backends = read_backends(arguments, &scenario)?;
     check_targets(&leaving, &backends)?;
     Ok(PlanOptions {
@@ -98,7 +100,8 @@
 }
 
 fn read_rate(text: &str, scenario: &Scenario) -> Result<(String, f64), CliError> {
-    let malformed = || CliError::invalid_value("--rate", text, "no kind and number", RATE_FORM);
+    let malformed =
+        || CliError::invalid_value("--rate", text, "not a kind and a number", RATE_FORM);
     let (kind, number) = text.split_once('=').ok_or_else(malformed)?;
     if !scenario.requests.iter().any(|request| request.kind == kind) {
         return Err(CliError::invalid_value(
@@ -131,10 +134,11 @@
 fn read_drain(text: &str) -> Result<DrainTarget, CliError> {
     let (kind, name) = text.split_once('=').unwrap_or((text, ""));
     drain_target(kind, name)
-        .ok_or_else(|| CliError::invalid_value("--drain", text, "no target", DRAIN_FORM))
+        .ok_or_else(|| CliError::invalid_value("--drain", text, "not a drain target", DRAIN_FORM))
 }
 
-/// The drain target of a kind and a name; `None` when the kind is unknown or the name empty.
+/// Returns the drain target of a kind and a name; `None` when the kind is unknown or the name
+/// empty.
 pub(crate) fn drain_target(kind: &str, name: &str) -> Option<DrainTarget> {
     if name.is_empty() || !DRAIN_TARGETS.contains(&kind) {
         return None;
@@ -147,8 +151,8 @@
     })
 }
 
-/// The targets of the drains that resource files hold.
-fn drains_of_files(
+/// Returns the targets of the drains in the resource files.
+fn drains_from_files(
     arguments: &Arguments,
     scenario: &Scenario,
 ) -> Result<Vec<DrainTarget>, CliError> {
@@ -158,13 +162,13 @@
     parsed.problems.splice(0..0, read.problems);
     print_error_lines(&parsed.problems);
     if parsed.has_errors() {
-        return Err(CliError::BrokenConfiguration);
+        return Err(CliError::InvalidConfiguration);
     }
     let drains = parsed.snapshot().drains;
     Ok(drains.into_values().map(|drain| drain.target).collect())
 }
 
-/// The scenario's services as a configuration that drains may refer to.
+/// Returns the scenario's services as a configuration, which drains can refer to.
 fn services_of(scenario: &Scenario) -> Snapshot {
     let mut snapshot = Snapshot::default();
     for service in &scenario.services {
@@ -202,7 +206,7 @@
     Ok(from_machines(scenario, &list.machines))
 }
 
-/// Refuses a target that covers no back end, which is most likely a misspelt name.
+/// Rejects a target that covers no backend, which is most likely a misspelt name.
 fn check_targets(targets: &[DrainTarget], backends: &[PlannedBackend]) -> Result<(), CliError> {
     for target in targets {
         let covers = |backend: &PlannedBackend| {
@@ -210,13 +214,13 @@
             target.covers(&backend.id, &backend.zone, service)
         };
         if !backends.iter().any(covers) {
-            return Err(nothing_covered(target, backends));
+            return Err(no_backend_covered(target, backends));
         }
     }
     Ok(())
 }
 
-fn nothing_covered(target: &DrainTarget, backends: &[PlannedBackend]) -> CliError {
+fn no_backend_covered(target: &DrainTarget, backends: &[PlannedBackend]) -> CliError {
     let (given, mut known): (&str, Vec<&str>) = match target {
         DrainTarget::Backend(id) => (id, backends.iter().map(|found| found.id.as_str()).collect()),
         DrainTarget::Service(name) => {
@@ -230,5 +234,5 @@
     };
     known.sort_unstable();
     known.dedup();
-    CliError::invalid_value("target", given, "no back end is covered", &known.join(", "))
+    CliError::invalid_value("target", given, "no backend is covered", &known.join(", "))
 }
--- a/crates/cli/src/plan/topology.rs
+++ b/crates/cli/src/plan/topology.rs
@@ -1,4 +1,4 @@
-//! The back ends of a plan and which of them leave.
+//! Backends of a plan, and the ones that remain after a change.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use wharfquay_platform::wire::{Machine, MachineState};
 use wharfquay_resources::kinds::DrainTarget;
 
-/// A back end that can serve before the change.
+/// A backend that can serve before the change.
 #[derive(Clone, Debug)]
 pub(super) struct PlannedBackend {
     pub(super) id: String,
@@ -15,8 +15,8 @@
     pub(super) slots: u32,
 }
 
-/// The back ends of a scenario: each service's are numbered from one, and the zones receive them in
-/// turn.
+/// Returns the backends of a scenario: those of each service are numbered from 1 and assigned to
+/// the zones in turn.
 pub(super) fn from_scenario(scenario: &Scenario) -> Vec<PlannedBackend> {
     let mut backends = Vec::new();
     for service in &scenario.services {
@@ -33,7 +33,7 @@
     backends
 }
 
-/// The live back ends of a machine list; the scenario tells the slots of each.
+/// Returns the live backends of a machine list; the scenario specifies the slots of each.
 pub(super) fn from_machines(scenario: &Scenario, machines: &[Machine]) -> Vec<PlannedBackend> {
     let live = machines
         .iter()
@@ -50,25 +50,28 @@
     .collect()
 }
 
-/// The back ends that are left when the targets have gone.
-pub(super) fn without(backends: &[PlannedBackend], targets: &[DrainTarget]) -> Vec<PlannedBackend> {
-    let leaves = |backend: &PlannedBackend| {
+/// Returns the backends that no target covers.
+pub(super) fn without_targets(
+    backends: &[PlannedBackend],
+    targets: &[DrainTarget],
+) -> Vec<PlannedBackend> {
+    let is_covered = |backend: &PlannedBackend| {
         let service = Some(backend.service.as_str());
         let mut targets = targets.iter();
         targets.any(|target| target.covers(&backend.id, &backend.zone, service))
     };
-    let left = backends.iter().filter(|backend| !leaves(backend));
-    left.cloned().collect()
+    let remaining = backends.iter().filter(|backend| !is_covered(backend));
+    remaining.cloned().collect()
 }
 
-/// Back ends and slots of one service.
+/// Number of backends and slots of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ServiceCapacity {
     pub(super) backends: u32,
     pub(super) slots: u32,
 }
 
-/// The capacity of each service that has a back end.
+/// Returns the capacity of each service that has a backend.
 pub(super) fn capacities(backends: &[PlannedBackend]) -> BTreeMap<String, ServiceCapacity> {
     let mut capacities: BTreeMap<String, ServiceCapacity> = BTreeMap::new();
     for backend in backends {
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`: plays the decision records of a daemon against another configuration.
+//! `replay`: re-evaluates a daemon's decision records under another configuration.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -12,22 +12,22 @@
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
 use crate::configuration::{FILE, read_configuration};
 use crate::connection::{PLATFORM, TIMEOUT};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::{Output, progress};
 use crate::table::TextTable;
 
-/// Differing decisions that are printed unless a flag says otherwise.
+/// Default maximum of differing decisions that are printed.
 const DEFAULT_LIMIT: usize = 20;
 const LIMIT_FORM: &str = "0 or more";
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "replay",
-    summary: "Play a daemon's decision records against another configuration",
+    summary: "Re-evaluate a daemon's decision records under another configuration",
     details: "\
 The file holds one decision record per line, as JSON. Each request is decided again under the
-recorded circumstances (admission level and chosen back end) and the given configuration; the
-decisions that differ are printed. The exit code is 1 when any differs. What the other
-configuration would have made of the load itself is not replayed; `plan` estimates that.",
+recorded circumstances (admission level and chosen backend) and the specified configuration; the
+decisions that differ are printed. The exit code is 1 when any differs. The effect of the other
+configuration on the load is not replayed; `plan` estimates that.",
     positionals: Positionals {
         usage: "RECORDS",
         minimum: 1,
@@ -47,19 +47,19 @@
     examples: &[
         Example {
             line: "wharfquay replay decisions.jsonl --file changed.resources.toml",
-            meaning: "Show which decisions a changed file would have made otherwise.",
+            meaning: "Show the decisions that differ under a changed file.",
         },
         Example {
             line: "wharfquay replay decisions.jsonl --platform 127.0.0.1:7000 --json",
-            meaning: "Compare with what the platform holds now.",
+            meaning: "Compare with the configuration that the platform holds now.",
         },
     ],
     run,
 };
 
-/// A decision that differs.
+/// A decision that differs from the recorded one.
 #[derive(Serialize)]
-struct Differing {
+struct DifferingDecision {
     line: usize,
     record: DecisionRecord,
     differences: Vec<DecisionDifference>,
@@ -71,12 +71,12 @@
     records: usize,
     malformed: usize,
     differing: usize,
-    /// Number of differing decisions by the part that differs.
+    /// Number of differing decisions, by the part that differs.
     by_part: BTreeMap<&'static str, usize>,
-    decisions: Vec<Differing>,
+    decisions: Vec<DifferingDecision>,
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let limit: Option<usize> = arguments.value("limit", LIMIT_FORM)?;
     let path = arguments.words().concat();
     let snapshot = read_configuration(arguments)?;
@@ -93,14 +93,15 @@
     } else {
         output.text(&render(&report))?;
     }
-    let is_clean = report.differing == 0 && report.malformed == 0;
-    Ok(if is_clean {
-        Finish::Done
+    let all_same = report.differing == 0 && report.malformed == 0;
+    Ok(if all_same {
+        ExitStatus::Success
     } else {
-        Finish::ProblemFound
+        ExitStatus::ProblemFound
     })
 }
 
+/// Replays the records of one file and collects the result.
 struct Replayer<'a> {
     path: &'a str,
     snapshot: &'a Snapshot,
@@ -118,13 +119,13 @@
         for (index, line) in BufReader::new(file).split(b'\n').enumerate() {
             let line = line.map_err(unreadable)?;
             if !line.trim_ascii().is_empty() {
-                self.take(index + 1, &line);
+                self.replay_line(index + 1, &line);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, line: usize, content: &[u8]) {
+    fn replay_line(&mut self, line: usize, content: &[u8]) {
         match serde_json::from_slice::<DecisionRecord>(content) {
             Ok(record) => self.replay(line, record),
             Err(error) => {
@@ -150,7 +151,7 @@
             *self.report.by_part.entry(difference.part).or_default() += 1;
         }
         if self.report.decisions.len() < self.limit {
-            self.report.decisions.push(Differing {
+            self.report.decisions.push(DifferingDecision {
                 line,
                 record,
                 differences,
@@ -164,7 +165,7 @@
     for decision in &report.decisions {
         let request = &decision.record.request;
         for difference in &decision.differences {
-            table.row([
+            table.add_row([
                 decision.line.to_string(),
                 format!("{} {} {}", request.service, request.method, request.path),
                 difference.part.to_owned(),
--- a/crates/cli/src/status/daemons.rs
+++ b/crates/cli/src/status/daemons.rs
@@ -1,4 +1,4 @@
-//! The part of the status that the daemons tell.
+//! Status of the daemons, from their status pages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,23 +11,23 @@
 use crate::daemon_status::{DaemonStatus, describe_level, fetch_status};
 use crate::table::TextTable;
 
-/// Status pages that are read at a time.
+/// Maximum number of status pages that are read concurrently.
 const CONCURRENT_READS: usize = 64;
 
-/// A daemon's answer, or why there is none.
+/// A daemon's status, or the error of the read.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct DaemonView {
-    /// Admin address.
+    /// Admin address of the daemon.
     pub(crate) address: SocketAddr,
-    /// The status page.
+    /// The status page; absent when it can't be read.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) status: Option<DaemonStatus>,
-    /// Why there is none.
+    /// Why the status page can't be read; absent when it was read.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) error: Option<String>,
 }
 
-/// Reads the status of every daemon, in the order of the addresses.
+/// Reads the status of every daemon; the result has the order of the addresses.
 pub(crate) async fn read_daemons(addresses: &[SocketAddr], timeout: Duration) -> Vec<DaemonView> {
     if addresses.is_empty() {
         return Vec::new();
@@ -92,10 +92,10 @@
     ]);
     for daemon in daemons {
         match &daemon.status {
-            Some(status) => table.row(daemon_row(status)),
+            Some(status) => table.add_row(daemon_row(status)),
             None => {
                 let error = daemon.error.clone().unwrap_or_default();
-                table.row([
+                table.add_row([
                     daemon.address.to_string(),
                     String::new(),
                     String::new(),
@@ -134,7 +134,7 @@
     }
 }
 
-/// Sums over the daemons of one service.
+/// Aggregated status of the daemons of one service.
 #[derive(Default)]
 struct ServiceSummary {
     daemons: u32,
@@ -142,7 +142,9 @@
     in_flight: u64,
     limit: u64,
     queued: u64,
+    /// Lowest admission level of the daemons.
     strictest_level: Option<u16>,
+    /// Lowest revision in force at the daemons.
     lowest_revision: Option<u64>,
 }
 
@@ -150,7 +152,7 @@
     let mut services: BTreeMap<&str, ServiceSummary> = BTreeMap::new();
     for status in daemons.iter().filter_map(|daemon| daemon.status.as_ref()) {
         if let Some(service) = &status.service {
-            add(services.entry(service).or_default(), status);
+            accumulate(services.entry(service).or_default(), status);
         }
     }
     let mut table = TextTable::new(&[
@@ -164,7 +166,7 @@
         "LEVEL",
     ]);
     for (service, summary) in services {
-        table.row([
+        table.add_row([
             service.to_owned(),
             summary.daemons.to_string(),
             summary.leaving.to_string(),
@@ -180,7 +182,7 @@
     table.render()
 }
 
-fn add(summary: &mut ServiceSummary, status: &DaemonStatus) {
+fn accumulate(summary: &mut ServiceSummary, status: &DaemonStatus) {
     let admission = status.admission.unwrap_or_default();
     summary.daemons += 1;
     summary.leaving += u32::from(status.leaving);
--- a/crates/cli/src/status/mod.rs
+++ b/crates/cli/src/status/mod.rs
@@ -1,4 +1,4 @@
-//! `status`: what is in force, where, and how loaded the daemons are.
+//! `status`: shows which configuration is in force in each zone, and the load of the daemons.
 
 pub(crate) mod daemons;
 pub(crate) mod platform;
@@ -12,9 +12,9 @@
 
 use crate::arguments::Arguments;
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
-use crate::connection::{PLATFORM, TIMEOUT, block_on, connect, names_platform, timeout};
+use crate::connection::{PLATFORM, TIMEOUT, block_on, connect, platform_is_specified, timeout};
 use crate::daemon_status::{DAEMON, daemon_addresses};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::{Output, progress};
 use crate::status::daemons::{DaemonView, read_daemons, render_daemons};
 use crate::status::platform::{ResourceView, read_resources, render_resources};
@@ -22,7 +22,7 @@
 const DEFAULT_INTERVAL_MS: u64 = 2_000;
 const INTERVAL_FORM: &str = "100 to 3600000, in milliseconds";
 const COUNT_FORM: &str = "1 or more";
-/// Moves the cursor of a terminal home and clears what follows.
+/// Escape sequence that moves the cursor home and clears the screen.
 const CLEAR_SCREEN: &str = "\x1b[H\x1b[J";
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
@@ -31,20 +31,20 @@
     details: "\
 With --platform: every resource, whether its version is accepted, and the revision in force in each
 zone. With --daemon: the state of each daemon and of each service. The exit code is 1 when a
-resource is rejected or a daemon does not answer.",
+resource is rejected or a daemon does not respond.",
     positionals: Positionals {
         usage: "",
         minimum: 0,
         maximum: 0,
     },
     flags: &[
-        Flag::switch("watch", "Show the status again and again"),
+        Flag::switch("watch", "Show the status repeatedly"),
+        Flag::with_value("interval-ms", "MS", "Interval of --watch (default: 2000)"),
         Flag::with_value(
-            "interval-ms",
-            "MS",
-            "Time between two shows (default: 2000)",
+            "count",
+            "N",
+            "With --watch, exit after showing the status N times",
         ),
-        Flag::with_value("count", "N", "With --watch, end after N shows"),
         DAEMON,
         PLATFORM,
         TIMEOUT,
@@ -53,7 +53,7 @@
     examples: &[
         Example {
             line: "wharfquay status --platform 127.0.0.1:7000",
-            meaning: "Show what became of every resource.",
+            meaning: "Show the verdict of every resource.",
         },
         Example {
             line: "wharfquay status --watch --daemon 127.0.0.1:7103,127.0.0.1:7203",
@@ -75,29 +75,29 @@
 }
 
 impl StatusReport {
-    fn finish(&self) -> Finish {
+    fn exit_status(&self) -> ExitStatus {
         let mut resources = self.resources.iter().flatten();
         let mut daemons = self.daemons.iter();
         let is_rejected = resources.any(ResourceView::is_rejected);
         if is_rejected || daemons.any(|daemon| daemon.error.is_some()) {
-            return Finish::ProblemFound;
+            return ExitStatus::ProblemFound;
         }
-        Finish::Done
+        ExitStatus::Success
     }
 }
 
-/// Where the status comes from, and how often it is shown.
+/// Sources of the status, and how often it is shown.
 struct StatusOptions {
     client: Option<Client>,
     daemons: Vec<SocketAddr>,
     timeout: Duration,
     interval: Duration,
-    /// Number of shows; endless when absent.
+    /// Number of times the status is shown; unlimited when absent.
     count: Option<u64>,
     is_json: bool,
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let options = read_options(arguments)?;
     block_on(async {
         let mut shown = 0;
@@ -108,7 +108,7 @@
                 Ok(report) => {
                     show(&report, &options, output)?;
                     if is_last {
-                        return Ok(report.finish());
+                        return Ok(report.exit_status());
                     }
                 }
                 Err(error) if is_last || shown == 1 => return Err(error),
@@ -121,7 +121,7 @@
 
 fn read_options(arguments: &Arguments) -> Result<StatusOptions, CliError> {
     let daemons = daemon_addresses(arguments)?;
-    let uses_platform = names_platform(arguments);
+    let uses_platform = platform_is_specified(arguments);
     if daemons.is_empty() && !uses_platform {
         return Err(CliError::MissingFlag {
             flag: "platform or --daemon",
--- a/crates/cli/src/status/platform.rs
+++ b/crates/cli/src/status/platform.rs
@@ -1,4 +1,4 @@
-//! The part of the status that the platform holds.
+//! Status of the resources, from the platform.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +11,21 @@
 use crate::error::CliError;
 use crate::table::TextTable;
 
-/// A resource and what became of it.
+/// A resource and its status.
 #[derive(Serialize)]
 pub(crate) struct ResourceView {
     /// Kind and name.
     pub(crate) id: String,
     /// Version that the platform holds.
     pub(crate) version: u64,
-    /// Who wrote it.
+    /// Author of that version.
     pub(crate) author: String,
-    /// Status; absent when none was written yet or it can't be read.
+    /// Status; absent when none is written yet or it can't be parsed.
     pub(crate) status: Option<Status>,
 }
 
 impl ResourceView {
-    /// Whether some version of the resource is rejected.
+    /// Returns true if the resource's status has a rejected version.
     pub(crate) fn is_rejected(&self) -> bool {
         let status = self.status.as_ref();
         status.is_some_and(|status| matches!(status.verdict, Verdict::Rejected { .. }))
@@ -52,7 +52,7 @@
     Ok((objects.version.number(), views.collect()))
 }
 
-/// The status in an object of the status keyspace.
+/// Parses the status in an object of the status keyspace.
 pub(crate) fn read_status(object: &Object) -> Option<Status> {
     serde_json::from_value(object.spec.clone()).ok()
 }
@@ -61,7 +61,7 @@
     let mut table = TextTable::new(&["RESOURCE", "VERSION", "AUTHOR", "VERDICT", "IN FORCE"]);
     let mut reasons = String::new();
     for resource in resources {
-        table.row([
+        table.add_row([
             resource.id.clone(),
             resource.version.to_string(),
             resource.author.clone(),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Revision, daemons that reported and live daemons, by zone.
+/// Lists by zone the revision, how many of the live daemons reported, and the calls in flight.
 fn describe_zones(resource: &ResourceView) -> String {
     let zones = resource.status.iter().flat_map(|status| &status.zones);
     let texts: Vec<String> = zones
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,13 +1,13 @@
 //! Tables of text with aligned columns.
 
-/// A table of text with aligned columns.
+/// A table of text with aligned columns; the first row has the titles.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with these column titles.
+    /// Creates a table with these column titles.
     pub(crate) fn new(titles: &[&str]) -> Self {
         Self {
             rows: vec![titles.iter().map(|title| (*title).to_owned()).collect()],
@@ -15,11 +15,11 @@
     }
 
     /// Adds a row.
-    pub(crate) fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    pub(crate) fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The table's text, two spaces between columns.
+    /// Renders the table, with two spaces between columns.
     pub(crate) fn render(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or_default();
         let widths: Vec<usize> = (0..columns).map(|column| self.width_of(column)).collect();
--- a/crates/cli/src/trace/line.rs
+++ b/crates/cli/src/trace/line.rs
@@ -1,32 +1,32 @@
-//! One log line: its event, its time and its fields.
+//! Parses a log line into its event, time and fields.
 
 use std::collections::BTreeMap;
 
 const EVENT_KEY: &str = "event=";
-/// Length of the shortest time with a zone; a shorter one was cut.
-const SHORTEST_TIME: usize = "2026-12-02T10:00:05Z".len();
+/// Length of the shortest timestamp with a time zone; a shorter one was truncated.
+const MINIMUM_TIME_LENGTH: usize = "2026-12-02T10:00:05Z".len();
 
-/// A log line.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LogLine {
-    /// What stands before the event, such as the name of the process.
+    /// Text before the event, such as the name of the process.
     pub(super) source: String,
     /// Name of the event.
     pub(super) event: String,
     /// Time of the line, as written.
     pub(super) time: String,
-    /// The fields.
+    /// Fields of the line, without `event` and `time`.
     pub(super) fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` when it is damaged.
+    /// Parses a line; `None` when it is damaged.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let start = text.find(EVENT_KEY)?;
         let mut fields = parse_fields(&text[start..])?;
         let event = fields.remove("event")?;
         let time = fields.remove("time")?;
-        if time.len() < SHORTEST_TIME {
+        if time.len() < MINIMUM_TIME_LENGTH {
             return None;
         }
         Some(Self {
@@ -37,13 +37,14 @@
         })
     }
 
-    /// A field's value.
+    /// Returns a field's value.
     pub(super) fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 }
 
-/// Splits `key=value` pairs; a value in double quotes may hold blanks.
+/// Parses `key=value` pairs; a value in double quotes may contain spaces. `None` when the text is
+/// damaged.
 fn parse_fields(text: &str) -> Option<BTreeMap<String, String>> {
     let mut fields = BTreeMap::new();
     let mut rest = text.trim();
@@ -52,12 +53,12 @@
         if key.is_empty() || key.contains(' ') {
             return None;
         }
-        let (value, left) = match after.strip_prefix('"') {
+        let (value, remainder) = match after.strip_prefix('"') {
             Some(quoted) => quoted.split_once('"')?,
             None => after.split_once(' ').unwrap_or((after, "")),
         };
         fields.insert(key.to_owned(), value.to_owned());
-        rest = left.trim_start();
+        rest = remainder.trim_start();
     }
     Some(fields)
 }
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -1,27 +1,28 @@
-//! `trace`: the story of one request and its calls, from the logs of many sidecars.
+//! `trace`: shows one request and its calls, from the logs of many sidecars.
 
+mod collector;
 mod line;
-mod story;
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
 
 use crate::arguments::Arguments;
 use crate::commands::{CommandSpec, Example, JSON, Positionals};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::Output;
 
+use collector::TraceCollector;
 use line::LogLine;
-use story::Story;
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "trace",
-    summary: "Tell the story of one request from the logs of many sidecars",
+    summary: "Trace one request through the logs of many sidecars",
     details: "\
-The files hold log lines of sidecars, in any order and with any text before `event=`. Shown are the
-lines of the request and of the calls that were made for it, by time, and what its sidecars believed
-last before: the version in force, the instance, the contact with the platform. Said is where lines
-were dropped and how many lines are damaged. The exit code is 1 when no line names the request.",
+The files hold log lines of sidecars, in any order and with any text before `event=`. The output has
+the lines of the request and of the calls that were made for it, by time, and the last known state
+of its sidecars before: the version in force, the instance, the connection to the platform. It also
+reports where lines were dropped and how many lines are damaged. The exit code is 1 when no line
+names the request.",
     positionals: Positionals {
         usage: "REQUEST-ID FILE...",
         minimum: 2,
@@ -31,39 +32,39 @@
     examples: &[
         Example {
             line: "wharfquay trace 9c41d07be2a35f68 sidecar-a.log sidecar-b.log",
-            meaning: "Show what became of a request.",
+            meaning: "Show the calls of a request and their results.",
         },
         Example {
             line: "wharfquay trace 9c41d07be2a35f68 logs/*.log --json",
-            meaning: "The same for a program.",
+            meaning: "Print the same as JSON.",
         },
     ],
     run,
 };
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let words = arguments.words();
     let Some((request, files)) = words.split_first() else {
-        return Ok(Finish::ProblemFound);
+        return Ok(ExitStatus::ProblemFound);
     };
-    let mut story = Story::new(request);
+    let mut collector = TraceCollector::new(request);
     for path in files {
-        read(path, &mut story)?;
+        read_file(path, &mut collector)?;
     }
-    let told = story.finish();
+    let trace = collector.into_trace();
     if arguments.has("json") {
-        output.json(&told)?;
+        output.json(&trace)?;
     } else {
-        output.text(&told.render())?;
+        output.text(&trace.render())?;
     }
-    Ok(if told.lines.is_empty() {
-        Finish::ProblemFound
+    Ok(if trace.lines.is_empty() {
+        ExitStatus::ProblemFound
     } else {
-        Finish::Done
+        ExitStatus::Success
     })
 }
 
-fn read(path: &str, story: &mut Story) -> Result<(), CliError> {
+fn read_file(path: &str, collector: &mut TraceCollector) -> Result<(), CliError> {
     let unreadable = |source| CliError::Unreadable {
         path: path.to_owned(),
         source,
@@ -75,8 +76,8 @@
             continue;
         }
         match std::str::from_utf8(&line).ok().and_then(LogLine::parse) {
-            Some(parsed) => story.take(path, parsed),
-            None => story.damaged(),
+            Some(parsed) => collector.add(path, parsed),
+            None => collector.count_damaged(),
         }
     }
     Ok(())
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -11,11 +11,11 @@
 use crate::arguments::Arguments;
 use crate::commands::{CommandSpec, Example, Flag, JSON, Positionals};
 use crate::connection::{PLATFORM, TIMEOUT, block_on, connect, with_progress};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::get::Selection;
 use crate::output::{Output, progress};
 
-/// Wait before a broken watch is opened again.
+/// Wait before a closed watch is reopened.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 const VERSION_FORM: &str = "a version of the store, 0 or more";
 const COUNT_FORM: &str = "1 or more";
@@ -24,8 +24,8 @@
     name: "watch",
     summary: "Print each change of the platform's resources as it happens",
     details: "\
-The watch starts at the current version, resumes after a lost connection, and goes on from the
-current version when the platform no longer remembers the one to resume from.",
+The watch starts at the current version, resumes after a lost connection, and continues from the
+current version when the platform no longer keeps the one to resume from.",
     positionals: Positionals {
         usage: "[KIND [NAME]]",
         minimum: 0,
@@ -35,9 +35,9 @@
         Flag::with_value(
             "from",
             "VERSION",
-            "Print the changes after this version too",
+            "Start with the changes after this version",
         ),
-        Flag::with_value("count", "N", "End after N changes"),
+        Flag::with_value("count", "N", "Exit after N changes"),
         PLATFORM,
         TIMEOUT,
         JSON,
@@ -63,7 +63,7 @@
     object: &'a Object,
 }
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let selection = Selection::parse(arguments)?;
     let from: Option<u64> = arguments.value("from", VERSION_FORM)?;
     let count: Option<u64> = arguments.value("count", COUNT_FORM)?;
@@ -81,35 +81,42 @@
             selection,
             is_json: arguments.has("json"),
             remaining: count,
-            reached: start,
+            last_version: start,
         };
         follower.follow(&client, output).await
     })
 }
 
+/// Follows the store and prints the selected changes.
 struct Follower {
     selection: Selection,
     is_json: bool,
+    /// Changes left to print; unlimited when absent.
     remaining: Option<u64>,
-    reached: Revision,
+    /// Version of the last event, from which a reopened watch resumes.
+    last_version: Revision,
 }
 
 impl Follower {
-    /// Follows until the wanted number of changes was printed.
-    async fn follow(&mut self, client: &Client, output: &mut Output) -> Result<Finish, CliError> {
+    /// Prints changes until the requested number is reached.
+    async fn follow(
+        &mut self,
+        client: &Client,
+        output: &mut Output,
+    ) -> Result<ExitStatus, CliError> {
         let mut was_open = false;
         while self.remaining != Some(0) {
-            let error = match client.watch(self.reached).await {
+            let error = match client.watch(self.last_version).await {
                 Ok(mut stream) => {
                     was_open = true;
                     loop {
                         match stream.next().await {
-                            Some(Ok(event)) => self.take(&event, output)?,
+                            Some(Ok(event)) => self.handle_event(&event, output)?,
                             Some(Err(error)) => break Some(error),
                             None => break None,
                         }
                         if self.remaining == Some(0) {
-                            return Ok(Finish::Done);
+                            return Ok(ExitStatus::Success);
                         }
                     }
                 }
@@ -117,9 +124,12 @@
             };
             self.recover(client, error, was_open).await?;
         }
-        Ok(Finish::Done)
+        Ok(ExitStatus::Success)
     }
 
+    /// Waits before the watch is reopened. Returns the error when the first watch could not be
+    /// opened, or when the error is permanent. Continues from the current version when the platform
+    /// no longer keeps the last one.
     async fn recover(
         &mut self,
         client: &Client,
@@ -129,21 +139,21 @@
         match error {
             Some(PlatformError::WatchTooOld { from }) => {
                 progress(&format!(
-                    "version {from} is forgotten; going on from the current one"
+                    "version {from} is no longer available; continuing from the current one"
                 ));
-                self.reached = client.list().await?.version;
+                self.last_version = client.list().await?.version;
                 return Ok(());
             }
             Some(error) if !was_open || !error.is_transient() => return Err(error.into()),
-            Some(error) => progress(&format!("watch lost, opening it again: {error}")),
-            None => progress("watch ended, opening it again"),
+            Some(error) => progress(&format!("watch lost, reopening: {error}")),
+            None => progress("watch closed, reopening"),
         }
         tokio::time::sleep(REOPEN_INTERVAL).await;
         Ok(())
     }
 
-    fn take(&mut self, event: &WatchEvent, output: &mut Output) -> Result<(), CliError> {
-        self.reached = event.version();
+    fn handle_event(&mut self, event: &WatchEvent, output: &mut Output) -> Result<(), CliError> {
+        self.last_version = event.version();
         let (change, object) = match event {
             WatchEvent::Put { object, .. } => ("put", object),
             WatchEvent::Delete { object, .. } => ("delete", object),
--- a/crates/cli/tests/check.rs
+++ b/crates/cli/tests/check.rs
@@ -1,11 +1,11 @@
-//! `check` over good and bad files.
+//! `check` with valid and invalid files.
 
 mod support;
 
 use support::{TestDirectory, repository_file, run};
 
 #[test]
-fn the_example_files_pass() {
+fn example_resource_files_pass() {
     for name in ["lagos", "gujarat"] {
         let path = repository_file(&format!("scenarios/{name}.resources.toml"));
         let run = run(&["check", &path]);
@@ -46,8 +46,8 @@
     assert_eq!(lines, expected);
 }
 
-/// Content that must be refused, whatever it is.
-const BAD_CONTENT: &[&[u8]] = &[
+/// File contents that must be rejected.
+const INVALID_CONTENT: &[&[u8]] = &[
     b"\xff\xfe\x00",
     b"[[service]]\nname = \"a\"\nslots = 99999999999999999999999999\n",
     b"service = 3\n",
@@ -66,9 +66,9 @@
 ];
 
 #[test]
-fn bad_content_is_refused_with_a_numbered_problem() {
+fn invalid_content_is_rejected_with_a_numbered_problem() {
     let directory = TestDirectory::new("check-bad");
-    for (index, content) in BAD_CONTENT.iter().enumerate() {
+    for (index, content) in INVALID_CONTENT.iter().enumerate() {
         let path = directory.file(&format!("{index}.toml"), content);
         let run = run(&["check", &path]);
         assert_eq!(run.code, 1, "{index}: {}", run.stdout);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_closed_output_is_no_failure() {
+fn closed_output_is_not_an_error() {
     let mut child = support::command(&["check", "--help"])
         .stdout(std::process::Stdio::piped())
         .spawn()
@@ -110,13 +110,13 @@
 }
 
 #[test]
-fn problems_of_settings_and_scenarios_have_a_place_and_a_code() {
+fn problems_of_settings_and_scenarios_have_a_line_and_a_code() {
     let directory = TestDirectory::new("check-sorts");
     let settings = "id = \"a\"\nzone = \"z\"\n[edge]\nlisten = \"127.0.0.1:1\"\n[admin]\nlisten = \"127.0.0.1:1\"\n[platform]\naddresses = [\"127.0.0.1:1\"]\n";
     let cases = [
         (
             format!("{settings}[limits]\nheader_bytes = 1\n"),
-            ":10: limits.header_bytes: given 1 (allowed: 8192 to 1048576) [5301]",
+            ":10: limits.header_bytes: 1 is not valid (allowed: 8192 to 1048576) [5301]",
         ),
         (
             format!("{settings}speed = 1\n"),
--- a/crates/cli/tests/commands_page.rs
+++ b/crates/cli/tests/commands_page.rs
@@ -1,6 +1,5 @@
-//! `docs/COMMANDS.md` shows the help texts and the error numbers that the program has.
-//!
-//! `UPDATE_PAGES=1 cargo test -p wharfquay --test commands_page` writes the help texts anew.
+//! `docs/COMMANDS.md` has the current help texts and error numbers of the program. `UPDATE_PAGES=1
+//! cargo test -p wharfquay --test commands_page` regenerates the help texts.
 
 mod support;
 
@@ -13,7 +12,7 @@
 const END: &str = "<!-- end generated: commands -->";
 const FIRST_NUMBER: &str = "70";
 
-/// The names of the commands, from the overview.
+/// Parses the names of the commands from the overview.
 fn command_names(overview: &str) -> Vec<String> {
     let (_, list) = overview
         .split_once("Commands:\n")
@@ -36,7 +35,7 @@
 }
 
 #[test]
-fn the_help_texts_are_up_to_date() {
+fn help_texts_are_up_to_date() {
     let path = repository_file("docs/COMMANDS.md");
     let page = std::fs::read_to_string(&path).expect("the page");
     let (head, rest) = page.split_once(BEGIN).expect("the section");
--- a/crates/cli/tests/drain.rs
+++ b/crates/cli/tests/drain.rs
@@ -1,4 +1,4 @@
-//! `drain` and `undrain`: the intention, the estimate and the following.
+//! `drain` and `undrain`: the written resource, the estimate, and following the progress.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use wharfquay_platform::wire::{Machine, MachineState, ObjectKey};
 use wharfquay_resources::snapshot::Revision;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A platform with one service of two back ends in two zones.
+/// Starts a platform with one service of two backends in two zones.
 fn platform_with_machines(name: &str) -> TestPlatform {
     let platform = TestPlatform::start();
     let directory = TestDirectory::new(name);
@@ -48,8 +48,8 @@
     receipt.version.expect("a version").number()
 }
 
-/// Runs the program beside the test.
-fn run_beside(platform: &TestPlatform, arguments: &[&str]) -> JoinHandle<Run> {
+/// Runs the program concurrently with the test.
+fn run_in_background(platform: &TestPlatform, arguments: &[&str]) -> JoinHandle<Run> {
     let mut all: Vec<String> = arguments.iter().map(|&word| word.to_owned()).collect();
     all.extend(["--platform".to_owned(), platform.address()]);
     std::thread::spawn(move || {
@@ -59,21 +59,21 @@
 }
 
 fn wait_for_drain(platform: &TestPlatform) {
-    let give_up_at = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while drains(platform).is_empty() {
-        assert!(Instant::now() < give_up_at, "the drain is not written");
+        assert!(Instant::now() < deadline, "the drain is not written");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn the_intention_is_written_and_withdrawn() {
+fn drain_is_written_and_deleted() {
     let platform = platform_with_machines("drain-write");
     let drained = platform.run(&["drain", "zone", "ikeja", "--no-wait", "--limit-ms", "500"]);
     assert_eq!(drained.code, 0, "{}", drained.stderr);
     let expected = "\
-SERVICE  LIVE BACK ENDS  LEFT  LOAD AFTER
-slot     2 -> 1          50%   unknown
+SERVICE  LIVE BACKENDS  LEFT  LOAD AFTER
+slot     2 -> 1         50%   unknown
 drain/zone-ikeja: written, version 2
 ";
     assert_eq!(drained.stdout, expected);
@@ -88,30 +88,30 @@
     assert!(
         other
             .stderr
-            .contains("7009: zone yaba: a drain of it does not exist"),
+            .contains("7009: zone yaba: a drain with this target does not exist"),
         "{}",
         other.stderr
     );
     let shown = platform.run(&["undrain", "zone", "ikeja", "--dry-run"]);
     assert_eq!(shown.stdout, "drain/zone-ikeja: would be deleted\n");
-    let withdrawn = platform.run(&["undrain", "zone", "ikeja"]);
+    let deleted = platform.run(&["undrain", "zone", "ikeja"]);
     assert_eq!(
-        withdrawn.stdout, "drain/zone-ikeja: deleted\n",
+        deleted.stdout, "drain/zone-ikeja: deleted\n",
         "{}",
-        withdrawn.stderr
+        deleted.stderr
     );
     assert_eq!(drains(&platform), Vec::<Value>::new());
 }
 
 #[test]
-fn a_drain_that_leaves_nothing_needs_force() {
+fn drain_that_leaves_no_backend_needs_force() {
     let platform = platform_with_machines("drain-force");
     let refused = platform.run(&["drain", "service", "slot", "--no-wait"]);
     assert_eq!(refused.code, 1);
     assert!(
         refused
             .stderr
-            .contains("7019: no back end of slot would be left (allowed: with --force)"),
+            .contains("7019: no backend of slot would be left (allowed: with --force)"),
         "{}",
         refused.stderr
     );
@@ -131,22 +131,23 @@
     assert_eq!(forced.code, 0, "{}", forced.stderr);
 }
 
-/// Calls of the two back ends, the limit of the one that stays, and whether the drain is written.
+/// Cases: calls of the two backends, limit of the remaining one, its load after the drain, and
+/// whether the drain is accepted.
 #[test]
-fn a_drain_that_the_rest_cannot_carry_needs_force() {
+fn drain_that_overloads_the_remaining_backends_needs_force() {
     let platform = platform_with_machines("drain-load");
     let cases = [
         ([4, 3], 8, "88%", true),
         ([6, 3], 8, "112%", false),
         ([1, 0], 0, "none left", false),
     ];
-    for ([leaving, staying], limit, share, is_written) in cases {
+    for ([leaving, remaining], limit, share, is_accepted) in cases {
         let page = |id: &str, zone: &str, calls: u32, limit: u32| {
             json!({"id": id, "zone": zone, "service": "slot",
                 "admission": {"level": 32_768, "in_flight": calls, "limit": limit, "queued": 0}})
         };
         let first = TestDaemon::start(&page("slot-1", "ikeja", leaving, 8));
-        let second = TestDaemon::start(&page("slot-2", "yaba", staying, limit));
+        let second = TestDaemon::start(&page("slot-2", "yaba", remaining, limit));
         let addresses = format!("{},{}", first.address(), second.address());
         let drained = platform.run(&[
             "drain",
@@ -159,13 +160,15 @@
         assert!(drained.stdout.contains(share), "{}", drained.stdout);
         assert_eq!(
             drained.code,
-            i32::from(!is_written),
+            i32::from(!is_accepted),
             "{share}: {}",
             drained.stderr
         );
         assert_eq!(
-            drained.stderr.contains("7022: the rest of slot"),
-            !is_written,
+            drained
+                .stderr
+                .contains("7022: the remaining backends of slot"),
+            !is_accepted,
             "{}",
             drained.stderr
         );
@@ -173,7 +176,7 @@
 }
 
 #[test]
-fn a_second_drain_counts_only_what_the_first_left() {
+fn second_drain_counts_only_backends_that_the_first_left() {
     let platform = platform_with_machines("drain-second");
     assert_eq!(
         platform.run(&["drain", "zone", "ikeja", "--no-wait"]).code,
@@ -184,16 +187,16 @@
     assert!(
         refused
             .stdout
-            .contains("slot     1 -> 0          0%    unknown"),
+            .contains("slot     1 -> 0         0%    unknown"),
         "{}",
         refused.stdout
     );
 }
 
 #[test]
-fn the_drain_is_followed_by_its_status() {
+fn drain_is_followed_through_its_status() {
     let platform = platform_with_machines("drain-status");
-    let running = run_beside(&platform, &["drain", "zone", "ikeja"]);
+    let running = run_in_background(&platform, &["drain", "zone", "ikeja"]);
     wait_for_drain(&platform);
     let status = |in_flight: u64, reported: u32| {
         json!({"observed_version": 2, "verdict": {"state": "accepted"}, "zones": {
@@ -203,19 +206,19 @@
     let version = put_drain_status(&platform, 0, status(0, 0));
     let version = put_drain_status(&platform, version, status(3, 1));
     put_drain_status(&platform, version, status(0, 1));
-    let drained = running.join().expect("the run ends");
+    let drained = running.join().expect("the run completes");
     assert_eq!(drained.code, 0, "{}", drained.stderr);
     assert!(drained.stdout.contains("empty after"), "{}", drained.stdout);
 }
 
 #[test]
-fn a_rejected_drain_ends_the_following() {
+fn rejected_drain_stops_following() {
     let platform = platform_with_machines("drain-rejected");
-    let running = run_beside(&platform, &["drain", "zone", "ikeja"]);
+    let running = run_in_background(&platform, &["drain", "zone", "ikeja"]);
     wait_for_drain(&platform);
     let rejected = json!({"observed_version": 2, "verdict": {"state": "rejected", "code": 5102, "reason": "not this one", "last_good_in_force": false}});
     put_drain_status(&platform, 0, rejected);
-    let drained = running.join().expect("the run ends");
+    let drained = running.join().expect("the run completes");
     assert_eq!(drained.code, 1);
     assert!(
         drained
@@ -227,7 +230,7 @@
 }
 
 #[test]
-fn the_drain_is_followed_by_its_daemons() {
+fn drain_is_followed_through_status_pages_of_daemons() {
     let platform = platform_with_machines("drain-daemons");
     let page = |leaving: bool, calls: u32| json!({"id": "slot-1", "zone": "ikeja", "service": "slot", "leaving": leaving, "calls_in_flight": calls});
     let other = TestDaemon::start(
@@ -235,7 +238,7 @@
     );
     let daemon = TestDaemon::start(&page(false, 5));
     let addresses = format!("{},{}", daemon.address(), other.address());
-    let running = run_beside(
+    let running = run_in_background(
         &platform,
         &["drain", "zone", "ikeja", "--daemon", &addresses],
     );
@@ -243,17 +246,17 @@
     daemon.show_page(&page(true, 2), 2);
     assert!(!running.is_finished(), "calls are in flight");
     daemon.set_page(&page(true, 0));
-    let drained = running.join().expect("the run ends");
+    let drained = running.join().expect("the run completes");
     assert_eq!(drained.code, 0, "{}", drained.stderr);
     assert!(drained.stdout.contains("empty after"), "{}", drained.stdout);
 }
 
 #[test]
-fn bad_targets_are_named_with_what_is_allowed() {
+fn invalid_targets_are_reported_with_the_allowed_values() {
     for (arguments, message) in [
         (
             ["drain", "zones", "ikeja"],
-            "7005: target: \"zones ikeja\" is not valid: no target (allowed: zone NAME, service NAME or backend ID)",
+            "7005: target: \"zones ikeja\" is not valid: not a drain target (allowed: zone NAME, service NAME or backend ID)",
         ),
         (["drain", "zone", ""], "7005: target"),
         (
@@ -264,12 +267,12 @@
     ] {
         let mut all = arguments.to_vec();
         all.extend(["--platform", "127.0.0.1:1"]);
-        let refused = run(&all);
-        assert_eq!(refused.code, 2, "{arguments:?}");
+        let rejected = run(&all);
+        assert_eq!(rejected.code, 2, "{arguments:?}");
         assert!(
-            refused.stderr.contains(message),
+            rejected.stderr.contains(message),
             "{arguments:?}: {}",
-            refused.stderr
+            rejected.stderr
         );
     }
 }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` from files and from the platform.
+//! `explain` with a configuration from files and from the platform.
 
 mod support;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_request_is_explained_from_a_file() {
+fn request_is_explained_from_a_file() {
     let file = lagos();
     let explained = run(&[
         "explain",
@@ -33,12 +33,12 @@
 execution: may be executed again
 longest chain: slot -> record
 decision: admitted
-back ends: not known without --platform
+backends: not known without --platform
 ";
     assert_eq!(explained.stdout, expected);
 }
 
-/// Request line, headers, level, exit code, and the decision or error expected.
+/// Request line, headers, level, exit code, and the expected decision or error.
 type Case = (
     &'static str,
     &'static [&'static str],
@@ -110,12 +110,12 @@
         ],
         "32768",
         2,
-        "another UUID version",
+        "wrong UUID version",
     ),
 ];
 
 #[test]
-fn the_decision_follows_match_and_level() {
+fn decision_depends_on_match_and_level() {
     let file = lagos();
     for (line, headers, level, code, expected) in CASES {
         let mut arguments = vec!["explain", *line, "--file", &file, "--level", *level];
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn candidates_are_listed_with_the_reason() {
+fn candidates_are_listed_with_reasons() {
     let platform = TestPlatform::start();
     let applied = platform.run(&["apply", &lagos()]);
     assert_eq!(applied.code, 0, "{}", applied.stderr);
--- a/crates/cli/tests/plan.rs
+++ b/crates/cli/tests/plan.rs
@@ -1,13 +1,13 @@
-//! `plan` over scenarios, against figures worked out by hand.
+//! `plan` over scenarios, compared with values calculated by hand.
 
 mod support;
 
 use serde_json::Value;
 use support::{TestDirectory, run};
 
-/// Two services of two back ends with ten slots each in two zones. A `view` holds a slot of `front`
-/// for 30 ms (10 ms work, 20 ms in `back`) and one of `back` for 20 ms; a `report` holds one of
-/// `back` for 20 ms.
+/// Two services with two backends of ten slots each, in two zones. A `view` holds a slot of `front`
+/// for 30 ms (10 ms of work, 20 ms in `back`) and a slot of `back` for 20 ms; a `report` holds a
+/// slot of `back` for 20 ms.
 const SCENARIO: &str = r#"
 name = "small"
 zones = ["east", "west"]
@@ -63,10 +63,11 @@
 
 struct Case {
     flags: &'static [&'static str],
+    /// Expected exit code.
     code: i32,
-    /// Utilisation of `front` and `back` after the change.
+    /// Expected utilisation of `front` and `back` after the change.
     utilisation: [Option<f64>; 2],
-    /// Admitted share of `view` and `report`.
+    /// Expected admitted share of `view` and `report`.
     admitted: [f64; 2],
 }
 
@@ -78,15 +79,16 @@
         admitted: [1.0, 1.0],
     },
     Case {
-        // 600 views need 18 slots of front and 12 of back, which leaves 8 of the 20 that 1000
-        // reports need.
+        // 600 views need 18 slots of front and 12 of back. This leaves 8 slots of back for the 1000
+        // reports, which need 20.
         flags: &["--factor", "2"],
         code: 1,
         utilisation: [Some(0.9), Some(1.6)],
         admitted: [1.0, 0.4],
     },
     Case {
-        // 300 views need 6 of the 10 slots of back that are left; reports get 4 of 10.
+        // 300 views need 6 of the 10 remaining slots of back. This leaves 4 for the reports, which
+        // need 10.
         flags: &["--lose-zone", "east"],
         code: 1,
         utilisation: [Some(0.9), Some(1.6)],
@@ -111,7 +113,8 @@
         admitted: [1.0, 1.0],
     },
     Case {
-        // 1000 views need 30 of 20 slots of front; what is admitted leaves back for the reports.
+        // 1000 views need 30 slots of front, which has 20. The admitted views leave enough of back
+        // for the reports.
         flags: &["--rate", "view=1000", "--rate", "report=300"],
         code: 1,
         utilisation: [Some(1.5), Some(1.3)],
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn utilisation_and_refusals_are_those_worked_out_by_hand() {
+fn utilisation_and_refusals_match_hand_calculation() {
     let directory = TestDirectory::new("plan");
     let scenario = directory.file("small.toml", SCENARIO.as_bytes());
     for case in CASES {
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn the_drains_of_a_file_are_planned() {
+fn drains_of_a_file_are_planned() {
     let directory = TestDirectory::new("plan-file");
     let drains = directory.file(
         "drains.toml",
@@ -174,26 +177,26 @@
     );
 }
 
-/// Flags after `plan lagos`, and a part of the message expected.
-const BAD_FLAGS: &[(&[&str], &str)] = &[
+/// Flags after `plan lagos`, and a part of the expected message.
+const INVALID_FLAGS: &[(&[&str], &str)] = &[
     (&["--factor", "nan"], "7005: --factor"),
     (&["--factor", "-1"], "7005: --factor"),
     (&["--rate", "none=1"], "unknown request kind"),
     (&["--rate", "look_up_slots=inf"], "not a rate"),
-    (&["--rate", "look_up_slots"], "no kind and number"),
+    (&["--rate", "look_up_slots"], "not a kind and a number"),
     (
         &["--drain", "ikeja"],
         "allowed: zone=NAME, service=NAME or backend=ID",
     ),
     (
         &["--lose-zone", "ikja"],
-        "no back end is covered (allowed: apapa, ikeja, lekki, yaba)",
+        "no backend is covered (allowed: apapa, ikeja, lekki, yaba)",
     ),
 ];
 
 #[test]
-fn bad_flags_are_named_with_what_is_allowed() {
-    for (flags, message) in BAD_FLAGS {
+fn invalid_flags_are_reported_with_the_allowed_values() {
+    for (flags, message) in INVALID_FLAGS {
         let mut arguments = vec!["plan", "lagos"];
         arguments.extend(*flags);
         let planned = run(&arguments);
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The commands that read and write the platform, against a stand-in.
+//! The commands that read and write the platform, with an emulated platform.
 
 mod support;
 
@@ -9,7 +9,8 @@
 const TWO_SERVICES: &[u8] =
     b"[[service]]\nname = \"front\"\nslots = 10\ncalls = [\"back\"]\n[[service]]\nname = \"back\"\nslots = 4\n";
 
-/// A platform that holds two services, and a directory with their file.
+/// Starts a platform with two services, and returns it with a directory and the path of the
+/// services' file.
 fn platform_with_services(name: &str) -> (TestPlatform, TestDirectory, String) {
     let platform = TestPlatform::start();
     let directory = TestDirectory::new(name);
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn what_is_applied_can_be_read_and_applied_again() {
+fn applied_resources_can_be_read_and_reapplied() {
     let (platform, directory, path) = platform_with_services("apply");
     let listed = platform.run(&["get"]);
     let expected = "KIND     NAME   VERSION  AUTHOR\nservice  back   2        first\nservice  front  1        first\n";
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_dry_run_shows_the_difference_and_writes_nothing() {
+fn dry_run_shows_the_differences_and_writes_nothing() {
     let (platform, directory, _) = platform_with_services("dry-run");
     let changed = directory.file(
         "changed.toml",
@@ -103,12 +104,12 @@
 }
 
 #[test]
-fn a_conflict_names_who_changed_what_and_stops() {
+fn conflict_reports_author_and_changes_and_stops() {
     let (platform, directory, _) = platform_with_services("conflict");
     let theirs = directory.file("theirs.toml", b"[[service]]\nname = \"back\"\nslots = 6\n");
     let written = platform.run(&["apply", &theirs, "--author", "second"]);
     assert_eq!(written.code, 0, "{}", written.stderr);
-    // The reader sees the state before the other operator's write.
+    // The program reads the state before the other operator's write.
     platform.set_faults(FaultSwitches {
         serve_older_version: Some(2),
         ..FaultSwitches::default()
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_is_recognised() {
+fn write_with_a_lost_reply_is_recognised() {
     let (platform, directory, _) = platform_with_services("lost-answer");
     platform.set_faults(FaultSwitches {
         lose_answers: 1,
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_deletion_needs_the_expected_version_and_no_reference() {
+fn deletion_needs_the_expected_version_and_no_reference() {
     let (platform, _directory, _) = platform_with_services("delete");
     let referenced = platform.run(&["delete", "service", "back"]);
     assert_eq!(referenced.code, 1);
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn a_claim_group_is_deleted_only_with_force() {
+fn claim_group_is_deleted_only_with_force() {
     let (platform, directory, _) = platform_with_services("claim-group");
     let group = b"[[claim_group]]\nname = \"default\"\nepoch = 1\nreplicas = [\"a\"]\n";
     let path = directory.file("group.toml", group);
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn a_watch_prints_each_change_once() {
+fn watch_prints_each_change_once() {
     let (platform, _directory, _) = platform_with_services("watch");
     let watched = platform.run(&["watch", "service", "--from", "0", "--count", "2", "--json"]);
     assert_eq!(watched.code, 0, "{}", watched.stderr);
@@ -245,7 +246,7 @@
 }
 
 #[test]
-fn an_unreachable_platform_ends_with_code_three() {
+fn unreachable_platform_exits_with_code_three() {
     let directory = TestDirectory::new("unreachable");
     let path = directory.file("services.toml", TWO_SERVICES);
     let address = closed_address();
--- a/crates/cli/tests/platform_faults.rs
+++ b/crates/cli/tests/platform_faults.rs
@@ -1,4 +1,5 @@
-//! The commands while the platform is down, slow or silent, and while several operators write.
+//! The commands while the platform is down, slow or unresponsive, and while several operators
+//! write.
 
 mod support;
 
@@ -10,11 +11,11 @@
 use wharfquay_emulator::platform::FaultSwitches;
 
 struct Case {
-    what: &'static str,
+    name: &'static str,
     faults: FaultSwitches,
     arguments: &'static [&'static str],
     code: i32,
-    /// Parts of the standard error.
+    /// Expected parts of the standard error.
     messages: &'static [&'static str],
 }
 
@@ -22,7 +23,7 @@
     let faults = FaultSwitches::default;
     vec![
         Case {
-            what: "down",
+            name: "down",
             faults: FaultSwitches {
                 down: true,
                 ..faults()
@@ -32,7 +33,7 @@
             messages: &["6005: ", "503"],
         },
         Case {
-            what: "silent on a read",
+            name: "unresponsive to a read",
             faults: FaultSwitches {
                 hang: true,
                 ..faults()
@@ -42,7 +43,7 @@
             messages: &["6003: "],
         },
         Case {
-            what: "silent on a watch",
+            name: "unresponsive to a watch",
             faults: FaultSwitches {
                 hang: true,
                 ..faults()
@@ -52,7 +53,7 @@
             messages: &["6003: "],
         },
         Case {
-            what: "slow, so that progress is shown",
+            name: "slow, so that progress is shown",
             faults: FaultSwitches {
                 delay_ms: 2_300,
                 ..faults()
@@ -62,7 +63,7 @@
             messages: &["wharfquay: reading the platform's objects: 2 s"],
         },
         Case {
-            what: "older than before",
+            name: "serving an older version",
             faults: FaultSwitches {
                 serve_older_version: Some(0),
                 ..faults()
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn faults_of_the_platform_are_named() {
+fn platform_faults_are_reported() {
     let platform = TestPlatform::start();
     let directory = TestDirectory::new("platform-faults");
     let path = directory.file("slot.toml", b"[[service]]\nname = \"slot\"\nslots = 1\n");
@@ -83,12 +84,12 @@
     for case in cases() {
         platform.set_faults(case.faults);
         let run = platform.run(case.arguments);
-        assert_eq!(run.code, case.code, "{}: {}", case.what, run.stderr);
+        assert_eq!(run.code, case.code, "{}: {}", case.name, run.stderr);
         for message in case.messages {
             assert!(
                 run.stderr.contains(message),
                 "{}: {}",
-                case.what,
+                case.name,
                 run.stderr
             );
         }
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn a_watch_goes_on_after_an_outage() {
+fn watch_resumes_after_an_outage() {
     let platform = TestPlatform::start();
     let directory = TestDirectory::new("watch-outage");
     let path = |slots: u32| {
@@ -126,11 +127,11 @@
         ..FaultSwitches::default()
     });
     let message = next_line(&mut messages);
-    assert!(message.contains("opening it again"), "{message}");
+    assert!(message.contains("reopening"), "{message}");
     platform.set_faults(FaultSwitches::default());
     assert_eq!(platform.run(&["apply", &path(2)]).code, 0);
     assert!(next_line(&mut output).starts_with("2 put service/slot"));
-    assert!(watch.wait().expect("the watch ends").success());
+    assert!(watch.wait().expect("the watch exits").success());
 }
 
 fn next_line(reader: &mut impl BufRead) -> String {
@@ -163,7 +164,7 @@
         .collect();
     let runs: Vec<Run> = writers
         .into_iter()
-        .map(|writer| writer.join().expect("the run ends"))
+        .map(|writer| writer.join().expect("the run completes"))
         .collect();
     platform.set_faults(FaultSwitches::default());
     let (written, refused): (Vec<&Run>, Vec<&Run>) = runs.iter().partition(|run| run.code == 0);
@@ -178,13 +179,13 @@
     }
     let listed = platform.run(&["get", "service", "slot", "--json"]);
     let objects: serde_json::Value = serde_json::from_str(&listed.stdout).expect("JSON");
-    // Each write makes one version.
+    // Each successful write increments the version by one.
     assert_eq!(objects[0]["version"], 1 + written.len());
     assert!(!written.is_empty());
 }
 
 #[test]
-fn a_silent_platform_does_not_hold_a_command_for_long() {
+fn unresponsive_platform_does_not_block_a_command() {
     let platform = TestPlatform::start();
     platform.set_faults(FaultSwitches {
         hang: true,
--- a/crates/cli/tests/replay.rs
+++ b/crates/cli/tests/replay.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_same_configuration_decides_the_same() {
+fn same_configuration_makes_the_same_decisions() {
     let directory = TestDirectory::new("replay-same");
     let lines = [record(0, 32_768, None), record(9, 8_000, Some(3001))].join("\n");
     let records = directory.file("records.jsonl", lines.as_bytes());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn malformed_lines_are_named_and_the_others_replayed() {
+fn malformed_lines_are_reported_and_the_others_replayed() {
     let directory = TestDirectory::new("replay-malformed");
     let unknown = record(0, 32_768, None).replacen("{", "{\"speed\":1,", 1);
     let lines = ["{", "\u{fffd}", &unknown, &record(0, 32_768, None), ""].join("\n");
@@ -72,8 +72,8 @@
     assert_eq!(replayed.code, 1);
     assert_eq!(replayed.stdout, "1 records: 0 differ, 4 malformed\n");
     for line in [1, 2, 3, 5] {
-        let place = format!("{records}:{line}: record: ");
-        assert!(replayed.stderr.contains(&place), "{}", replayed.stderr);
+        let position = format!("{records}:{line}: record: ");
+        assert!(replayed.stderr.contains(&position), "{}", replayed.stderr);
     }
     let missing = run(&["replay", "/nonexistent.jsonl", "--file", &file]);
     assert_eq!(missing.code, 2);
@@ -85,11 +85,11 @@
 }
 
 #[test]
-fn a_broken_configuration_is_refused_with_its_problems() {
-    let directory = TestDirectory::new("replay-broken");
+fn invalid_configuration_is_rejected_with_its_problems() {
+    let directory = TestDirectory::new("replay-invalid");
     let records = directory.file("records.jsonl", record(0, 1, None).as_bytes());
-    let broken = directory.file("broken.toml", b"[[service]]\nname = \"a\"\nslots = 0\n");
-    let replayed = run(&["replay", &records, "--file", &broken]);
+    let invalid = directory.file("invalid.toml", b"[[service]]\nname = \"a\"\nslots = 0\n");
+    let replayed = run(&["replay", &records, "--file", &invalid]);
     assert_eq!(replayed.code, 1);
     assert!(
         replayed
--- a/crates/cli/tests/replay_of_daemon.rs
+++ b/crates/cli/tests/replay_of_daemon.rs
@@ -1,4 +1,4 @@
-//! The whole loop of decision records: a running edge's page, saved, played against another
+//! Decision records end to end: the page of a running edge, saved and replayed under another
 //! configuration.
 
 mod support;
@@ -11,7 +11,7 @@
 use wharfquay_daemon::settings::parse;
 use wharfquay_daemon::{Daemon, RunningDaemon};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn start_edge(platform: &TestPlatform) -> RunningDaemon {
     let text = format!(
@@ -26,29 +26,29 @@
     daemon.expect("the daemon starts")
 }
 
-/// Sends a request and gives head and body of the answer.
+/// Sends a request and returns the head and the body of the response.
 fn fetch(address: SocketAddr, service: &str, path: &str) -> (String, String) {
     let mut stream = TcpStream::connect(address).expect("a connection");
     let request = format!("GET {path} HTTP/1.1\r\nhost: {service}\r\nconnection: close\r\n\r\n");
     stream
         .write_all(request.as_bytes())
         .expect("the request is sent");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    let (head, body) = response.split_once("\r\n\r\n").expect("a head");
     (head.to_owned(), body.to_owned())
 }
 
 fn wait_until_ready(admin: SocketAddr) {
-    let give_up_at = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !fetch(admin, "admin", "/readyz").0.contains("200 OK") {
-        assert!(Instant::now() < give_up_at, "the edge is not ready");
+        assert!(Instant::now() < deadline, "the edge is not ready");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn decisions_of_a_running_edge_are_replayed_against_a_changed_configuration() {
+fn decisions_of_a_running_edge_are_replayed_under_a_changed_configuration() {
     let platform = TestPlatform::start();
     let resources = repository_file("scenarios/lagos.resources.toml");
     assert_eq!(platform.run(&["apply", &resources]).code, 0);
@@ -56,7 +56,7 @@
     let admin = daemon.addresses().admin.expect("an address");
     let edge = daemon.addresses().edge.expect("an address");
     wait_until_ready(admin);
-    // No back end runs; what the configuration makes of the requests is decided all the same.
+    // No backend runs. The edge still decides what the configuration determines.
     for (service, path) in [
         ("slot", "/slots/7"),
         ("eligibility", "/eligibility/7"),
--- a/crates/cli/tests/settings_page.rs
+++ b/crates/cli/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! The page of daemon settings names the fields, ranges and defaults that the daemon has.
+//! `docs/CONFIGURATION.md` lists the fields, ranges and defaults of the daemon's settings.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::{repository_file, run};
 use wharfquay_daemon::settings::parse;
 
-/// Settings with every table, and nothing that has a default.
+/// Settings with every table, and only the fields that have no default.
 const MINIMAL: &str = r#"
 id = "a"
 zone = "z"
@@ -55,6 +55,7 @@
         .collect()
 }
 
+/// Parses the minimal settings with one override; returns their debug form or the error message.
 fn with_override(field: &str, value: &str) -> Result<String, String> {
     let overrides = [format!("{field}={value}")];
     let settings = parse("settings", MINIMAL, &overrides);
@@ -63,14 +64,14 @@
         .map_err(|error| error.to_string())
 }
 
-/// The keys that the daemon's own message about an unknown key names.
+/// Returns the keys that the error message for an unknown key lists.
 fn known_keys(table: &str) -> Vec<String> {
     let field = if table.is_empty() {
         UNKNOWN_KEY.to_owned()
     } else {
         format!("{table}.{UNKNOWN_KEY}")
     };
-    let message = with_override(&field, "1").expect_err("an unknown key is refused");
+    let message = with_override(&field, "1").expect_err("an unknown key is rejected");
     let (_, expected) = message.split_once("expected ").expect("the known keys");
     expected
         .split('`')
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn the_page_has_every_field_of_the_daemon_and_no_other() {
+fn page_lists_exactly_the_fields_of_the_daemon() {
     let listed: BTreeSet<String> = rows().into_iter().map(|row| row.field).collect();
     let mut known = BTreeSet::new();
     for name in known_keys("") {
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn the_ranges_on_the_page_are_those_in_force() {
+fn ranges_on_the_page_match_the_daemon() {
     let numbers: Vec<Row> = rows()
         .into_iter()
         .filter(|row| row.field_type == "integer")
@@ -123,14 +124,14 @@
 }
 
 #[test]
-fn the_defaults_on_the_page_are_those_in_force() {
+fn defaults_on_the_page_match_the_daemon() {
     let without = format!(
         "{:?}",
         parse("settings", MINIMAL, &[]).expect("valid settings")
     );
     for row in rows() {
-        let is_needed = row.default == "required" || row.default.starts_with("with ");
-        if !is_needed {
+        let is_required = row.default == "required" || row.default.starts_with("with ");
+        if !is_required {
             let with = with_override(&row.field, &row.default);
             assert_eq!(with.as_deref(), Ok(without.as_str()), "{}", row.field);
         }
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn the_example_settings_and_scenarios_pass_the_check() {
+fn example_settings_and_scenarios_pass_the_check() {
     let files = [
         "examples/lagos/booking-1.daemon.toml",
         "examples/lagos/edge-ikeja.daemon.toml",
--- a/crates/cli/tests/status.rs
+++ b/crates/cli/tests/status.rs
@@ -1,4 +1,4 @@
-//! `status` from the platform's objects and from daemons.
+//! `status` from the platform's objects and from the status pages of daemons.
 
 mod support;
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_daemon_that_does_not_answer_is_named() {
+fn unreachable_daemon_is_reported() {
     let daemon = TestDaemon::start(&daemon_page("slot-1", "ikeja", 0));
     let closed = closed_address();
     let shown = run(&[
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_malformed_page_is_no_panic() {
+fn malformed_page_is_reported() {
     let daemon = TestDaemon::start(&json!(["not", "a", "status"]));
     let shown = run(&["status", "--daemon", &daemon.address()]);
     assert_eq!(shown.code, 1);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_watch_shows_the_status_again() {
+fn watch_shows_the_status_repeatedly() {
     let daemon = TestDaemon::start(&daemon_page("slot-1", "ikeja", 0));
     let address = daemon.address();
     let shown = run(&[
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_source_is_required_and_the_platform_must_answer() {
+fn source_is_required_and_the_platform_must_respond() {
     let none = run(&["status"]);
     assert_eq!(none.code, 2);
     assert!(
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the built program and the platform's stand-in.
+//! Runs the built program, the emulated platform and the admin side of a daemon.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of it")]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,14 +15,14 @@
 use wharfquay_emulator::platform::{FaultSwitches, PlatformSettings, RunningPlatform, start};
 use wharfquay_platform::{Client, ClientSettings};
 
-/// What a run of the program left.
+/// Exit code and output of one run of the program.
 pub(crate) struct Run {
     pub(crate) code: i32,
     pub(crate) stdout: String,
     pub(crate) stderr: String,
 }
 
-/// The program with these arguments and an environment without its variables.
+/// Returns a command of the program with these arguments, without the user's `WHARFQUAY_PLATFORM`.
 pub(crate) fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_wharfquay"));
     command
@@ -33,6 +33,7 @@
     command
 }
 
+/// Runs the program to its exit, and fails if it panicked.
 pub(crate) fn run(arguments: &[&str]) -> Run {
     let output = command(arguments).output().expect("the program runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("output is UTF-8");
@@ -45,7 +46,7 @@
     run
 }
 
-/// A directory of a test's own, removed at the end.
+/// A temporary directory of one test, removed when dropped.
 pub(crate) struct TestDirectory(PathBuf);
 
 impl TestDirectory {
@@ -69,12 +70,13 @@
     }
 }
 
+/// Returns the path of a file of the repository.
 pub(crate) fn repository_file(path: &str) -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     root.join(path).display().to_string()
 }
 
-/// A stand-in of the platform with a runtime of its own.
+/// An emulated platform with its own runtime.
 pub(crate) struct TestPlatform {
     runtime: Runtime,
     platform: RunningPlatform,
@@ -86,7 +88,7 @@
         let listen: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         let platform = runtime
             .block_on(start(PlatformSettings::new(listen)))
-            .expect("the stand-in starts");
+            .expect("the emulated platform starts");
         Self { runtime, platform }
     }
 
@@ -98,7 +100,7 @@
         self.platform.set_faults(faults);
     }
 
-    /// A client of this platform.
+    /// Creates a client of this platform.
     pub(crate) fn client(&self) -> Client {
         let address = self.platform.address();
         Client::new(vec![address], ClientSettings::default())
@@ -117,17 +119,18 @@
     }
 }
 
-/// A loopback address on which nobody listens.
+/// Returns a loopback address that nothing listens on.
 pub(crate) fn closed_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address").to_string()
 }
 
-/// The admin side of a daemon: answers every request with the page that was set last.
+/// Emulates the admin side of a daemon: responds to every request with the current page.
 pub(crate) struct TestDaemon {
     address: SocketAddr,
     page: Arc<Mutex<String>>,
-    answered: Arc<AtomicUsize>,
+    /// Number of responses so far.
+    responses: Arc<AtomicUsize>,
 }
 
 impl TestDaemon {
@@ -136,19 +139,19 @@
         let address = listener.local_addr().expect("an address");
         let page = Arc::new(Mutex::new(page.to_string()));
         let served = Arc::clone(&page);
-        let answered = Arc::new(AtomicUsize::new(0));
-        let counter = Arc::clone(&answered);
+        let responses = Arc::new(AtomicUsize::new(0));
+        let counter = Arc::clone(&responses);
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let page = served.lock().expect("the page").clone();
-                let _ = answer(stream, &page);
+                let _ = respond(stream, &page);
                 counter.fetch_add(1, Ordering::SeqCst);
             }
         });
         Self {
             address,
             page,
-            answered,
+            responses,
         }
     }
 
@@ -156,14 +159,14 @@
         self.address.to_string()
     }
 
-    /// Sets the page and waits until it was read `reads` times.
+    /// Sets the page and waits until it has been read `reads` times.
     pub(crate) fn show_page(&self, page: &Value, reads: usize) {
         *self.page.lock().expect("the page") = page.to_string();
-        // A read that was under way may have answered with the page before.
-        let enough = self.answered.load(Ordering::SeqCst) + 1 + reads;
-        let give_up_at = Instant::now() + Duration::from_secs(10);
-        while self.answered.load(Ordering::SeqCst) < enough {
-            assert!(Instant::now() < give_up_at, "the page is not read");
+        // A read in progress may have received the previous page.
+        let expected = self.responses.load(Ordering::SeqCst) + 1 + reads;
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while self.responses.load(Ordering::SeqCst) < expected {
+            assert!(Instant::now() < deadline, "the page is not read");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -174,7 +177,7 @@
     }
 }
 
-fn answer(mut stream: TcpStream, page: &str) -> std::io::Result<()> {
+fn respond(mut stream: TcpStream, page: &str) -> std::io::Result<()> {
     let mut head = Vec::new();
     let mut buffer = [0; 1_024];
     while !head.windows(4).any(|window| window == b"\r\n\r\n") {
