--- a/crates/cli/tests/trace.rs
+++ b/crates/cli/tests/trace.rs
@@ -1,8 +1,8 @@
-//! The story of a request from logs that are mixed, damaged and incomplete.
+//! `trace` of a request from logs that are interleaved, damaged and incomplete.
 
 use std::process::{Command, Output};
 
-const LOG_OF_EDGE: &str = "\
+const EDGE_LOG: &str = "\
 event=started time=2026-12-02T10:00:00.000+00:00 level=INFO id=a
 event=configuration_in_force time=2026-12-02T10:00:01.000+00:00 level=INFO version=6 routes=2 previous=0
 event=configuration_in_force time=2026-12-02T10:00:02.000+00:00 level=INFO version=7 routes=2 previous=6
@@ -11,7 +11,7 @@
 event=configuration_in_force time=2026-12-02T10:00:09.000+00:00 level=INFO version=8 routes=2 previous=7
 event=log_dropped time=2026-12-02T10:00:09.000+00:00 level=WARN lines=12
 ";
-const LOG_OF_BACK_END: &str = "\
+const BACKEND_LOG: &str = "\
   5.1 machine-b event=request_ended time=2026-12-02T10:00:05.200+00:00 level=INFO request=77aa.01 origin=1 route=inner result=3006 name=NoBackend status=503 attempts=none
   5.3 machine-b event=call_ended time=2026-12-02T10:00:05.290+00:00 level=INFO request=77aa origin=1 instance=i result=1000 name=Answered status=500
   5.3 machine-b event=call_ended time=2026-12-02T10:00
@@ -19,12 +19,12 @@
 ";
 
 fn trace(name: &str, request: &str) -> Output {
-    let folder =
+    let directory =
         std::env::temp_dir().join(format!("wharfquay-trace-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let files = [("edge.log", LOG_OF_EDGE), ("back.log", LOG_OF_BACK_END)];
+    std::fs::create_dir_all(&directory).unwrap();
+    let files = [("edge.log", EDGE_LOG), ("back.log", BACKEND_LOG)];
     let paths = files.map(|(name, text)| {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, text).unwrap();
         path
     });
@@ -34,12 +34,12 @@
         .args(paths)
         .output()
         .unwrap();
-    std::fs::remove_dir_all(folder).unwrap();
+    std::fs::remove_dir_all(directory).unwrap();
     output
 }
 
 #[test]
-fn the_calls_of_a_request_are_told_with_what_was_believed() {
+fn calls_of_a_request_are_shown_with_the_prior_state() {
     let output = trace("found", "77aa");
     assert_eq!(output.status.code(), Some(0));
     let text = String::from_utf8(output.stdout).unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_request_that_no_line_names_is_a_problem() {
+fn request_without_a_log_line_is_a_problem() {
     let output = trace("absent", "99");
     assert_eq!(output.status.code(), Some(1));
 }
--- a/crates/cli/tests/usage.rs
+++ b/crates/cli/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Help, version, completion and wrong use of every command.
+//! Help, version, completion and usage errors of every command.
 
 mod support;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_version_is_printed() {
+fn version_is_printed() {
     let version = run(&["--version"]);
     assert_eq!(
         version.stdout,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn completion_scripts_name_every_command_and_its_flags() {
+fn completion_scripts_have_every_command_and_its_flags() {
     for shell in ["bash", "zsh", "fish"] {
         let script = run(&["completion", shell]);
         assert_eq!(script.code, 0);
@@ -57,8 +57,8 @@
     }
 }
 
-/// Arguments, and the start of the one line on the standard error.
-const WRONG_USE: &[(&[&str], &str)] = &[
+/// Arguments, and the start of the only line on the standard error.
+const USAGE_ERRORS: &[(&[&str], &str)] = &[
     (
         &["chek"],
         "wharfquay: 7001: unknown command \"chek\", did you mean \"check\"? (allowed: check, ",
@@ -114,8 +114,8 @@
 ];
 
 #[test]
-fn wrong_use_is_named_with_what_is_allowed() {
-    for (arguments, message) in WRONG_USE {
+fn usage_errors_are_reported_with_the_allowed_values() {
+    for (arguments, message) in USAGE_ERRORS {
         let run = run(arguments);
         assert_eq!(run.code, 2, "{arguments:?}: {}", run.stderr);
         assert!(
--- a/crates/cli/tests/with_daemon.rs
+++ b/crates/cli/tests/with_daemon.rs
@@ -1,4 +1,4 @@
-//! The commands against a daemon that runs.
+//! The commands with a running daemon.
 
 mod support;
 
@@ -12,9 +12,9 @@
 use wharfquay_daemon::{Daemon, RunningDaemon};
 use wharfquay_platform::wire::{Machine, MachineState};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A daemon beside a back end that nobody runs, in the machine list of the platform.
+/// Starts a daemon whose backend does not run, and adds it to the platform's machine list.
 fn start_daemon(platform: &TestPlatform) -> RunningDaemon {
     let text = format!(
         "id = \"booking-1\"\nzone = \"ikeja\"\n\
@@ -50,24 +50,24 @@
 }
 
 fn wait_until_ready(admin: &str) -> String {
-    let give_up_at = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let shown = run(&["status", "--daemon", admin]);
         if shown.stdout.contains("ready  ") && !shown.stdout.contains("not ready") {
             return shown.stdout;
         }
-        assert!(Instant::now() < give_up_at, "not ready: {}", shown.stdout);
+        assert!(Instant::now() < deadline, "not ready: {}", shown.stdout);
     }
 }
 
-/// What the command reads of the daemon's status page is on it, under the same names.
-fn check_fit(admin: &str) {
+/// Checks that every field that the command reads has the same name and value on the status page.
+fn check_status_fields(admin: &str) {
     let shown = run(&["status", "--daemon", admin, "--json"]);
     let report: Value = serde_json::from_str(&shown.stdout).expect("JSON");
     let read = &report["daemons"][0]["status"];
     let read = read.as_object().expect("a status");
     let page: Value = serde_json::from_str(&page(admin)).expect("JSON");
-    assert_eq!(page["members_live"], 1, "gossip knows the daemon itself");
+    assert_eq!(page["members_live"], 1, "gossip counts the daemon itself");
     for (key, value) in read {
         let Some(fields) = value.as_object() else {
             assert_eq!(&page[key], value, "{key}");
@@ -79,21 +79,21 @@
     }
 }
 
-/// The status page as the daemon serves it.
+/// Returns the status page as the daemon serves it.
 fn page(admin: &str) -> String {
     let mut stream = TcpStream::connect(admin).expect("a connection");
     let request = "GET /status HTTP/1.1\r\nhost: admin\r\nconnection: close\r\n\r\n";
     stream
         .write_all(request.as_bytes())
         .expect("the request is sent");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    let (_, body) = answer.split_once("\r\n\r\n").expect("a head");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    let (_, body) = response.split_once("\r\n\r\n").expect("a head");
     body.to_owned()
 }
 
 #[test]
-fn a_running_daemon_is_shown_drained_and_taken_back() {
+fn running_daemon_is_shown_drained_and_undrained() {
     let platform = TestPlatform::start();
     let resources = repository_file("scenarios/lagos.resources.toml");
     assert_eq!(platform.run(&["apply", &resources]).code, 0);
@@ -109,7 +109,7 @@
         "{row}"
     );
     assert_eq!(cells[8], "open", "{row}");
-    check_fit(&admin);
+    check_status_fields(&admin);
 
     let drained = platform.run(&["drain", "zone", "ikeja", "--daemon", &admin]);
     assert_eq!(drained.code, 0, "{}", drained.stderr);
@@ -120,7 +120,7 @@
     let back = platform.run(&["undrain", "zone", "ikeja", "--daemon", &admin]);
     assert_eq!(back.code, 0, "{}{}", back.stdout, back.stderr);
     assert!(
-        back.stdout.contains("taking part again after"),
+        back.stdout.contains("serving again after"),
         "{}",
         back.stdout
     );
