--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -41,11 +41,11 @@
     examples: &[
         Example {
             line: "wharfquay apply scenarios/lagos.resources.toml --dry-run --platform 127.0.0.1:7000",
-            meaning: "Show the differences and write nothing.",
+            description: "Show the differences and write nothing.",
         },
         Example {
             line: "wharfquay apply scenarios/lagos.resources.toml --platform 127.0.0.1:7000",
-            meaning: "Write the resources.",
+            description: "Write the resources.",
         },
     ],
     run,
@@ -98,7 +98,7 @@
 }
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
-    let read = read_files(&arguments.paths());
+    let read = read_files(&arguments.positional_paths());
     if !read.problems.is_empty() {
         print_error_lines(&read.problems);
         return Ok(ExitStatus::ProblemFound);
@@ -240,19 +240,19 @@
     output: &mut Output,
 ) -> Result<(), CliError> {
     if arguments.has("json") {
-        return output.json(&results);
+        return output.write_json(&results);
     }
     for result in results {
         let version = result
             .version
             .map_or_else(String::new, |version| format!(", version {version}"));
-        output.line(&format!(
+        output.write_line(&format!(
             "{}: {}{version}",
             result.id,
             result.outcome.as_str()
         ))?;
         if result.outcome != WriteOutcome::Unchanged {
-            output.text(&change_lines(&result.change))?;
+            output.write_text(&change_lines(&result.change))?;
         }
     }
     Ok(())
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns every value of a flag as a path.
-    pub(crate) fn path_values(&self, flag: &str) -> Vec<PathBuf> {
+    pub(crate) fn flag_paths(&self, flag: &str) -> Vec<PathBuf> {
         let values = self.flags.get(flag).into_iter().flatten();
         values.map(PathBuf::from).collect()
     }
@@ -113,12 +113,12 @@
     }
 
     /// Returns the positional arguments as paths.
-    pub(crate) fn paths(&self) -> Vec<PathBuf> {
+    pub(crate) fn positional_paths(&self) -> Vec<PathBuf> {
         self.positionals.iter().map(PathBuf::from).collect()
     }
 
     /// Returns the positional arguments as text.
-    pub(crate) fn words(&self) -> Vec<String> {
+    pub(crate) fn positional_texts(&self) -> Vec<String> {
         self.positionals
             .iter()
             .map(|value| value.to_string_lossy().into_owned())
--- a/crates/cli/src/check/mod.rs
+++ b/crates/cli/src/check/mod.rs
@@ -30,15 +30,15 @@
     examples: &[
         Example {
             line: "wharfquay check scenarios/lagos.resources.toml",
-            meaning: "Check one file.",
+            description: "Check one file.",
         },
         Example {
             line: "wharfquay check examples/lagos/booking-1.daemon.toml scenarios/lagos.toml",
-            meaning: "Check a daemon's settings and a scenario.",
+            description: "Check a daemon's settings and a scenario.",
         },
         Example {
             line: "wharfquay check --strict --json services.toml drains.toml",
-            meaning: "Check two files as one set, fail on warnings too, and print JSON.",
+            description: "Check two files as one set, fail on warnings too, and print JSON.",
         },
     ],
     run,
@@ -55,16 +55,16 @@
 }
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
-    let paths = arguments.paths();
+    let paths = arguments.positional_paths();
     let read = read_files(&paths);
     let mut parsed = check_files(&read.files);
     parsed.problems.splice(0..0, read.problems);
     let report = report_on(&parsed, paths.len());
     if arguments.has("json") {
-        output.json(&report)?;
+        output.write_json(&report)?;
     } else {
         print_problems(&parsed.problems, output)?;
-        output.line(&format!(
+        output.write_line(&format!(
             "{} files, {} resources: {} errors, {} warnings",
             report.files, report.resources, report.errors, report.warnings
         ))?;
@@ -96,7 +96,7 @@
 /// Prints one line for each problem to the standard output.
 pub(crate) fn print_problems(problems: &[Problem], output: &mut Output) -> Result<(), CliError> {
     for problem in problems {
-        output.line(&problem.to_string())?;
+        output.write_line(&problem.to_string())?;
     }
     Ok(())
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -62,7 +62,7 @@
     /// The command line, including the program's name.
     pub(crate) line: &'static str,
     /// What the command line does, in one sentence.
-    pub(crate) meaning: &'static str,
+    pub(crate) description: &'static str,
 }
 
 /// Specification of a command, for its help text, argument parsing and shell completion, and its
--- a/crates/cli/src/completion.rs
+++ b/crates/cli/src/completion.rs
@@ -21,22 +21,22 @@
     examples: &[
         Example {
             line: "source <(wharfquay completion bash)",
-            meaning: "Complete in the current bash.",
+            description: "Complete in the current bash.",
         },
         Example {
             line: "wharfquay completion zsh > ~/.zfunc/_wharfquay",
-            meaning: "Install for zsh; the directory has to be in fpath.",
+            description: "Install for zsh; the directory has to be in fpath.",
         },
         Example {
             line: "wharfquay completion fish > ~/.config/fish/completions/wharfquay.fish",
-            meaning: "Install for fish.",
+            description: "Install for fish.",
         },
     ],
     run,
 };
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
-    let shell = arguments.words().concat();
+    let shell = arguments.positional_texts().concat();
     let script = match shell.as_str() {
         "bash" => bash(),
         "zsh" => zsh(),
@@ -50,7 +50,7 @@
             ));
         }
     };
-    output.text(&script)?;
+    output.write_text(&script)?;
     Ok(ExitStatus::Success)
 }
 
--- a/crates/cli/src/configuration.rs
+++ b/crates/cli/src/configuration.rs
@@ -18,7 +18,7 @@
 
 /// Reads the configuration from the files of `--file` or, without them, from the platform.
 pub(crate) fn read_configuration(arguments: &Arguments) -> Result<Snapshot, CliError> {
-    let paths = arguments.path_values(FILE.name);
+    let paths = arguments.flag_paths(FILE.name);
     if paths.is_empty() {
         return read_from_platform(arguments);
     }
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -23,11 +23,11 @@
 /// Environment variable with the author's name, used without `--author`.
 const USER_VARIABLE: &str = "USER";
 const UNKNOWN_AUTHOR: &str = "unknown";
-const ADDRESS_FORM: &str = "ip:port, several separated by commas";
+const ALLOWED_ADDRESS: &str = "ip:port, several separated by commas";
 /// Interval of progress messages; the first one comes after this time.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
-const TIMEOUT_FORM: &str = "1 to 3600000, in milliseconds";
+const ALLOWED_TIMEOUT: &str = "1 to 3600000, in milliseconds";
 const MAXIMUM_TIMEOUT_MS: u64 = 3_600_000;
 
 pub(crate) const PLATFORM: Flag = Flag::with_value(
@@ -77,7 +77,7 @@
 pub(crate) fn connect(arguments: &Arguments) -> Result<Client, CliError> {
     let addresses = platform_addresses(arguments)?.ok_or(CliError::MissingFlag {
         flag: PLATFORM.name,
-        allowed: ADDRESS_FORM,
+        allowed: ALLOWED_ADDRESS,
     })?;
     let timeout = timeout(arguments)?;
     let defaults = ClientSettings::default();
@@ -111,13 +111,13 @@
 pub(crate) fn parse_addresses(name: &str, text: &str) -> Result<Vec<SocketAddr>, CliError> {
     let parts = text.split(',').map(str::trim);
     parts
-        .map(|part| parse_value(name, part, ADDRESS_FORM))
+        .map(|part| parse_value(name, part, ALLOWED_ADDRESS))
         .collect()
 }
 
 /// Returns the timeout of reads and writes.
 pub(crate) fn timeout(arguments: &Arguments) -> Result<Duration, CliError> {
-    let specified: Option<u64> = arguments.value(TIMEOUT.name, TIMEOUT_FORM)?;
+    let specified: Option<u64> = arguments.value(TIMEOUT.name, ALLOWED_TIMEOUT)?;
     let millis = specified.unwrap_or(DEFAULT_TIMEOUT_MS);
     if (1..=MAXIMUM_TIMEOUT_MS).contains(&millis) {
         return Ok(Duration::from_millis(millis));
@@ -126,7 +126,7 @@
         "--timeout-ms",
         &millis.to_string(),
         "out of range",
-        TIMEOUT_FORM,
+        ALLOWED_TIMEOUT,
     ))
 }
 
--- a/crates/cli/src/delete.rs
+++ b/crates/cli/src/delete.rs
@@ -17,7 +17,7 @@
 use crate::output::{Output, progress};
 use crate::write::write_or_report;
 
-const VERSION_FORM: &str = "the version that `wharfquay get` shows";
+const ALLOWED_VERSION: &str = "the version that `wharfquay get` shows";
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "delete",
@@ -48,20 +48,20 @@
     examples: &[
         Example {
             line: "wharfquay delete drain ikeja --platform 127.0.0.1:7000",
-            meaning: "Delete a drain.",
+            description: "Delete a drain.",
         },
         Example {
             line: "wharfquay delete service export --dry-run --expected-version 12",
-            meaning: "Show whether the deletion would be accepted.",
+            description: "Show whether the deletion would be accepted.",
         },
     ],
     run,
 };
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
-    let words = arguments.words();
+    let words = arguments.positional_texts();
     let id = parse_id(&words[0], &words[1])?;
-    let expected: Option<u64> = arguments.value("expected-version", VERSION_FORM)?;
+    let expected: Option<u64> = arguments.value("expected-version", ALLOWED_VERSION)?;
     let client = connect(arguments)?;
     block_on(async {
         let view = PlatformView::read(&client).await?;
@@ -83,7 +83,7 @@
             return dry_run(&id, current, version, output);
         }
         delete(&client, &id, current, version, &author(arguments)).await?;
-        output.line(&format!("{id}: deleted"))?;
+        output.write_line(&format!("{id}: deleted"))?;
         Ok(ExitStatus::Success)
     })
 }
@@ -109,10 +109,10 @@
             current.author,
             expected.number()
         );
-        output.line(&line)?;
+        output.write_line(&line)?;
         return Ok(ExitStatus::ProblemFound);
     }
-    output.line(&format!(
+    output.write_line(&format!(
         "{id}: would be deleted: version {found} by \"{}\"",
         current.author
     ))?;
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -58,11 +58,11 @@
     examples: &[
         Example {
             line: "wharfquay demo",
-            meaning: "Run the Lagos deployment for 30 s.",
+            description: "Run the Lagos deployment for 30 s.",
         },
         Example {
             line: "wharfquay demo --scenario gujarat --seconds 20 --json",
-            meaning: "Run the Gujarat deployment and print the result as JSON.",
+            description: "Run the Gujarat deployment and print the result as JSON.",
         },
     ],
     run,
@@ -89,9 +89,9 @@
     runtime.shutdown_background();
     let report = result.unwrap_or(Err(DeploymentError::TooLong(RUN_TIMEOUT)))?;
     if arguments.has(JSON.name) {
-        output.json(&report)?;
+        output.write_json(&report)?;
     } else {
-        output.text(&report.to_string())?;
+        output.write_text(&report.to_string())?;
     }
     Ok(exit_status_of(&report))
 }
--- a/crates/cli/src/drain/follow.rs
+++ b/crates/cli/src/drain/follow.rs
@@ -57,7 +57,7 @@
         let pending = match poll(options, &mut covered).await {
             DrainProgress::Empty => {
                 let millis = started.elapsed().as_millis();
-                output.line(&format!("empty after {millis} ms"))?;
+                output.write_line(&format!("empty after {millis} ms"))?;
                 return Ok(ExitStatus::Success);
             }
             DrainProgress::Rejected(reason) => {
@@ -91,7 +91,7 @@
         let ids: Vec<&str> = leaving.map(|status| status.id.as_str()).collect();
         if ids.is_empty() {
             let millis = started.elapsed().as_millis();
-            output.line(&format!("serving again after {millis} ms"))?;
+            output.write_line(&format!("serving again after {millis} ms"))?;
             return Ok(ExitStatus::Success);
         }
         if started.elapsed() >= REPORT_ALLOWANCE {
@@ -107,9 +107,9 @@
 /// Reads the resource's status. While that is pending and daemons are specified, their status pages
 /// decide.
 async fn poll(options: &FollowOptions<'_>, covered: &mut CoveredDaemons) -> DrainProgress {
-    let by_status = poll_status(options).await;
-    if options.daemons.is_empty() || !matches!(by_status, DrainProgress::Pending(_)) {
-        return by_status;
+    let resource_progress = poll_status(options).await;
+    if options.daemons.is_empty() || !matches!(resource_progress, DrainProgress::Pending(_)) {
+        return resource_progress;
     }
     let views = read_daemons(&options.daemons, DAEMON_TIMEOUT).await;
     covered.update(options, &views);
--- a/crates/cli/src/drain/mod.rs
+++ b/crates/cli/src/drain/mod.rs
@@ -31,8 +31,8 @@
 
 pub(crate) use undrain::COMMAND as UNDRAIN;
 
-const TARGET_FORM: &str = "zone NAME, service NAME or backend ID";
-const LIMIT_FORM: &str = "0 to 3600000, in milliseconds";
+const ALLOWED_TARGET: &str = "zone NAME, service NAME or backend ID";
+const ALLOWED_LIMIT: &str = "0 to 3600000, in milliseconds";
 const DEFAULT_LIMIT_MS: u32 = 30_000;
 
 pub(crate) const NO_WAIT: Flag = Flag::switch("no-wait", "Write and do not follow");
@@ -76,11 +76,11 @@
     examples: &[
         Example {
             line: "wharfquay drain zone ikeja --platform 127.0.0.1:7000",
-            meaning: "Drain a zone and follow until it has no call in flight.",
+            description: "Drain a zone and follow until it has no call in flight.",
         },
         Example {
             line: "wharfquay drain backend booking-1 --no-wait",
-            meaning: "Write the drain and do not follow it.",
+            description: "Write the drain and do not follow it.",
         },
     ],
     run,
@@ -94,13 +94,13 @@
 
 /// Reads the drain target from the positional arguments.
 fn read_target(arguments: &Arguments) -> Result<DrainTarget, CliError> {
-    let words = arguments.words();
+    let words = arguments.positional_texts();
     drain_target(&words[0], &words[1]).ok_or_else(|| {
         CliError::invalid_value(
             "target",
             &words.join(" "),
             "not a drain target",
-            TARGET_FORM,
+            ALLOWED_TARGET,
         )
     })
 }
@@ -116,14 +116,14 @@
         let statuses = read_statuses(&daemons, timeout(arguments)?).await;
         let estimate = estimate(snapshot, &drain.target, &machines.machines)
             .with_load(&drain.target, &statuses);
-        output.text(&estimate.render())?;
+        output.write_text(&estimate.render())?;
         check_drain(arguments, snapshot, &drain, &estimate)?;
         if arguments.has("dry-run") {
             return Ok(ExitStatus::Success);
         }
         let version = write_drain(&client, &view, &drain, &author(arguments)).await?;
         let id = Resource::Drain(drain.clone()).id();
-        output.line(&format!("{id}: written, version {}", version.number()))?;
+        output.write_line(&format!("{id}: written, version {}", version.number()))?;
         if arguments.has(NO_WAIT.name) {
             return Ok(ExitStatus::Success);
         }
@@ -139,7 +139,7 @@
 
 fn read_drain(arguments: &Arguments) -> Result<Drain, CliError> {
     let target = read_target(arguments)?;
-    let limit: Option<u32> = arguments.value("limit-ms", LIMIT_FORM)?;
+    let limit: Option<u32> = arguments.value("limit-ms", ALLOWED_LIMIT)?;
     let name = arguments.text("name");
     let drain = Drain {
         name: name.unwrap_or_else(|| default_name(&target)),
@@ -149,11 +149,11 @@
     let spec = to_spec(&Resource::Drain(drain.clone()));
     match read_spec(ResourceKind::Drain, &spec) {
         Ok(_) => Ok(drain),
-        Err(findings) => Err(CliError::InvalidResource(join(&findings))),
+        Err(findings) => Err(CliError::InvalidResource(join_findings(&findings))),
     }
 }
 
-fn join(findings: &[Finding]) -> String {
+fn join_findings(findings: &[Finding]) -> String {
     let texts: Vec<String> = findings.iter().map(ToString::to_string).collect();
     texts.join("; ")
 }
--- a/crates/cli/src/drain/undrain.rs
+++ b/crates/cli/src/drain/undrain.rs
@@ -38,11 +38,11 @@
     examples: &[
         Example {
             line: "wharfquay undrain zone ikeja --platform 127.0.0.1:7000",
-            meaning: "Let a zone serve again.",
+            description: "Let a zone serve again.",
         },
         Example {
             line: "wharfquay undrain backend booking-1 --dry-run",
-            meaning: "Show which drains would be deleted.",
+            description: "Show which drains would be deleted.",
         },
     ],
     run,
@@ -57,16 +57,16 @@
         let drains = drains_of(&view, &target);
         if drains.is_empty() {
             return Err(CliError::NotFound(
-                arguments.words().join(" ") + ": a drain with this target",
+                arguments.positional_texts().join(" ") + ": a drain with this target",
             ));
         }
         for (id, object) in drains {
             if arguments.has("dry-run") {
-                output.line(&format!("{id}: would be deleted"))?;
+                output.write_line(&format!("{id}: would be deleted"))?;
                 continue;
             }
             delete(&client, id, object, object.version, &author(arguments)).await?;
-            output.line(&format!("{id}: deleted"))?;
+            output.write_line(&format!("{id}: deleted"))?;
         }
         let is_followed = !arguments.has("dry-run") && !arguments.has(NO_WAIT.name);
         if daemons.is_empty() || !is_followed {
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -48,7 +48,7 @@
     },
     /// 7002: {command}: unknown flag "{given}"{hint} (allowed: {allowed})
     UnknownFlag {
-        /// The command.
+        /// Name of the command.
         command: &'static str,
         /// The flag as specified.
         given: String,
@@ -61,7 +61,7 @@
     MalformedArgument(String),
     /// 7004: {command}: {given} arguments (allowed: {allowed})
     ArgumentCount {
-        /// The command.
+        /// Name of the command.
         command: &'static str,
         /// Number of arguments.
         given: usize,
@@ -98,7 +98,7 @@
     StillReferenced(String),
     /// 7011: {path}:{line}: record: {problem} (allowed: a decision record)
     MalformedRecord {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// Line of the file, from 1.
         line: usize,
@@ -107,7 +107,7 @@
     },
     /// 7012: {path}: can't be read: {source} (allowed: a readable file)
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// Error of the operating system.
         source: io::Error,
--- a/crates/cli/src/explain/candidates.rs
+++ b/crates/cli/src/explain/candidates.rs
@@ -46,7 +46,7 @@
 ) -> Candidate {
     let leaving = leaving_reason(snapshot, service, machine);
     let usable = leaving.is_none();
-    let reason = leaving.unwrap_or_else(|| preference(zone, &machine.zone));
+    let reason = leaving.unwrap_or_else(|| zone_preference(zone, &machine.zone));
     Candidate {
         id: machine.id.clone(),
         zone: machine.zone.clone(),
@@ -69,7 +69,8 @@
     Some(format!("leaving by drain {}", drain.name))
 }
 
-fn preference(zone: Option<&str>, machine_zone: &str) -> String {
+/// Describes the preference for a live backend by its zone and that of the edge.
+fn zone_preference(zone: Option<&str>, machine_zone: &str) -> String {
     match zone {
         Some(zone) if zone == machine_zone => "in the edge's zone, preferred",
         Some(_) => "in another zone, used when the edge's zone is loaded",
--- a/crates/cli/src/explain/mod.rs
+++ b/crates/cli/src/explain/mod.rs
@@ -25,8 +25,8 @@
 use crate::output::Output;
 use crate::table::TextTable;
 
-const LEVEL_FORM: &str = "0 (closed) to 32768 (open)";
-const RANK_FORM: &str = "0 to 4095";
+const ALLOWED_LEVEL: &str = "0 (closed) to 32768 (open)";
+const ALLOWED_RANK: &str = "0 to 4095";
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "explain",
@@ -65,11 +65,11 @@
     examples: &[
         Example {
             line: "wharfquay explain 'GET /slots' --header 'host: slot' --file scenarios/lagos.resources.toml",
-            meaning: "Explain a request under the configuration in a file.",
+            description: "Explain a request under the configuration in a file.",
         },
         Example {
             line: "wharfquay explain 'POST /appointments' --header 'wharfquay-service: booking' --zone ikeja --platform 127.0.0.1:7000",
-            meaning: "Explain a request under the configuration in force, with the candidate backends.",
+            description: "Explain a request under the configuration in force, with the candidate backends.",
         },
     ],
     run,
@@ -95,10 +95,10 @@
 }
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
-    let level: Option<u16> = arguments.value("level", LEVEL_FORM)?;
-    let rank: Option<u16> = arguments.value("rank", RANK_FORM)?;
+    let level: Option<u16> = arguments.value("level", ALLOWED_LEVEL)?;
+    let rank: Option<u16> = arguments.value("rank", ALLOWED_RANK)?;
     let rank = Rank::from_number(rank.unwrap_or_default());
-    let line = arguments.words().concat();
+    let line = arguments.positional_texts().concat();
     let request = read_request(&line, &arguments.texts("header"), rank)?;
     let snapshot = read_configuration(arguments)?;
     let machines = read_machines(arguments)?;
@@ -120,9 +120,9 @@
         request,
     };
     if arguments.has("json") {
-        output.json(&explanation)?;
+        output.write_json(&explanation)?;
     } else {
-        output.text(&render(&explanation))?;
+        output.write_text(&render(&explanation))?;
     }
     let is_served = explanation.decision.refused.is_none();
     Ok(if is_served {
--- a/crates/cli/src/explain/request.rs
+++ b/crates/cli/src/explain/request.rs
@@ -8,11 +8,12 @@
 use crate::arguments::parse_value;
 use crate::error::CliError;
 
-const REQUEST_LINE_FORM: &str = "METHOD PATH, such as 'GET /slots'";
-const HEADER_FORM: &str = "NAME: VALUE, such as 'host: slot'";
-const DEADLINE_FORM: &str = "a whole number of milliseconds";
-const KEY_FORM: &str = "a version 7 UUID";
+const ALLOWED_REQUEST_LINE: &str = "METHOD PATH, such as 'GET /slots'";
+const ALLOWED_HEADER: &str = "NAME: VALUE, such as 'host: slot'";
+const ALLOWED_DEADLINE: &str = "a whole number of milliseconds";
+const ALLOWED_KEY: &str = "a version 7 UUID";
 const HOST: &str = "host";
+/// UUID version of idempotency keys.
 const KEY_VERSION: usize = 7;
 
 /// A header with its name in lower case.
@@ -34,7 +35,7 @@
         .collect::<Result<_, _>>()?;
     let deadline = find_header(&headers, headers::DEADLINE.as_str());
     let deadline_ms = deadline
-        .map(|value| parse_value(headers::DEADLINE.as_str(), value, DEADLINE_FORM))
+        .map(|value| parse_value(headers::DEADLINE.as_str(), value, ALLOWED_DEADLINE))
         .transpose()?;
     Ok(RequestFacts {
         service: service_of(&headers)?,
@@ -53,7 +54,7 @@
             "request line",
             line,
             "the method or the path is missing",
-            REQUEST_LINE_FORM,
+            ALLOWED_REQUEST_LINE,
         ));
     };
     let path = target.split(['?', '#']).next().unwrap_or_default();
@@ -62,7 +63,7 @@
             "request line",
             line,
             "the path does not start with a slash",
-            REQUEST_LINE_FORM,
+            ALLOWED_REQUEST_LINE,
         ));
     }
     Ok((method.to_owned(), path.to_owned()))
@@ -73,7 +74,7 @@
         .split_once(':')
         .filter(|(name, _)| !name.trim().is_empty())
         .ok_or_else(|| {
-            CliError::invalid_value("--header", text, "no name before a colon", HEADER_FORM)
+            CliError::invalid_value("--header", text, "no name before a colon", ALLOWED_HEADER)
         })?;
     Ok(Header {
         name: name.trim().to_ascii_lowercase(),
@@ -108,7 +109,7 @@
     let Some(value) = find_header(headers, name) else {
         return Ok(false);
     };
-    let key: Uuid = parse_value(name, value, KEY_FORM)?;
+    let key: Uuid = parse_value(name, value, ALLOWED_KEY)?;
     if key.get_version_num() == KEY_VERSION {
         return Ok(true);
     }
@@ -116,6 +117,6 @@
         name,
         value,
         "wrong UUID version",
-        KEY_FORM,
+        ALLOWED_KEY,
     ))
 }
--- a/crates/cli/src/get.rs
+++ b/crates/cli/src/get.rs
@@ -31,15 +31,15 @@
     examples: &[
         Example {
             line: "wharfquay get --platform 127.0.0.1:7000",
-            meaning: "List every resource with its version and author.",
+            description: "List every resource with its version and author.",
         },
         Example {
             line: "wharfquay get service booking --platform 127.0.0.1:7000",
-            meaning: "Print one resource.",
+            description: "Print one resource.",
         },
         Example {
             line: "wharfquay get --toml > all.resources.toml",
-            meaning: "Save everything; the platform's address is in $WHARFQUAY_PLATFORM.",
+            description: "Save everything; the platform's address is in $WHARFQUAY_PLATFORM.",
         },
     ],
     run,
@@ -54,7 +54,7 @@
 impl Selection {
     /// Parses a kind and a name, both of which may be absent.
     pub(crate) fn parse(arguments: &Arguments) -> Result<Self, CliError> {
-        let mut words = arguments.words().into_iter();
+        let mut words = arguments.positional_texts().into_iter();
         let kind = words.next().map(|kind| parse_kind(&kind)).transpose()?;
         Ok(Self {
             kind,
@@ -90,13 +90,13 @@
     }
     if arguments.has("json") {
         let objects: Vec<&Object> = selected.iter().map(|(_, object)| *object).collect();
-        output.json(&objects)?;
+        output.write_json(&objects)?;
     } else if arguments.has("toml") || selection.single().is_some() {
         for (id, object) in selected {
-            output.text(&to_toml(id, object))?;
+            output.write_text(&to_toml(id, object))?;
         }
     } else {
-        output.text(&list(&selected))?;
+        output.write_text(&list(&selected))?;
     }
     Ok(ExitStatus::Success)
 }
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -36,16 +36,16 @@
     }
     text.push_str("\nFlags:\n");
     for flag in command.flags {
-        let shown = match flag.value {
+        let label = match flag.value {
             Some(value) => format!("--{} {value}", flag.name),
             None => format!("--{}", flag.name),
         };
-        let _ = writeln!(text, "  {shown:<26} {}", flag.help);
+        let _ = writeln!(text, "  {label:<26} {}", flag.help);
     }
     let _ = writeln!(text, "  {:<26} Show this text", "--help");
     text.push_str("\nExamples:\n");
     for example in command.examples {
-        let _ = writeln!(text, "  {}\n      {}", example.line, example.meaning);
+        let _ = writeln!(text, "  {}\n      {}", example.line, example.description);
     }
     text.push('\n');
     text.push_str(EXIT_CODES);
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -64,14 +64,14 @@
 fn dispatch(arguments: Vec<OsString>, output: &mut Output) -> Result<ExitStatus, CliError> {
     let mut rest = arguments.into_iter();
     let Some(first) = rest.next() else {
-        output.text(&help::overview())?;
+        output.write_text(&help::overview())?;
         return Ok(ExitStatus::UsageError);
     };
     let first = first.to_string_lossy().into_owned();
     match first.as_str() {
         "--help" | "-h" | "help" => show_help(rest.next(), output),
         "--version" | "-V" => {
-            output.line(&format!("wharfquay {}", env!("CARGO_PKG_VERSION")))?;
+            output.write_line(&format!("wharfquay {}", env!("CARGO_PKG_VERSION")))?;
             Ok(ExitStatus::Success)
         }
         name => {
@@ -86,7 +86,7 @@
         Some(name) => help::command(find_command(&name.to_string_lossy())?),
         None => help::overview(),
     };
-    output.text(&text)?;
+    output.write_text(&text)?;
     Ok(ExitStatus::Success)
 }
 
@@ -97,7 +97,7 @@
 ) -> Result<ExitStatus, CliError> {
     match Arguments::parse(command, rest)? {
         Parsed::Help => {
-            output.text(&help::command(command))?;
+            output.write_text(&help::command(command))?;
             Ok(ExitStatus::Success)
         }
         Parsed::Run(arguments) => (command.run)(&arguments, output),
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -24,7 +24,7 @@
 
 impl Output {
     /// Writes text that has its own line ends.
-    pub(crate) fn text(&mut self, text: &str) -> Result<(), CliError> {
+    pub(crate) fn write_text(&mut self, text: &str) -> Result<(), CliError> {
         let mut stdout = self.stdout.lock();
         stdout
             .write_all(text.as_bytes())
@@ -32,15 +32,15 @@
         stdout.flush().map_err(CliError::Output)
     }
 
-    /// Writes one line.
-    pub(crate) fn line(&mut self, line: &str) -> Result<(), CliError> {
-        self.text(&format!("{line}\n"))
+    /// Writes one line and its line end.
+    pub(crate) fn write_line(&mut self, line: &str) -> Result<(), CliError> {
+        self.write_text(&format!("{line}\n"))
     }
 
     /// Writes a value as one line of JSON.
-    pub(crate) fn json<T: Serialize>(&mut self, value: &T) -> Result<(), CliError> {
+    pub(crate) fn write_json<T: Serialize>(&mut self, value: &T) -> Result<(), CliError> {
         let text = serde_json::to_string(value).map_err(|error| CliError::Output(error.into()))?;
-        self.line(&text)
+        self.write_line(&text)
     }
 }
 
--- a/crates/cli/src/plan/load.rs
+++ b/crates/cli/src/plan/load.rs
@@ -21,11 +21,12 @@
     chain.visit(&request.entry).slots
 }
 
-/// One visit of a service: how long the service holds a slot, and the slots that this visit and all
-/// visits below it keep busy.
+/// One visit of a service by a request.
 #[derive(Clone, Debug, Default)]
 struct Visit {
+    /// Time for which the visit holds a slot.
     held: Duration,
+    /// Busy slots of this visit and of the visits below it.
     slots: SlotsByService,
 }
 
--- a/crates/cli/src/plan/mod.rs
+++ b/crates/cli/src/plan/mod.rs
@@ -70,15 +70,15 @@
     examples: &[
         Example {
             line: "wharfquay plan lagos --lose-zone ikeja --factor 1.2",
-            meaning: "Lose a zone while demand is 20% higher.",
+            description: "Lose a zone while demand is 20% higher.",
         },
         Example {
             line: "wharfquay plan scenarios/gujarat.toml --drain backend=stock-1 --rate look_up_job=1500",
-            meaning: "Drain one backend at a measured rate.",
+            description: "Drain one backend at a measured rate.",
         },
         Example {
             line: "wharfquay plan lagos --file drains.toml --platform 127.0.0.1:7000 --json",
-            meaning: "Plan the drains of a file with the live machines.",
+            description: "Plan the drains of a file with the live machines.",
         },
     ],
     run,
@@ -146,9 +146,9 @@
     let options = read_options(arguments)?;
     let plan = make_plan(&options);
     if arguments.has("json") {
-        output.json(&plan)?;
+        output.write_json(&plan)?;
     } else {
-        output.text(&render(&plan))?;
+        output.write_text(&render(&plan))?;
     }
     let mut kinds = plan.request_kinds.iter();
     let is_refused = kinds.any(|kind| kind.admitted < FULLY_ADMITTED_SHARE && kind.rate > 0.0);
--- a/crates/cli/src/plan/options.rs
+++ b/crates/cli/src/plan/options.rs
@@ -17,9 +17,9 @@
 use crate::output::print_error_lines;
 use crate::plan::topology::{PlannedBackend, from_machines, from_scenario};
 
-const DRAIN_FORM: &str = "zone=NAME, service=NAME or backend=ID";
-const RATE_FORM: &str = "KIND=N with a kind of the scenario and 0 or more requests per second";
-const FACTOR_FORM: &str = "a number from 0 to 1000";
+const ALLOWED_DRAIN: &str = "zone=NAME, service=NAME or backend=ID";
+const ALLOWED_RATE: &str = "KIND=N with a kind of the scenario and 0 or more requests per second";
+const ALLOWED_FACTOR: &str = "a number from 0 to 1000";
 const MAXIMUM_FACTOR: f64 = 1_000.0;
 const BUILTIN_SCENARIOS: [&str; 2] = ["lagos", "gujarat"];
 
@@ -53,7 +53,7 @@
 
 /// Reads the flags, the scenario and, with `--platform`, the machine list.
 pub(super) fn read_options(arguments: &Arguments) -> Result<PlanOptions, CliError> {
-    let scenario = read_scenario(&arguments.words().concat())?;
+    let scenario = read_scenario(&arguments.positional_texts().concat())?;
     let factor = read_factor(arguments)?;
     let rates = read_rates(arguments, &scenario)?;
     let mut leaving = read_drains(arguments)?;
@@ -79,7 +79,7 @@
 }
 
 fn read_factor(arguments: &Arguments) -> Result<f64, CliError> {
-    let factor: f64 = arguments.value("factor", FACTOR_FORM)?.unwrap_or(1.0);
+    let factor: f64 = arguments.value("factor", ALLOWED_FACTOR)?.unwrap_or(1.0);
     if (0.0..=MAXIMUM_FACTOR).contains(&factor) {
         return Ok(factor);
     }
@@ -87,7 +87,7 @@
         "--factor",
         &factor.to_string(),
         "out of range",
-        FACTOR_FORM,
+        ALLOWED_FACTOR,
     ))
 }
 
@@ -101,17 +101,17 @@
 
 fn read_rate(text: &str, scenario: &Scenario) -> Result<(String, f64), CliError> {
     let malformed =
-        || CliError::invalid_value("--rate", text, "not a kind and a number", RATE_FORM);
+        || CliError::invalid_value("--rate", text, "not a kind and a number", ALLOWED_RATE);
     let (kind, number) = text.split_once('=').ok_or_else(malformed)?;
     if !scenario.requests.iter().any(|request| request.kind == kind) {
         return Err(CliError::invalid_value(
             "--rate",
             text,
             "unknown request kind",
-            RATE_FORM,
+            ALLOWED_RATE,
         ));
     }
-    let rate: f64 = parse_value("--rate", number, RATE_FORM)?;
+    let rate: f64 = parse_value("--rate", number, ALLOWED_RATE)?;
     if rate.is_finite() && rate >= 0.0 {
         return Ok((kind.to_owned(), rate));
     }
@@ -119,7 +119,7 @@
         "--rate",
         text,
         "not a rate",
-        RATE_FORM,
+        ALLOWED_RATE,
     ))
 }
 
@@ -133,8 +133,9 @@
 
 fn read_drain(text: &str) -> Result<DrainTarget, CliError> {
     let (kind, name) = text.split_once('=').unwrap_or((text, ""));
-    drain_target(kind, name)
-        .ok_or_else(|| CliError::invalid_value("--drain", text, "not a drain target", DRAIN_FORM))
+    drain_target(kind, name).ok_or_else(|| {
+        CliError::invalid_value("--drain", text, "not a drain target", ALLOWED_DRAIN)
+    })
 }
 
 /// Returns the drain target of a kind and a name; `None` when the kind is unknown or the name
@@ -156,7 +157,7 @@
     arguments: &Arguments,
     scenario: &Scenario,
 ) -> Result<Vec<DrainTarget>, CliError> {
-    let paths = arguments.path_values(FILE.name);
+    let paths = arguments.flag_paths(FILE.name);
     let read = read_files(&paths);
     let mut parsed = parse_over(&read.files, &services_of(scenario));
     parsed.problems.splice(0..0, read.problems);
--- a/crates/cli/src/plan/sharing.rs
+++ b/crates/cli/src/plan/sharing.rs
@@ -21,7 +21,8 @@
 }
 
 /// Returns the share of each kind's requests that fits, from 0 to 1, by name of the kind. A refused
-/// request takes no slot at any service, because admission levels are enforced at the edge.
+/// request takes no slot at any service: the edge refuses it under the admission level that it has
+/// received.
 pub(super) fn share_slots(
     demands: &[KindDemand],
     capacity: &BTreeMap<String, f64>,
@@ -42,6 +43,7 @@
 }
 
 /// Raises the share of all kinds together until each is complete or needs an exhausted service.
+/// `growing` has the kinds whose share can still be raised.
 fn share_evenly(
     mut growing: Vec<&KindDemand>,
     remaining: &mut BTreeMap<String, f64>,
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -18,7 +18,7 @@
 
 /// Default maximum of differing decisions that are printed.
 const DEFAULT_LIMIT: usize = 20;
-const LIMIT_FORM: &str = "0 or more";
+const ALLOWED_LIMIT: &str = "0 or more";
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "replay",
@@ -47,11 +47,11 @@
     examples: &[
         Example {
             line: "wharfquay replay decisions.jsonl --file changed.resources.toml",
-            meaning: "Show the decisions that differ under a changed file.",
+            description: "Show the decisions that differ under a changed file.",
         },
         Example {
             line: "wharfquay replay decisions.jsonl --platform 127.0.0.1:7000 --json",
-            meaning: "Compare with the configuration that the platform holds now.",
+            description: "Compare with the configuration that the platform holds now.",
         },
     ],
     run,
@@ -77,8 +77,8 @@
 }
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
-    let limit: Option<usize> = arguments.value("limit", LIMIT_FORM)?;
-    let path = arguments.words().concat();
+    let limit: Option<usize> = arguments.value("limit", ALLOWED_LIMIT)?;
+    let path = arguments.positional_texts().concat();
     let snapshot = read_configuration(arguments)?;
     let mut replayer = Replayer {
         path: &path,
@@ -89,9 +89,9 @@
     replayer.read()?;
     let report = replayer.report;
     if arguments.has("json") {
-        output.json(&report)?;
+        output.write_json(&report)?;
     } else {
-        output.text(&render(&report))?;
+        output.write_text(&render(&report))?;
     }
     let all_same = report.differing == 0 && report.malformed == 0;
     Ok(if all_same {
--- a/crates/cli/src/status/mod.rs
+++ b/crates/cli/src/status/mod.rs
@@ -20,8 +20,8 @@
 use crate::status::platform::{ResourceView, read_resources, render_resources};
 
 const DEFAULT_INTERVAL_MS: u64 = 2_000;
-const INTERVAL_FORM: &str = "100 to 3600000, in milliseconds";
-const COUNT_FORM: &str = "1 or more";
+const ALLOWED_INTERVAL: &str = "100 to 3600000, in milliseconds";
+const ALLOWED_COUNT: &str = "1 or more";
 /// Escape sequence that moves the cursor home and clears the screen.
 const CLEAR_SCREEN: &str = "\x1b[H\x1b[J";
 
@@ -53,11 +53,11 @@
     examples: &[
         Example {
             line: "wharfquay status --platform 127.0.0.1:7000",
-            meaning: "Show the verdict of every resource.",
+            description: "Show the verdict of every resource.",
         },
         Example {
             line: "wharfquay status --watch --daemon 127.0.0.1:7103,127.0.0.1:7203",
-            meaning: "Follow limits and levels of two daemons.",
+            description: "Follow limits and levels of two daemons.",
         },
     ],
     run,
@@ -128,17 +128,17 @@
             allowed: "ip:port, several separated by commas",
         });
     }
-    let interval: Option<u64> = arguments.value("interval-ms", INTERVAL_FORM)?;
+    let interval: Option<u64> = arguments.value("interval-ms", ALLOWED_INTERVAL)?;
     let interval = interval.unwrap_or(DEFAULT_INTERVAL_MS);
     if !(100..=3_600_000).contains(&interval) {
         return Err(CliError::invalid_value(
             "--interval-ms",
             &interval.to_string(),
             "out of range",
-            INTERVAL_FORM,
+            ALLOWED_INTERVAL,
         ));
     }
-    let count = arguments.value("count", COUNT_FORM)?;
+    let count = arguments.value("count", ALLOWED_COUNT)?;
     Ok(StatusOptions {
         client: uses_platform.then(|| connect(arguments)).transpose()?,
         daemons,
@@ -173,15 +173,15 @@
     output: &mut Output,
 ) -> Result<(), CliError> {
     if options.is_json {
-        return output.json(report);
+        return output.write_json(report);
     }
-    let is_followed = options.count != Some(1);
-    if is_followed && std::io::stdout().is_terminal() {
-        output.text(CLEAR_SCREEN)?;
+    let is_repeated = options.count != Some(1);
+    if is_repeated && std::io::stdout().is_terminal() {
+        output.write_text(CLEAR_SCREEN)?;
     }
-    output.text(&render(report))?;
-    if is_followed {
-        output.line("")?;
+    output.write_text(&render(report))?;
+    if is_repeated {
+        output.write_line("")?;
     }
     Ok(())
 }
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -14,7 +14,7 @@
         }
     }
 
-    /// Adds a row.
+    /// Adds a row below the others.
     pub(crate) fn add_row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
--- a/crates/cli/src/trace/collector.rs
+++ b/crates/cli/src/trace/collector.rs
@@ -25,6 +25,7 @@
     "departure_acknowledged",
     "departure_not_durable",
 ];
+/// Event that reports how many lines the logger dropped.
 const DROPPED_EVENT: &str = "log_dropped";
 /// Separates the id of a request from the suffix of a call made on its behalf.
 const CALL_ID_SEPARATOR: char = '.';
--- a/crates/cli/src/trace/line.rs
+++ b/crates/cli/src/trace/line.rs
@@ -11,7 +11,6 @@
 pub(super) struct LogLine {
     /// Text before the event, such as the name of the process.
     pub(super) source: String,
-    /// Name of the event.
     pub(super) event: String,
     /// Time of the line, as written.
     pub(super) time: String,
--- a/crates/cli/src/trace/mod.rs
+++ b/crates/cli/src/trace/mod.rs
@@ -32,18 +32,18 @@
     examples: &[
         Example {
             line: "wharfquay trace 9c41d07be2a35f68 sidecar-a.log sidecar-b.log",
-            meaning: "Show the calls of a request and their results.",
+            description: "Show the calls of a request and their results.",
         },
         Example {
             line: "wharfquay trace 9c41d07be2a35f68 logs/*.log --json",
-            meaning: "Print the same as JSON.",
+            description: "Print the same as JSON.",
         },
     ],
     run,
 };
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
-    let words = arguments.words();
+    let words = arguments.positional_texts();
     let Some((request, files)) = words.split_first() else {
         return Ok(ExitStatus::ProblemFound);
     };
@@ -53,9 +53,9 @@
     }
     let trace = collector.into_trace();
     if arguments.has("json") {
-        output.json(&trace)?;
+        output.write_json(&trace)?;
     } else {
-        output.text(&trace.render())?;
+        output.write_text(&trace.render())?;
     }
     Ok(if trace.lines.is_empty() {
         ExitStatus::ProblemFound
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -17,8 +17,8 @@
 
 /// Wait before a closed watch is reopened.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
-const VERSION_FORM: &str = "a version of the store, 0 or more";
-const COUNT_FORM: &str = "1 or more";
+const ALLOWED_VERSION: &str = "a version of the store, 0 or more";
+const ALLOWED_COUNT: &str = "1 or more";
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
     name: "watch",
@@ -45,11 +45,11 @@
     examples: &[
         Example {
             line: "wharfquay watch --platform 127.0.0.1:7000",
-            meaning: "Print every change.",
+            description: "Print every change.",
         },
         Example {
             line: "wharfquay watch drain --from 0 --count 1 --json",
-            meaning: "Wait for the first drain ever written and print it as JSON.",
+            description: "Wait for the first drain ever written and print it as JSON.",
         },
     ],
     run,
@@ -65,8 +65,8 @@
 
 fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
     let selection = Selection::parse(arguments)?;
-    let from: Option<u64> = arguments.value("from", VERSION_FORM)?;
-    let count: Option<u64> = arguments.value("count", COUNT_FORM)?;
+    let from: Option<u64> = arguments.value("from", ALLOWED_VERSION)?;
+    let count: Option<u64> = arguments.value("count", ALLOWED_COUNT)?;
     let client = connect(arguments)?;
     block_on(async {
         let start = match from {
@@ -166,13 +166,13 @@
         self.remaining = self.remaining.map(|count| count.saturating_sub(1));
         let version = event.version().number();
         if self.is_json {
-            return output.json(&ChangeLine {
+            return output.write_json(&ChangeLine {
                 version,
                 change,
                 object,
             });
         }
-        output.line(&format!(
+        output.write_line(&format!(
             "{version} {change} {} by \"{}\" {}",
             object.key, object.author, object.spec
         ))
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Sets the page.
+    /// Sets the page without waiting for a read.
     pub(crate) fn set_page(&self, page: &Value) {
         *self.page.lock().expect("the page") = page.to_string();
     }
