--- a/crates/cli/src/completion.rs
+++ b/crates/cli/src/completion.rs
@@ -5,7 +5,7 @@
 use crate::arguments::Arguments;
 use crate::command_names;
 use crate::commands::{COMMANDS, CommandSpec, Example, Positionals};
-use crate::error::{CliError, Finish};
+use crate::error::{CliError, ExitStatus};
 use crate::output::Output;
 
 pub(crate) const COMMAND: CommandSpec = CommandSpec {
@@ -21,22 +21,22 @@
     examples: &[
         Example {
             line: "source <(wharfquay completion bash)",
-            meaning: "Complete in the current bash.",
+            description: "Complete in the current bash.",
         },
         Example {
             line: "wharfquay completion zsh > ~/.zfunc/_wharfquay",
-            meaning: "Install for zsh; the directory has to be in fpath.",
+            description: "Install for zsh; the directory has to be in fpath.",
         },
         Example {
             line: "wharfquay completion fish > ~/.config/fish/completions/wharfquay.fish",
-            meaning: "Install for fish.",
+            description: "Install for fish.",
         },
     ],
     run,
 };
 
-fn run(arguments: &Arguments, output: &mut Output) -> Result<Finish, CliError> {
-    let shell = arguments.words().concat();
+fn run(arguments: &Arguments, output: &mut Output) -> Result<ExitStatus, CliError> {
+    let shell = arguments.positional_texts().concat();
     let script = match shell.as_str() {
         "bash" => bash(),
         "zsh" => zsh(),
@@ -50,11 +50,11 @@
             ));
         }
     };
-    output.text(&script)?;
-    Ok(Finish::Done)
+    output.write_text(&script)?;
+    Ok(ExitStatus::Success)
 }
 
-/// The flags of a command with their dashes, `--help` included.
+/// Returns the flags of a command with their dashes, including `--help`.
 fn flags_of(command: &CommandSpec) -> String {
     let names = command.flags.iter().map(|flag| flag.name).chain(["help"]);
     let flags: Vec<String> = names.map(|name| format!("--{name}")).collect();
@@ -148,7 +148,7 @@
     script
 }
 
-/// Text without the characters that end a quoted word or a description in the shells.
+/// Replaces the characters that end a quoted word or a description in the shells.
 fn escape(text: &str) -> String {
     text.replace('\'', "’").replace(['[', ']', ':'], " ")
 }
