--- a/crates/cli/src/explain/request.rs
+++ b/crates/cli/src/explain/request.rs
@@ -1,4 +1,4 @@
-//! Reading of a request line and headers.
+//! Parses a request line and headers.
 
 use uuid::Uuid;
 use wharfquay_core::priority::Rank;
@@ -8,11 +8,12 @@
 use crate::arguments::parse_value;
 use crate::error::CliError;
 
-const REQUEST_LINE_FORM: &str = "METHOD PATH, such as 'GET /slots'";
-const HEADER_FORM: &str = "NAME: VALUE, such as 'host: slot'";
-const DEADLINE_FORM: &str = "a whole number of milliseconds";
-const KEY_FORM: &str = "a version 7 UUID";
+const ALLOWED_REQUEST_LINE: &str = "METHOD PATH, such as 'GET /slots'";
+const ALLOWED_HEADER: &str = "NAME: VALUE, such as 'host: slot'";
+const ALLOWED_DEADLINE: &str = "a whole number of milliseconds";
+const ALLOWED_KEY: &str = "a version 7 UUID";
 const HOST: &str = "host";
+/// UUID version of idempotency keys.
 const KEY_VERSION: usize = 7;
 
 /// A header with its name in lower case.
@@ -32,16 +33,16 @@
         .iter()
         .map(|header| read_header(header))
         .collect::<Result<_, _>>()?;
-    let deadline = find(&headers, headers::DEADLINE.as_str());
+    let deadline = find_header(&headers, headers::DEADLINE.as_str());
     let deadline_ms = deadline
-        .map(|value| parse_value(headers::DEADLINE.as_str(), value, DEADLINE_FORM))
+        .map(|value| parse_value(headers::DEADLINE.as_str(), value, ALLOWED_DEADLINE))
         .transpose()?;
     Ok(RequestFacts {
         service: service_of(&headers)?,
         method,
         path,
         deadline_ms,
-        has_idempotency_key: has_key(&headers)?,
+        has_idempotency_key: has_valid_key(&headers)?,
         rank,
     })
 }
@@ -52,8 +53,8 @@
         return Err(CliError::invalid_value(
             "request line",
             line,
-            "no method and path",
-            REQUEST_LINE_FORM,
+            "the method or the path is missing",
+            ALLOWED_REQUEST_LINE,
         ));
     };
     let path = target.split(['?', '#']).next().unwrap_or_default();
@@ -62,7 +63,7 @@
             "request line",
             line,
             "the path does not start with a slash",
-            REQUEST_LINE_FORM,
+            ALLOWED_REQUEST_LINE,
         ));
     }
     Ok((method.to_owned(), path.to_owned()))
@@ -73,7 +74,7 @@
         .split_once(':')
         .filter(|(name, _)| !name.trim().is_empty())
         .ok_or_else(|| {
-            CliError::invalid_value("--header", text, "no name before a colon", HEADER_FORM)
+            CliError::invalid_value("--header", text, "no name before a colon", ALLOWED_HEADER)
         })?;
     Ok(Header {
         name: name.trim().to_ascii_lowercase(),
@@ -81,16 +82,16 @@
     })
 }
 
-fn find<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [Header], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|header| header.name == name)?;
     Some(&found.value)
 }
 
-/// The service header names the service, or else the host does.
+/// Returns the service that the service header names or, without one, the host header.
 fn service_of(headers: &[Header]) -> Result<String, CliError> {
-    let named = find(headers, headers::SERVICE.as_str());
+    let named = find_header(headers, headers::SERVICE.as_str());
     let host = || {
-        let host = find(headers, HOST)?;
+        let host = find_header(headers, HOST)?;
         Some(host.rsplit_once(':').map_or(host, |(name, _)| name))
     };
     let service = named.or_else(host).filter(|name| !name.is_empty());
@@ -101,20 +102,21 @@
     Ok(service.to_owned())
 }
 
-fn has_key(headers: &[Header]) -> Result<bool, CliError> {
+/// Returns true if the request has a valid idempotency key.
+fn has_valid_key(headers: &[Header]) -> Result<bool, CliError> {
     let header = headers::IDEMPOTENCY_KEY;
     let name = header.as_str();
-    let Some(value) = find(headers, name) else {
+    let Some(value) = find_header(headers, name) else {
         return Ok(false);
     };
-    let key: Uuid = parse_value(name, value, KEY_FORM)?;
+    let key: Uuid = parse_value(name, value, ALLOWED_KEY)?;
     if key.get_version_num() == KEY_VERSION {
         return Ok(true);
     }
     Err(CliError::invalid_value(
         name,
         value,
-        "another UUID version",
-        KEY_FORM,
+        "wrong UUID version",
+        ALLOWED_KEY,
     ))
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Output of data to the standard output, and of progress to the standard error.
+//! Writes data to the standard output, and progress and errors to the standard error.
 
 use std::io::{self, Write};
 
@@ -8,7 +8,7 @@
 
 use crate::error::CliError;
 
-/// The program's standard output.
+/// Standard output of the program.
 #[derive(Debug)]
 pub(crate) struct Output {
     stdout: io::Stdout,
@@ -23,8 +23,8 @@
 }
 
 impl Output {
-    /// Writes text that ends its own lines.
-    pub(crate) fn text(&mut self, text: &str) -> Result<(), CliError> {
+    /// Writes text that has its own line ends.
+    pub(crate) fn write_text(&mut self, text: &str) -> Result<(), CliError> {
         let mut stdout = self.stdout.lock();
         stdout
             .write_all(text.as_bytes())
@@ -32,32 +32,32 @@
         stdout.flush().map_err(CliError::Output)
     }
 
-    /// Writes one line.
-    pub(crate) fn line(&mut self, line: &str) -> Result<(), CliError> {
-        self.text(&format!("{line}\n"))
+    /// Writes one line and its line end.
+    pub(crate) fn write_line(&mut self, line: &str) -> Result<(), CliError> {
+        self.write_text(&format!("{line}\n"))
     }
 
     /// Writes a value as one line of JSON.
-    pub(crate) fn json<T: Serialize>(&mut self, value: &T) -> Result<(), CliError> {
+    pub(crate) fn write_json<T: Serialize>(&mut self, value: &T) -> Result<(), CliError> {
         let text = serde_json::to_string(value).map_err(|error| CliError::Output(error.into()))?;
-        self.line(&text)
+        self.write_line(&text)
     }
 }
 
-/// Writes one line to the standard error. A line that can't be written is lost, since there is no
-/// other place to report that.
-pub(crate) fn notice(line: &str) {
+/// Writes one line to the standard error. A failed write is ignored, since there is no other place
+/// to report it.
+pub(crate) fn error_line(line: &str) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
-/// Reports progress of something that takes long, on the standard error.
+/// Reports progress of a long operation, or an error, on the standard error.
 pub(crate) fn progress(message: &str) {
-    notice(&format!("wharfquay: {message}"));
+    error_line(&format!("wharfquay: {message}"));
 }
 
 /// Writes one line for each problem to the standard error.
 pub(crate) fn print_error_lines(problems: &[Problem]) {
     for problem in problems {
-        notice(&problem.to_string());
+        error_line(&problem.to_string());
     }
 }
--- a/crates/core/src/idempotency/claim/coordinator.rs
+++ b/crates/core/src/idempotency/claim/coordinator.rs
@@ -1,38 +1,38 @@
-//! A coordinator: collects a majority of votes for one request before the edge dispatches it.
+//! Coordinator that collects a majority of votes for a request before the edge dispatches it.
 //!
-//! One coordinator serves one request of a caller. It draws a claim, asks every replica for a vote
-//! and has the request dispatched once a majority voted for it. A claim that is withdrawn is never
-//! dispatched; the coordinator then goes on with a new one.
+//! One coordinator serves one request of a caller. It draws a claim id, requests a vote from every
+//! replica and has the request dispatched once a majority voted for the claim. A withdrawn claim is
+//! never dispatched; the coordinator continues with a new claim.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-pub use crate::idempotency::claim::exchange::{
+use crate::idempotency::claim::delivery::Delivery;
+use crate::idempotency::claim::group::{Group, ReplicaId};
+pub use crate::idempotency::claim::interface::{
     ClaimedRequest, CoordinatorEffect, CoordinatorSettings, ExecutionOutcome,
 };
-use crate::idempotency::claim::group::{Group, ReplicaId};
 use crate::idempotency::claim::message::{
     Abandon, Claim, ClaimId, OutcomeRecord, RecordedOutcome, ReplicaReply, ReplicaRequest, Store,
     Vote, VoteReply,
 };
-use crate::idempotency::claim::settlement::Settlement;
 use crate::idempotency::claim::tally::{Observation, Tally};
 use crate::idempotency::clock::UnixMillis;
 use crate::outcome::ResultCode;
 use crate::time::Timestamp;
 
-/// Where a coordinator stands.
+/// State of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Asks for votes.
+    /// Requests votes.
     Claiming,
-    /// Has withdrawn a claim in favour of another one and waits to claim again.
+    /// Withdrew its claim in favour of another one and waits to claim again.
     Yielding,
-    /// Won; the request is dispatched and its outcome not known yet.
+    /// Won; the request is dispatched and its outcome is not known yet.
     Dispatched,
-    /// The caller has its answer.
-    Answered,
+    /// The response to the caller is decided.
+    Concluded,
 }
 
 /// Claims one key for one request.
@@ -47,11 +47,11 @@
     claim_until: Timestamp,
     interval: Duration,
     next_step: Timestamp,
-    settlements: Vec<Settlement>,
+    deliveries: Vec<Delivery>,
 }
 
 impl Coordinator {
-    /// Starts to claim; `wall` is this machine's clock.
+    /// Starts to claim; `wall` is the time of this machine's clock.
     pub fn start(
         settings: CoordinatorSettings,
         group: Group,
@@ -71,7 +71,7 @@
             claim_until: now + settings.claim_timeout,
             interval: settings.retransmit_after,
             next_step: now,
-            settlements: Vec::new(),
+            deliveries: Vec::new(),
         };
         let effects = match coordinator.check_key(wall) {
             Some(code) => vec![coordinator.refuse(code)],
@@ -80,36 +80,38 @@
         (coordinator, effects)
     }
 
-    /// Refuses a key that can't be claimed now, as far as this machine's clock can tell.
+    /// Checks the key against this machine's clock. Returns the code to refuse it with, or `None`
+    /// if it may be claimed.
     fn check_key(&self, wall: UnixMillis) -> Option<ResultCode> {
         let window = self.group.window;
         if window.is_unclaimable_yet(self.request.key, wall) {
             return Some(ResultCode::InvalidIdempotencyKey);
         }
-        // Whether an earlier request with this key ran is no longer on record.
+        // The record of an earlier request with this key may already have been dropped.
         window
             .is_expired(self.request.key, wall)
             .then_some(ResultCode::ClaimUncertain)
     }
 
-    /// Whether the caller has its answer and every replica knows what it has to.
+    /// Returns true if the response to the caller is decided and every replica has received the
+    /// withdrawals and the outcome, or their delivery was given up.
     #[must_use]
     pub const fn is_finished(&self) -> bool {
-        matches!(self.phase, Phase::Answered) && self.settlements.is_empty()
+        matches!(self.phase, Phase::Concluded) && self.deliveries.is_empty()
     }
 
-    /// When [`Self::advance`] has something to do.
+    /// Returns the time at which [`Self::advance`] has work to do.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        let step = self.is_waiting().then_some(self.next_step);
-        let settle = self.settlements.iter().map(Settlement::next_send);
-        settle.chain(step).min()
+        let step = self.is_undecided().then_some(self.next_step);
+        let next_sends = self.deliveries.iter().map(Delivery::next_send);
+        next_sends.chain(step).min()
     }
 
-    /// Takes a configured group; an epoch that is not newer changes nothing.
+    /// Applies a configured group; an epoch that is not newer changes nothing.
     ///
-    /// A claim that has not won yet starts again in the new group. One that has won stays won,
-    /// because the new group takes over the votes of the one before.
+    /// A claim that has not won yet starts again in the new group. A claim that has won stays
+    /// valid, because the new group takes over the votes of the previous one.
     pub fn configure(
         &mut self,
         now: Timestamp,
@@ -120,39 +122,39 @@
             return Vec::new();
         }
         let before = std::mem::replace(&mut self.group, group);
-        if !self.is_waiting() {
+        if !self.is_undecided() {
             return Vec::new();
         }
         // The new members may have taken over a vote for the claim that is withdrawn.
-        let mut everyone = before.replicas;
-        everyone.extend(self.group.replicas.iter().cloned());
-        everyone.sort_unstable();
-        everyone.dedup();
-        let mut effects = self.settle_with(now, self.abandonment(), everyone);
+        let mut recipients = before.replicas;
+        recipients.extend(self.group.replicas.iter().cloned());
+        recipients.sort_unstable();
+        recipients.dedup();
+        let mut effects = self.deliver_to(now, self.abandonment(), recipients);
         self.votes = vec![None; self.group.replicas.len()];
-        self.claim_anew(rng);
+        self.start_new_claim(rng);
         effects.extend(self.step(now, rng));
         effects
     }
 
-    const fn is_waiting(&self) -> bool {
+    const fn is_undecided(&self) -> bool {
         matches!(self.phase, Phase::Claiming | Phase::Yielding)
     }
 
-    /// Does what is due at `now`.
+    /// Performs the work that is due at `now`.
     pub fn advance(&mut self, now: Timestamp, rng: &mut impl Rng) -> Vec<CoordinatorEffect> {
         let mut effects = Vec::new();
-        for settlement in &mut self.settlements {
-            effects.extend(settlement.advance(now));
+        for delivery in &mut self.deliveries {
+            effects.extend(delivery.advance(now));
         }
-        self.settlements.retain(|settlement| !settlement.is_done());
-        if self.is_waiting() && now >= self.next_step {
+        self.deliveries.retain(|delivery| !delivery.is_done());
+        if self.is_undecided() && now >= self.next_step {
             effects.extend(self.step(now, rng));
         }
         effects
     }
 
-    /// Takes a replica's answer.
+    /// Processes a replica's reply.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -163,10 +165,10 @@
         match reply {
             ReplicaReply::Vote(reply) => self.receive_vote(now, from, reply, rng),
             ReplicaReply::Acknowledged(claim) => {
-                for settlement in &mut self.settlements {
-                    settlement.acknowledge(from, claim);
+                for delivery in &mut self.deliveries {
+                    delivery.acknowledge(from, claim);
                 }
-                self.settlements.retain(|settlement| !settlement.is_done());
+                self.deliveries.retain(|delivery| !delivery.is_done());
                 Vec::new()
             }
             ReplicaReply::Page(_) => Vec::new(),
@@ -188,8 +190,8 @@
         if let Vote::Recorded(record) = reply.vote {
             return self.replay(now, record);
         }
-        // A granted vote stays granted until this coordinator withdraws its claim, so a late older
-        // answer of the same replica changes nothing.
+        // A granted vote stays granted until this coordinator withdraws its claim, so a delayed
+        // earlier reply of the same replica changes nothing.
         if self.votes[member] != Some(Vote::Granted) {
             self.votes[member] = Some(reply.vote);
         }
@@ -200,8 +202,8 @@
         if let Some(code) = self.lost_to_other_request(&tally) {
             return self.give_up(now, code);
         }
-        let everyone_answered = self.votes.iter().all(Option::is_some);
-        if everyone_answered && self.must_yield(&tally) {
+        let all_replied = self.votes.iter().all(Option::is_some);
+        if all_replied && self.must_yield(&tally) {
             return self.yield_claim(now, rng);
         }
         Vec::new()
@@ -212,7 +214,7 @@
             Some(Vote::Granted) => Observation::Voted(self.claim),
             Some(Vote::Held { by, .. }) => Observation::Voted(*by),
             Some(Vote::Full) => Observation::Open,
-            Some(Vote::Recorded(_) | Vote::Abstained(_)) | None => Observation::Silent,
+            Some(Vote::Recorded(_) | Vote::Abstained(_)) | None => Observation::Unknown,
         }))
     }
 
@@ -224,7 +226,8 @@
         vec![CoordinatorEffect::Dispatch]
     }
 
-    /// The outcome is on record: it belongs to this request, or the key was used for another one.
+    /// Handles a recorded outcome: replays the response if it belongs to this request, refuses the
+    /// request if the key was used for another one.
     fn replay(&mut self, now: Timestamp, record: OutcomeRecord) -> Vec<CoordinatorEffect> {
         let mut effects = self.withdraw(now);
         let same_request = record.fingerprint == self.request.fingerprint;
@@ -232,23 +235,23 @@
             _ if !same_request => self.refuse(ResultCode::IdempotencyKeyReused),
             RecordedOutcome::Lost => self.refuse(ResultCode::ClaimUncertain),
             RecordedOutcome::Answered(answer) => {
-                self.phase = Phase::Answered;
+                self.phase = Phase::Concluded;
                 CoordinatorEffect::Replay(answer)
             }
         });
         effects
     }
 
-    /// Whether a claim for a different request has won the key. Only then is it sure that this
-    /// request was never dispatched with it.
+    /// Returns the code to refuse the request with if a claim for a different request has won the
+    /// key. Only then is it certain that this request was never dispatched with it.
     fn lost_to_other_request(&self, tally: &Tally) -> Option<ResultCode> {
         let is_other = |vote: &Option<Vote>| matches!(vote, Some(Vote::Held { by, same_request: false }) if tally.has_won(*by));
         let lost = self.votes.iter().any(is_other);
         lost.then_some(ResultCode::IdempotencyKeyReused)
     }
 
-    /// Whether the votes are split and another claim stands better. Of two claims that see each
-    /// other, exactly one yields.
+    /// Returns true if this claim has votes, no claim has won and another claim has more votes, or
+    /// as many and a greater id. Of two claims that see each other, exactly one yields.
     fn must_yield(&self, tally: &Tally) -> bool {
         let own = (tally.votes(self.claim), self.claim);
         let decided = tally.seen().any(|(claim, _)| tally.has_won(claim));
@@ -263,22 +266,23 @@
         effects
     }
 
-    /// One round: conclude when time is up, claim anew after a yield, else ask again.
+    /// Runs one round: concludes if time is up, creates a new claim after a yield, otherwise
+    /// requests the missing votes again.
     fn step(&mut self, now: Timestamp, rng: &mut impl Rng) -> Vec<CoordinatorEffect> {
         let tally = self.tally();
         if let Some(code) = self.conclusion(now, &tally) {
             return self.give_up(now, code);
         }
         if self.phase == Phase::Yielding {
-            self.claim_anew(rng);
+            self.start_new_claim(rng);
         } else if self.must_yield(&tally) {
             return self.yield_claim(now, rng);
         }
         self.schedule(now, rng);
-        self.ask()
+        self.request_votes()
     }
 
-    fn claim_anew(&mut self, rng: &mut impl Rng) {
+    fn start_new_claim(&mut self, rng: &mut impl Rng) {
         self.claim = ClaimId::from_u128(rng.random());
         self.votes.fill(None);
         self.phase = Phase::Claiming;
@@ -293,8 +297,8 @@
         self.interval = (self.interval * 2).min(self.settings.maximum_retransmit_after);
     }
 
-    /// Asks every replica that has not voted for this claim.
-    fn ask(&self) -> Vec<CoordinatorEffect> {
+    /// Sends the claim to every replica that has not voted for it.
+    fn request_votes(&self) -> Vec<CoordinatorEffect> {
         let claim = ReplicaRequest::Claim(Claim {
             epoch: self.group.epoch,
             key: self.request.key,
@@ -311,20 +315,20 @@
             .collect()
     }
 
-    /// What to tell the caller, once waiting longer is of no use.
+    /// Returns the code to refuse the request with, once waiting longer can't change the result.
     fn conclusion(&self, now: Timestamp, tally: &Tally) -> Option<ResultCode> {
         let others = tally
             .possible_winners()
             .filter(|claim| *claim != self.claim);
         let other_claim = others.count() > 0;
         let out_of_time = now >= self.request.give_up_at;
-        let no_use_to_wait = now >= self.claim_until && !other_claim;
-        if !out_of_time && !no_use_to_wait {
+        let stop_waiting = now >= self.claim_until && !other_claim;
+        if !out_of_time && !stop_waiting {
             return None;
         }
         Some(if other_claim {
             ResultCode::ClaimUncertain
-        } else if tally.may_hide_winner() {
+        } else if tally.may_have_unseen_winner() {
             ResultCode::ClaimUndetermined
         } else {
             ResultCode::ClaimUnavailable
@@ -338,16 +342,16 @@
     }
 
     fn refuse(&mut self, code: ResultCode) -> CoordinatorEffect {
-        self.phase = Phase::Answered;
+        self.phase = Phase::Concluded;
         CoordinatorEffect::Refuse {
             code,
             retry_after: self.settings.retry_after,
         }
     }
 
-    /// Withdraws the current claim, which from here on is never dispatched.
+    /// Withdraws the current claim, which is never dispatched afterwards.
     fn withdraw(&mut self, now: Timestamp) -> Vec<CoordinatorEffect> {
-        self.settle(now, self.abandonment())
+        self.deliver(now, self.abandonment())
     }
 
     fn abandonment(&self) -> ReplicaRequest {
@@ -357,31 +361,31 @@
         })
     }
 
-    fn settle(&mut self, now: Timestamp, request: ReplicaRequest) -> Vec<CoordinatorEffect> {
+    fn deliver(&mut self, now: Timestamp, request: ReplicaRequest) -> Vec<CoordinatorEffect> {
         let replicas = self.group.replicas.clone();
-        self.settle_with(now, request, replicas)
+        self.deliver_to(now, request, replicas)
     }
 
-    fn settle_with(
+    fn deliver_to(
         &mut self,
         now: Timestamp,
         request: ReplicaRequest,
         replicas: Vec<ReplicaId>,
     ) -> Vec<CoordinatorEffect> {
-        let mut settlement = Settlement::new(
+        let mut delivery = Delivery::new(
             now,
             self.claim,
             request,
             replicas,
             self.settings.retransmit_after,
-            self.settings.settle_timeout,
+            self.settings.delivery_timeout,
         );
-        let effects = settlement.advance(now);
-        self.settlements.push(settlement);
+        let effects = delivery.advance(now);
+        self.deliveries.push(delivery);
         effects
     }
 
-    /// Takes the outcome of the dispatched request; the driver answers the caller itself.
+    /// Records the outcome of the dispatched request. The driver itself responds to the caller.
     pub fn complete(
         &mut self,
         now: Timestamp,
@@ -390,7 +394,7 @@
         if self.phase != Phase::Dispatched {
             return Vec::new();
         }
-        self.phase = Phase::Answered;
+        self.phase = Phase::Concluded;
         let outcome = match outcome {
             ExecutionOutcome::NotRun => return self.withdraw(now),
             ExecutionOutcome::Unknown => RecordedOutcome::Lost,
@@ -404,6 +408,6 @@
                 outcome,
             },
         });
-        self.settle(now, store)
+        self.deliver(now, store)
     }
 }
--- a/crates/core/src/idempotency/claim/handover.rs
+++ b/crates/core/src/idempotency/claim/handover.rs
@@ -1,47 +1,47 @@
-//! Taking over the votes of the group before.
+//! Handover of votes from the previous group to a new one.
 //!
-//! A member of a new group votes only after it holds what the group before may have decided. Either
-//! of two sources is enough: one peer that already votes in the new group, or a majority of the
-//! group before in which every member has stopped voting (sealed its epoch).
+//! A member of a new group votes only after it holds everything that the previous group may have
+//! decided. Either of two sources is sufficient: one peer that already votes in the new group, or a
+//! majority of the previous group in which every member has stopped voting (sealed its epoch).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::call::IdempotencyKey;
 use crate::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId, majority};
-use crate::idempotency::claim::message::{ClaimId, Fetch, Page, PageEntry, Standing};
+use crate::idempotency::claim::message::{ClaimId, Fetch, HandoverStatus, Page, PageEntry};
 use crate::idempotency::claim::records::{Ballot, CastVote, Record};
 use crate::idempotency::claim::tally::{Observation, Tally};
 use crate::idempotency::clock::UnixMillis;
 
-/// What one replica said about the group before.
+/// Report of one replica about the previous group.
 #[derive(Clone, Debug)]
-pub struct Testimony {
-    /// How far the replica speaks for that group.
-    pub standing: Standing,
-    /// The replica knows nothing of keys minted up to this time.
+pub struct HandoverReport {
+    /// Status of the replica with respect to that group.
+    pub status: HandoverStatus,
+    /// The replica has no information on keys created up to this time.
     pub horizon: UnixMillis,
-    /// Its records.
+    /// Records of the replica.
     pub records: BTreeMap<IdempotencyKey, Record>,
 }
 
-impl Testimony {
-    /// What the replica did about a key.
+impl HandoverReport {
+    /// Returns the vote that the replica cast on a key, as far as it is known.
     fn observe(&self, key: IdempotencyKey) -> Observation {
         if UnixMillis::of_key(key) <= self.horizon {
-            return Observation::Silent;
+            return Observation::Unknown;
         }
         match self.records.get(&key).map(|record| record.ballot) {
             None | Some(Ballot::Open) => Observation::Open,
             Some(Ballot::Cast(vote)) => Observation::Voted(vote.claim),
-            Some(Ballot::Contested) => Observation::Silent,
+            Some(Ballot::Contested) => Observation::Unknown,
         }
     }
 }
 
-/// What a member starts with in its new group.
+/// State that a member takes over into its new group.
 #[derive(Clone, Debug)]
-pub struct Inheritance {
-    /// The member abstains on keys minted up to this time.
+pub struct InheritedState {
+    /// The member abstains on keys created up to this time.
     pub horizon: UnixMillis,
     /// Votes and outcomes by key.
     pub records: BTreeMap<IdempotencyKey, Record>,
@@ -50,7 +50,7 @@
 /// Pages received from one replica so far.
 #[derive(Clone, Debug)]
 struct Download {
-    testimony: Testimony,
+    report: HandoverReport,
     after: Option<IdempotencyKey>,
     complete: bool,
 }
@@ -65,8 +65,8 @@
 }
 
 impl Handover {
-    /// Starts the handover of the member `own_id` into `group`; `None` when the group doesn't say
-    /// which one it takes over.
+    /// Starts the handover of the member `own_id` into `group`; `None` if the group doesn't specify
+    /// its predecessor.
     #[must_use]
     pub fn new(own_id: &ReplicaId, group: &Group) -> Option<Self> {
         let Predecessor::Members(predecessors) = &group.predecessor else {
@@ -82,13 +82,13 @@
         })
     }
 
-    /// Whether the replica belongs to the group that is taken over.
+    /// Returns true if the replica is a member of the previous group.
     #[must_use]
     pub fn takes_over(&self, replica: &ReplicaId) -> bool {
         self.predecessors.contains(replica)
     }
 
-    /// Requests for the next page of every replica that has not sent its last one.
+    /// Returns a request for the next page of every replica that has not sent its last page.
     #[must_use]
     pub fn requests(&self) -> Vec<(ReplicaId, Fetch)> {
         self.peers
@@ -108,12 +108,12 @@
         })
     }
 
-    /// Takes a page; returns the request for the one after it.
+    /// Processes a page and returns the request for the next one.
     pub fn receive(&mut self, from: &ReplicaId, page: Page) -> Option<Fetch> {
         if page.target != self.target || !self.peers.contains(from) {
             return None;
         }
-        if page.standing == Standing::Unready {
+        if page.status == HandoverStatus::Unready {
             self.downloads.remove(from);
             return None;
         }
@@ -124,14 +124,14 @@
         self.request(from)
     }
 
-    /// Whether the page is the one that is missing next. A replica whose standing or horizon
-    /// changed is read again from its first page.
+    /// Returns true if the page is the next one expected. A replica whose status or horizon changed
+    /// is read again from its first page.
     fn continues(&mut self, from: &ReplicaId, page: &Page) -> bool {
         let Some(download) = self.downloads.get(from) else {
             return page.after.is_none();
         };
-        let unchanged = download.testimony.standing == page.standing
-            && download.testimony.horizon == page.horizon;
+        let unchanged =
+            download.report.status == page.status && download.report.horizon == page.horizon;
         if !unchanged {
             self.downloads.remove(from);
             return page.after.is_none();
@@ -144,8 +144,8 @@
             .downloads
             .entry(from.clone())
             .or_insert_with(|| Download {
-                testimony: Testimony {
-                    standing: page.standing,
+                report: HandoverReport {
+                    status: page.status,
                     horizon: page.horizon,
                     records: BTreeMap::new(),
                 },
@@ -155,60 +155,60 @@
         download.after = page.entries.last().map(|entry| entry.key);
         download.complete = page.last;
         for PageEntry { key, record } in page.entries {
-            download.testimony.records.insert(key, record);
+            download.report.records.insert(key, record);
         }
     }
 
-    /// What the member starts with, as soon as enough is known. `own` is the member's own testimony
-    /// when it belongs to the group before.
+    /// Returns the state that the member starts with, as soon as enough is known. `own` is the
+    /// member's own report if it belongs to the previous group.
     #[must_use]
-    pub fn conclude(&self, own: Option<&Testimony>) -> Option<Inheritance> {
+    pub fn conclude(&self, own: Option<&HandoverReport>) -> Option<InheritedState> {
         let complete = self.downloads.iter().filter(|(_, one)| one.complete);
-        let complete: Vec<_> = complete.map(|(id, one)| (id, &one.testimony)).collect();
-        if let Some((_, testimony)) = complete
+        let complete: Vec<_> = complete.map(|(id, one)| (id, &one.report)).collect();
+        if let Some((_, report)) = complete
             .iter()
-            .find(|(_, testimony)| testimony.standing == Standing::Current)
+            .find(|(_, report)| report.status == HandoverStatus::Current)
         {
-            return Some(Inheritance {
-                horizon: testimony.horizon,
-                records: testimony.records.clone(),
+            return Some(InheritedState {
+                horizon: report.horizon,
+                records: report.records.clone(),
             });
         }
         let members = complete
             .iter()
             .filter(|(id, _)| self.takes_over(id))
-            .map(|(_, testimony)| *testimony);
-        let witnesses: Vec<&Testimony> = members.chain(own).collect();
-        merge(&witnesses, self.predecessors.len())
+            .map(|(_, report)| *report);
+        let reports: Vec<&HandoverReport> = members.chain(own).collect();
+        merge(&reports, self.predecessors.len())
     }
 }
 
-/// Merges the testimonies of a sealed majority of a group with `members` members.
-fn merge(witnesses: &[&Testimony], members: usize) -> Option<Inheritance> {
+/// Merges the reports of a sealed majority of a group with `members` members.
+fn merge(reports: &[&HandoverReport], members: usize) -> Option<InheritedState> {
     let majority = majority(members);
-    let has_voted = |witness: &&Testimony| witness.standing == Standing::Sealed;
-    if witnesses.len() < majority || !witnesses.iter().any(has_voted) {
+    let has_voted = |report: &&HandoverReport| report.status == HandoverStatus::Sealed;
+    if reports.len() < majority || !reports.iter().any(has_voted) {
         return None;
     }
-    let mut horizons: Vec<UnixMillis> = witnesses.iter().map(|witness| witness.horizon).collect();
+    let mut horizons: Vec<UnixMillis> = reports.iter().map(|report| report.horizon).collect();
     horizons.sort_unstable();
-    let keys: BTreeSet<IdempotencyKey> = witnesses
+    let keys: BTreeSet<IdempotencyKey> = reports
         .iter()
-        .flat_map(|witness| witness.records.keys().copied())
+        .flat_map(|report| report.records.keys().copied())
         .collect();
     let records = keys
         .into_iter()
-        .map(|key| (key, merge_key(key, witnesses, members)))
+        .map(|key| (key, merge_key(key, reports, members)))
         .collect();
-    Some(Inheritance {
+    Some(InheritedState {
         horizon: horizons[majority - 1],
         records,
     })
 }
 
-fn merge_key(key: IdempotencyKey, witnesses: &[&Testimony], members: usize) -> Record {
+fn merge_key(key: IdempotencyKey, reports: &[&HandoverReport], members: usize) -> Record {
     let mut merged = Record::default();
-    for record in witnesses.iter().filter_map(|one| one.records.get(&key)) {
+    for record in reports.iter().filter_map(|one| one.records.get(&key)) {
         for claim in &record.abandoned {
             merged.abandon(*claim);
         }
@@ -216,31 +216,31 @@
             merged.outcome.clone_from(&record.outcome);
         }
     }
-    merged.ballot = merge_ballot(key, witnesses, members);
+    merged.ballot = merge_ballot(key, reports, members);
     merged
 }
 
-/// The vote that stands for everything that the sealed group may have decided about a key.
-fn merge_ballot(key: IdempotencyKey, witnesses: &[&Testimony], members: usize) -> Ballot {
-    let absent = members - witnesses.len();
-    let observations = witnesses.iter().map(|witness| witness.observe(key));
-    let silence = std::iter::repeat_n(Observation::Silent, absent);
-    let tally = Tally::new(observations.chain(silence));
+/// Returns the ballot that represents everything the sealed group may have decided about a key.
+fn merge_ballot(key: IdempotencyKey, reports: &[&HandoverReport], members: usize) -> Ballot {
+    let missing = members - reports.len();
+    let observations = reports.iter().map(|report| report.observe(key));
+    let unknown_votes = std::iter::repeat_n(Observation::Unknown, missing);
+    let tally = Tally::new(observations.chain(unknown_votes));
     let mut winners = tally.possible_winners();
     match (winners.next(), winners.next()) {
         (Some(claim), None) => {
-            find_vote(key, claim, witnesses).map_or(Ballot::Contested, Ballot::Cast)
+            find_vote(key, claim, reports).map_or(Ballot::Contested, Ballot::Cast)
         }
         (Some(_), Some(_)) => Ballot::Contested,
-        (None, _) if tally.may_hide_winner() => Ballot::Contested,
+        (None, _) if tally.may_have_unseen_winner() => Ballot::Contested,
         (None, _) => Ballot::Open,
     }
 }
 
-fn find_vote(key: IdempotencyKey, claim: ClaimId, witnesses: &[&Testimony]) -> Option<CastVote> {
-    witnesses
+fn find_vote(key: IdempotencyKey, claim: ClaimId, reports: &[&HandoverReport]) -> Option<CastVote> {
+    reports
         .iter()
-        .filter_map(|witness| witness.records.get(&key))
+        .filter_map(|report| report.records.get(&key))
         .find_map(|record| match record.ballot {
             Ballot::Cast(vote) if vote.claim == claim => Some(vote),
             _ => None,
