--- a/crates/sidecar/src/inbound/backend.rs
+++ b/crates/sidecar/src/inbound/backend.rs
@@ -1,4 +1,5 @@
-//! The back end beside this sidecar: the gate and the connections of the instance that gets work.
+//! The backend beside this sidecar: the admission gate and connections of the instance that
+//! receives work.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,51 +19,52 @@
 use wharfquay_daemon::inbound::gate::AdmissionGate;
 use wharfquay_daemon::sync::lock;
 
-use super::end_detector::EndDetector;
+use super::termination_detector::TerminationDetector;
 use crate::configuration::Service;
 use crate::dialect::{Dialect, text};
 use crate::instance::InstanceId;
 use crate::settings::RetryBounds;
 
-/// Executions at a time before an instance has said how many slots it has.
-const FIRST_SLOTS: u32 = 12;
-/// Share of its slots above which a back end may slow down.
-const FULL_LOAD: f64 = 0.95;
-/// Connections before the configuration says how many the back end accepts.
-const FIRST_CONNECTIONS: u32 = 64;
-/// Connections that are left to others, as a share of those that the back end accepts.
-const SPARE_CONNECTIONS_SHARE: u32 = 8;
-/// Longest time to open a connection to a back end on the same machine.
+/// Assumed number of concurrent executions until an instance reports its slots.
+const INITIAL_SLOTS: u32 = 12;
+/// Share of an instance's slots that is used. A backend may slow down above it.
+const USABLE_SLOT_SHARE: f64 = 0.95;
+/// Connection limit until the configuration specifies how many connections the backend accepts.
+const INITIAL_CONNECTIONS: u32 = 64;
+/// Divisor for the connections left to other clients: one in this many of those that the backend
+/// accepts.
+const RESERVED_CONNECTIONS_DIVISOR: u32 = 8;
+/// Timeout for opening a connection to a backend on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest rest of a connection to a back end that does not say how long it keeps one.
-const LONGEST_REST: Duration = Duration::from_secs(4);
-/// Time for which a back end that accepts no connection gets no calls.
+/// Maximum idle time of a connection to a backend that does not announce a keep-alive timeout.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
+/// Time for which a backend that refused a connection receives no calls.
 const UNREACHABLE_HOLD: Duration = Duration::from_millis(100);
-/// Calls that may wait at the gate for each slot.
+/// Calls that may wait at the gate per slot.
 const QUEUE_PER_SLOT: u32 = 4;
-/// Longest wait at the gate.
-const LONGEST_QUEUE_WAIT: Duration = Duration::from_millis(100);
+/// Maximum wait at the gate.
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(100);
 
-/// Admission settings for an instance with this many slots.
+/// Returns the admission settings for an instance with this many slots.
 fn admission_settings(slots: u32) -> AdmissionSettings {
     let limit = usable_slots(slots);
     AdmissionSettings {
         initial_limit: limit,
         maximum_limit: limit,
         queue_capacity: (limit * QUEUE_PER_SLOT) as usize,
-        maximum_queue_wait: LONGEST_QUEUE_WAIT,
+        maximum_queue_wait: MAX_QUEUE_WAIT,
         ..AdmissionSettings::default()
     }
 }
 
-/// What is known of the service from the configuration.
+/// Settings of the service from the configuration.
 #[derive(Clone, Debug)]
 struct Configured {
     health_path: Option<String>,
     connections: u32,
 }
 
-/// The back end beside this sidecar.
+/// The backend beside this sidecar.
 #[derive(Debug)]
 pub struct LocalBackend {
     service: String,
@@ -74,16 +76,16 @@
     repeats: Mutex<RepeatWindow>,
 }
 
-/// The instance that gets work, with its gate and connections.
+/// The instance that receives work, with its gate and connections.
 #[derive(Debug)]
 pub struct OpenInstance {
-    /// Its identity.
+    /// Identity of the instance.
     pub id: InstanceId,
-    /// Admission to it.
+    /// Admission gate of the instance.
     pub gate: Arc<AdmissionGate>,
-    /// Connections to it.
+    /// Connections to the instance.
     pub pool: Arc<BackendPool>,
-    pub(super) end: Arc<EndDetector>,
+    pub(super) termination: Arc<TerminationDetector>,
     leaving: AtomicBool,
     slots: Mutex<u32>,
     unreachable_until: Mutex<Timestamp>,
@@ -91,19 +93,19 @@
 }
 
 impl OpenInstance {
-    /// Whether it gets nothing new.
+    /// True if the instance gets no new calls.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Whether it accepted no connection a moment ago.
+    /// True if the instance refused a connection within the last 100 ms before `now`.
     #[must_use]
     pub fn is_unreachable(&self, now: Timestamp) -> bool {
         now < *lock(&self.unreachable_until)
     }
 
-    /// Notes that it accepted no connection.
+    /// Records that the instance refused a connection. It gets no calls for a short time.
     pub fn connect_failed(&self, now: Timestamp) {
         *lock(&self.unreachable_until) = now + UNREACHABLE_HOLD;
     }
@@ -118,7 +120,7 @@
 }
 
 impl LocalBackend {
-    /// A back end of which no instance is known.
+    /// Creates a backend without a known instance.
     #[must_use]
     pub fn new(
         service: &str,
@@ -135,36 +137,36 @@
             repeats: Mutex::new(RepeatWindow::new(retries.ratio, retries.window)),
             configured: Mutex::new(Configured {
                 health_path: None,
-                connections: FIRST_CONNECTIONS,
+                connections: INITIAL_CONNECTIONS,
             }),
             instance: Mutex::default(),
         })
     }
 
-    /// Name of its service.
+    /// Name of the service that the backend belongs to.
     #[must_use]
     pub fn service(&self) -> &str {
         &self.service
     }
 
-    /// Counts a call that is sent to the back end for the first time.
+    /// Counts the first arrival of a call at the backend.
     pub fn first_arrival(&self) {
         lock(&self.repeats).first_arrival(self.clock.now());
     }
 
-    /// Counts a repeated call and lets it pass, if the bound on repeats leaves room for it.
+    /// Counts a repeat and admits it if the bound on repeats leaves room.
     #[must_use]
     pub fn admit_repeat(&self, priority: Priority) -> bool {
         lock(&self.repeats).admit_repeat(self.clock.now(), priority)
     }
 
-    /// Repeats that the back end may still get now.
+    /// Number of repeats that the backend may still receive in the current window.
     #[must_use]
     pub fn repeats_left(&self) -> u64 {
         lock(&self.repeats).left(self.clock.now())
     }
 
-    /// Takes over what the configuration says of the service.
+    /// Applies the service's settings from the configuration.
     pub fn configure(&self, service: &Service) {
         let connections = usable_connections(service.connections);
         *lock(&self.configured) = Configured {
@@ -176,17 +178,17 @@
         }
     }
 
-    /// The instance that has the gate, leaving or not.
+    /// Returns the instance that has the gate, including one that is leaving.
     #[must_use]
     pub fn instance(&self) -> Option<Arc<OpenInstance>> {
         lock(&self.instance).clone()
     }
 
-    fn found(&self, id: &InstanceId) -> Option<Arc<OpenInstance>> {
+    fn matching_instance(&self, id: &InstanceId) -> Option<Arc<OpenInstance>> {
         self.instance().filter(|instance| instance.id.may_be(id))
     }
 
-    /// Lets an instance get work.
+    /// Starts sending work to an instance, or updates its slots if it already receives work.
     pub fn open(&self, id: &InstanceId, slots: Option<u32>) {
         let mut current = lock(&self.instance);
         if let Some(instance) = current.as_ref()
@@ -196,7 +198,7 @@
             instance.set_slots(slots.unwrap_or_default());
             return;
         }
-        let slots = slots.filter(|slots| *slots > 0).unwrap_or(FIRST_SLOTS);
+        let slots = slots.filter(|slots| *slots > 0).unwrap_or(INITIAL_SLOTS);
         let gate = AdmissionGate::new(admission_settings(slots), self.clock);
         let timed = Arc::clone(&gate);
         let timer = tokio::spawn(async move { timed.run_timer().await });
@@ -205,14 +207,14 @@
             self.address,
             connections,
             CONNECT_TIMEOUT,
-            LONGEST_REST,
+            MAX_IDLE_TIME,
             since_boot,
         );
         *current = Some(Arc::new(OpenInstance {
             id: id.clone(),
             gate,
             pool,
-            end: EndDetector::new(self.address, self.clock),
+            termination: TerminationDetector::new(self.address, self.clock),
             leaving: AtomicBool::new(false),
             slots: Mutex::new(slots),
             unreachable_until: Mutex::default(),
@@ -220,31 +222,31 @@
         }));
     }
 
-    /// Keeps new work from an instance; what is in execution goes on.
+    /// Stops new work for an instance. Calls in execution continue.
     pub fn close(&self, id: &InstanceId) {
-        if let Some(instance) = self.found(id) {
+        if let Some(instance) = self.matching_instance(id) {
             instance.leaving.store(true, Ordering::Relaxed);
             instance.gate.begin_drain();
         }
     }
 
-    /// Keeps new work from an instance that is over, and notes its end.
-    pub fn end(&self, id: &InstanceId) {
+    /// Stops new work for an instance that has terminated, and records its termination.
+    pub fn terminate(&self, id: &InstanceId) {
         self.close(id);
-        if let Some(instance) = self.found(id) {
-            instance.end.note_end();
+        if let Some(instance) = self.matching_instance(id) {
+            instance.termination.record_termination();
         }
     }
 
-    /// Takes over the slots that an instance tells.
+    /// Applies the number of slots that an instance reports.
     pub fn update_slots(&self, id: &InstanceId, slots: u32) {
-        if let Some(instance) = self.found(id) {
+        if let Some(instance) = self.matching_instance(id) {
             instance.set_slots(slots);
         }
     }
 
-    /// Asks the back end's health endpoint; gives the instance that answers that it is healthy and
-    /// does not leave.
+    /// Queries the backend's health endpoint. Returns the responding instance if it is healthy and
+    /// not leaving.
     pub async fn healthy_instance(&self) -> Option<InstanceId> {
         let path = lock(&self.configured).health_path.clone()?;
         let pool = BackendPool::new(self.address, 1, CONNECT_TIMEOUT);
@@ -261,13 +263,13 @@
     }
 }
 
-/// Executions at a time that a back end bears without slowing down.
+/// Number of concurrent executions that a backend tolerates without slowing down.
 fn usable_slots(slots: u32) -> u32 {
-    let usable = (f64::from(slots) * FULL_LOAD).floor() as u32;
+    let usable = (f64::from(slots) * USABLE_SLOT_SHARE).floor() as u32;
     usable.max(1)
 }
 
 fn usable_connections(accepted: u32) -> u32 {
     let accepted = accepted.max(2);
-    accepted - (accepted / SPARE_CONNECTIONS_SHARE).max(1)
+    accepted - (accepted / RESERVED_CONNECTIONS_DIVISOR).max(1)
 }
--- a/crates/sidecar/src/inbound/dispatch.rs
+++ b/crates/sidecar/src/inbound/dispatch.rs
@@ -1,5 +1,5 @@
-//! Handing an admitted call to the back end, and judging what comes back: an answer, a refusal, a lost connection or the
-//! end of the back end.
+//! Sends an admitted call to the backend and classifies the outcome: a response, a refusal, a lost
+//! connection or the termination of the backend.
 
 use std::time::Duration;
 
@@ -14,70 +14,72 @@
 use wharfquay_daemon::body::{BodyEnd, BodyObserver, RequestBody};
 use wharfquay_daemon::headers::{remove_hop_by_hop, remove_internal_answer};
 
-use super::answer::{Verdict, judge};
 use super::backend::OpenInstance;
-use super::end_detector::{Probed, RunningGuard, RunningRequest};
 use super::execution::{LocalExecutor, UNAVAILABLE_RETRY_AFTER};
+use super::response::{ResponseClass, classify};
+use super::termination_detector::{ExecutingRequest, InExecutionGuard, ProbeResult};
 use crate::body::{Collected, collect, remove_length};
 use crate::events::Event;
 use crate::log_event;
 use crate::message::RequestHead;
 
-/// Connections that may prove closed before a byte was written, for one call.
-const CONNECTION_TRIES: usize = 3;
-/// Times that a call which the back end refused unexecuted is sent to it again at most.
-const MOST_REPEATED_SENDS: u32 = 8;
-/// Pauses before these: short, since the call holds its slot meanwhile.
+/// Attempts per call to find an open connection. A pooled connection may turn out closed before a
+/// byte is written.
+const CONNECTION_ATTEMPTS: usize = 3;
+/// Maximum number of times that a call is sent again after the backend refused it without executing
+/// it.
+const MAX_RESENDS: u32 = 8;
+/// Backoff before these sends. It is short because the call occupies its slot meanwhile.
 const SEND_BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(1),
     maximum: Duration::from_millis(20),
 };
-/// Retry-After of a call that the back end itself refused.
+/// Retry-After of a call that the backend itself refused.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Fingerprints that the line about an end of the back end shows at most.
-const MOST_LOGGED_REQUESTS: usize = 16;
+/// Maximum number of fingerprints in the log line about a terminated instance.
+const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// A call that the gate let through.
+/// A call that the gate admitted.
 pub(super) struct AdmittedCall<'call> {
     pub(super) context: &'call CallContext,
     pub(super) request_id: &'call str,
     pub(super) head: &'call RequestHead,
-    /// Whether it is a suspect that has its turn.
+    /// True if the call is a suspect that is executed without other suspects beside it.
     pub(super) is_isolated: bool,
 }
 
 impl AdmittedCall<'_> {
-    /// The call as one of those in execution; none where its first hop does not tell what it asks for.
-    fn running(&self) -> Option<RunningRequest> {
+    /// Returns the call as a request in execution; `None` if its first hop sent no fingerprint.
+    fn running(&self) -> Option<ExecutingRequest> {
         let fingerprint = self.context.fingerprint?;
-        Some(RunningRequest {
+        Some(ExecutingRequest {
             fingerprint,
             is_isolated: self.is_isolated,
         })
     }
 }
 
-/// The answer of the back end, as far as it was read.
-pub(super) struct Answered {
+/// Response of the backend, as far as it was read.
+pub(super) struct BackendResponse {
     pub(super) parts: http::response::Parts,
     pub(super) collected: Collected,
     pub(super) lease: Lease,
 }
 
 impl LocalExecutor {
-    /// Hands the call to the back end and reads its answer; hands it over again where the back end refused it
-    /// unexecuted and the bound on repeats leaves room.
+    /// Sends the call to the backend and reads the response. Sends it again if the backend refused
+    /// it without executing it and the bound on repeats leaves room.
     pub(super) async fn dispatch(
         &self,
         instance: &OpenInstance,
         call: &AdmittedCall<'_>,
         body: RequestBody,
-    ) -> Result<Answered, Failure> {
+    ) -> Result<BackendResponse, Failure> {
         self.quarantine.check(call.context)?;
         self.count_arrival(call.context)?;
         let can_repeat = matches!(body, RequestBody::Held(None));
         let mut result = self.send(instance, call, body).await;
-        for repeat in 0..MOST_REPEATED_SENDS {
+        for repeat in 0..MAX_RESENDS {
             if !can_repeat || !is_refused(&result) || instance.is_leaving() {
                 break;
             }
@@ -93,7 +95,7 @@
         result
     }
 
-    /// Counts a call that is about to be sent to the back end.
+    /// Counts a call that is about to be sent to the backend.
     ///
     /// # Errors
     /// The refusal of a repeat for which the bound on repeats leaves no room.
@@ -109,25 +111,26 @@
         Err(Failure::with_retry_after(code, REFUSED_RETRY_AFTER))
     }
 
-    /// Sends the call to the back end once and reads its answer; tells an end of the back end from the mere loss of
-    /// a connection, and an answer to a suspect from its next end.
+    /// Sends the call to the backend once and reads the response. Distinguishes the termination of
+    /// the backend from a lost connection, and clears a suspect that got a response.
     async fn send(
         &self,
         instance: &OpenInstance,
         call: &AdmittedCall<'_>,
         body: RequestBody,
-    ) -> Result<Answered, Failure> {
+    ) -> Result<BackendResponse, Failure> {
         let mut running = None;
         let sent = self.send_once(instance, call, body, &mut running).await;
         match &sent {
-            // A failure of the back end's own may have come before the end that it was about to have.
+            // A server error does not clear a suspect: it may precede the termination that the
+            // request causes.
             Ok(answered) if !answered.parts.status.is_server_error() => {
                 self.quarantine.answered(call.context);
             }
             Err(failure)
                 if failure.code == ResultCode::ConnectionLost
                     && !instance.is_leaving()
-                    && self.has_ended(instance).await =>
+                    && self.has_terminated(instance).await =>
             {
                 return Err(Failure::new(ResultCode::BackendEnded));
             }
@@ -136,39 +139,42 @@
         sent
     }
 
-    /// Whether the instance has ended. Whoever finds it out first tells operators and the quarantine.
-    async fn has_ended(&self, instance: &OpenInstance) -> bool {
-        match instance.end.probe().await {
-            Probed::Alive => false,
-            Probed::Ended => true,
-            Probed::EndedNow(running) => {
+    /// True if the instance has terminated. The first call that detects it reports it to the log,
+    /// the metrics and the quarantine.
+    async fn has_terminated(&self, instance: &OpenInstance) -> bool {
+        match instance.termination.probe().await {
+            ProbeResult::Alive => false,
+            ProbeResult::Terminated => true,
+            ProbeResult::NewlyTerminated(running) => {
                 instance.connect_failed(self.clock.now());
                 self.metrics.instance_ended();
-                log_end(instance, &running);
+                log_termination(instance, &running);
                 self.quarantine.instance_ended(&instance.id, &running);
                 true
             }
         }
     }
 
-    /// Sends the call once; `running` keeps it among the requests in execution.
+    /// Sends the call once. `running` holds its guard among the requests in execution.
     async fn send_once(
         &self,
         instance: &OpenInstance,
         call: &AdmittedCall<'_>,
         body: RequestBody,
-        running: &mut Option<RunningGuard>,
-    ) -> Result<Answered, Failure> {
+        running: &mut Option<InExecutionGuard>,
+    ) -> Result<BackendResponse, Failure> {
         let mut request = call.head.to_request(body);
-        self.address_to(instance, request.headers_mut());
-        for _ in 0..CONNECTION_TRIES {
+        self.set_target_instance(instance, request.headers_mut());
+        for _ in 0..CONNECTION_ATTEMPTS {
             let mut lease = self.checkout(instance).await?;
             let remaining = call.context.remaining(self.clock.now());
             self.dialect.set_deadline(request.headers_mut(), remaining);
-            *running = call.running().map(|request| instance.end.begin(request));
+            *running = call
+                .running()
+                .map(|request| instance.termination.begin(request));
             match lease.send(request).await {
                 Ok(response) => return self.read(instance, call, response, lease).await,
-                Err(SendError::Failed(error)) => return Err(Failure::new(code_of(error))),
+                Err(SendError::Failed(error)) => return Err(Failure::new(result_code(error))),
                 Err(SendError::NotSent(unsent)) => {
                     *running = None;
                     request = unsent;
@@ -184,11 +190,11 @@
             if error == BackendError::ConnectFailed {
                 instance.connect_failed(self.clock.now());
             }
-            Failure::with_retry_after(code_of(error), UNAVAILABLE_RETRY_AFTER)
+            Failure::with_retry_after(result_code(error), UNAVAILABLE_RETRY_AFTER)
         })
     }
 
-    fn address_to(&self, instance: &OpenInstance, headers: &mut HeaderMap) {
+    fn set_target_instance(&self, instance: &OpenInstance, headers: &mut HeaderMap) {
         if let Ok(id) = HeaderValue::from_str(instance.id.name()) {
             headers.insert(self.dialect.target_instance.clone(), id);
         }
@@ -200,22 +206,22 @@
         call: &AdmittedCall<'_>,
         response: Response<Incoming>,
         lease: Lease,
-    ) -> Result<Answered, Failure> {
-        match judge(&self.dialect, call.request_id, &response) {
-            Verdict::Answer => {}
-            Verdict::Refused => {
+    ) -> Result<BackendResponse, Failure> {
+        match classify(&self.dialect, call.request_id, &response) {
+            ResponseClass::Usable => {}
+            ResponseClass::Refused => {
                 drain_refusal(response, lease);
                 let code = ResultCode::RefusedByBackend;
                 return Err(Failure::with_retry_after(code, REFUSED_RETRY_AFTER));
             }
-            Verdict::Misdirected(found) => {
+            ResponseClass::Misdirected(found) => {
                 if found.as_deref() != Some(instance.id.name()) {
                     (self.misdirected)(&instance.id);
                 }
                 let code = ResultCode::RefusedByBackend;
                 return Err(Failure::with_retry_after(code, UNAVAILABLE_RETRY_AFTER));
             }
-            Verdict::Unusable(code) => return Err(Failure::new(code)),
+            ResponseClass::Unusable(code) => return Err(Failure::new(code)),
         }
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
@@ -223,7 +229,7 @@
         remove_length(&call.head.method, &mut parts.headers);
         let collected = collect(incoming).await;
         let collected = collected.map_err(|_| Failure::new(ResultCode::ConnectionLost))?;
-        Ok(Answered {
+        Ok(BackendResponse {
             parts,
             collected,
             lease,
@@ -231,9 +237,9 @@
     }
 }
 
-/// Tells operators that an instance ended.
-fn log_end(instance: &OpenInstance, running: &[RunningRequest]) {
-    let logged = running.iter().take(MOST_LOGGED_REQUESTS);
+/// Logs that an instance terminated.
+fn log_termination(instance: &OpenInstance, running: &[ExecutingRequest]) {
+    let logged = running.iter().take(MAX_LOGGED_REQUESTS);
     let logged: Vec<String> = logged
         .map(|request| request.fingerprint.to_string())
         .collect();
@@ -246,12 +252,12 @@
     );
 }
 
-/// Whether the back end proved that it did not execute the call.
-fn is_refused(result: &Result<Answered, Failure>) -> bool {
+/// True if the backend proved that it did not execute the call.
+fn is_refused(result: &Result<BackendResponse, Failure>) -> bool {
     matches!(result, Err(failure) if failure.code == ResultCode::RefusedByBackend)
 }
 
-/// Reads a short refusal to its end, so that its connection can be used again.
+/// Reads a short refusal to its end, which allows its connection to be reused.
 fn drain_refusal(response: Response<Incoming>, lease: Lease) {
     tokio::spawn(async move {
         if let Ok(Collected::Whole(_)) = collect(response.into_body()).await {
@@ -260,7 +266,7 @@
     });
 }
 
-const fn code_of(error: BackendError) -> ResultCode {
+const fn result_code(error: BackendError) -> ResultCode {
     match error {
         BackendError::ConnectionLimit => ResultCode::ConnectionLimit,
         BackendError::ConnectFailed => ResultCode::ConnectFailed,
--- a/crates/sidecar/src/inbound/execution.rs
+++ b/crates/sidecar/src/inbound/execution.rs
@@ -1,4 +1,5 @@
-//! Admission of a call for the local back end, the account of its execution, and the answer with its metadata.
+//! Admits calls for the local backend, tracks their execution and returns the response with its
+//! metadata.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,7 +20,7 @@
 use wharfquay_protocol::answer::WireAnswer;
 
 use super::backend::{LocalBackend, OpenInstance};
-use super::dispatch::{AdmittedCall, Answered};
+use super::dispatch::{AdmittedCall, BackendResponse};
 use super::report::CallReport;
 use crate::body::Collected;
 use crate::dialect::Dialect;
@@ -30,24 +31,25 @@
 use crate::quarantine::Quarantine;
 use crate::scopes::{OpenScope, ScopeTable};
 
-/// Depth of a request at the back end that its caller sent it to.
-const DEPTH_OF_CALLERS: u8 = 1;
-/// Longest wait at the gate. A longer one for calls of requests in execution was worth nothing
-/// (docs/design/decisions.md).
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+/// Depth of a request at the backend that its client sent it to.
+const CLIENT_REQUEST_DEPTH: u8 = 1;
+/// Maximum wait at the gate. A longer one for calls on behalf of requests in execution brought no
+/// benefit (docs/design/decisions.md).
+const MAX_GATE_WAIT: Duration = Duration::from_millis(100);
 /// Retry-After of a refusal because no instance can take work.
 pub(super) const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Learns that another instance than the one that was meant has the back end's address.
+/// Callback for a response showing that another instance than the addressed one has the backend's
+/// address.
 pub(crate) type MisdirectedObserver = Arc<dyn Fn(&InstanceId) + Send + Sync>;
 
-/// What became of a call, and what its sender should know along with it.
+/// Outcome of a call and the metadata to return to its sender.
 pub(crate) struct Executed {
     pub(crate) result: Result<Response<AnswerBody>, Failure>,
     pub(crate) metadata: WireAnswer,
 }
 
-/// Executes calls at the local back end.
+/// Executes calls at the local backend.
 pub(crate) struct LocalExecutor {
     pub(crate) backend: Arc<LocalBackend>,
     pub(crate) scopes: Arc<ScopeTable>,
@@ -71,7 +73,7 @@
 }
 
 impl LocalExecutor {
-    /// Admits a call, executes it and gives the answer.
+    /// Admits a call, executes it and returns the response.
     pub(crate) async fn execute(
         &self,
         context: CallContext,
@@ -114,7 +116,7 @@
         Ok(instance)
     }
 
-    /// Waits for admission and runs the call; also gives the retries that were not spent.
+    /// Waits for admission and executes the call. Also returns the retries that were not spent.
     async fn run(
         &self,
         instance: &Arc<OpenInstance>,
@@ -157,7 +159,10 @@
             Err(_) => Err(Failure::new(ResultCode::DeadlineAfterDispatch)),
         };
         let returned = scope.close_ledger();
-        (settle(result, scope, permit, deadline), returned)
+        (
+            complete_execution(result, scope, permit, deadline),
+            returned,
+        )
     }
 
     fn metadata(
@@ -186,9 +191,9 @@
     }
 }
 
-/// How a call asks for admission.
+/// Returns the admission parameters of a call.
 fn entry(context: &CallContext) -> Entry {
-    let standing = if context.depth > DEPTH_OF_CALLERS {
+    let standing = if context.depth > CLIENT_REQUEST_DEPTH {
         Standing::InProgress
     } else {
         Standing::New
@@ -196,15 +201,15 @@
     Entry {
         key: context.admission_key(),
         deadline: context.deadline,
-        patience: Some(LONGEST_WAIT),
+        patience: Some(MAX_GATE_WAIT),
         standing,
         admitted_below: context.admitted_below,
     }
 }
 
-/// Ends the execution, or lets it end with the body that is still being passed on.
-fn settle(
-    result: Result<Answered, Failure>,
+/// Completes the execution, or defers that to the end of a body that is still being relayed.
+fn complete_execution(
+    result: Result<BackendResponse, Failure>,
     scope: OpenScope,
     permit: Permit,
     deadline: Instant,
@@ -212,7 +217,7 @@
     let answered = match result {
         Ok(answered) => answered,
         Err(failure) => {
-            permit.complete(completion_of(failure.code));
+            permit.complete(completion_for(failure.code));
             return Err(failure);
         }
     };
@@ -224,7 +229,7 @@
         permit.complete(Completion::Succeeded);
     } else {
         body.observe(lease);
-        body.observe(Box::new(Closing {
+        body.observe(Box::new(ExecutionCompletion {
             _scope: scope,
             permit,
         }));
@@ -232,20 +237,20 @@
     Ok(Response::from_parts(answered.parts, body))
 }
 
-const fn completion_of(code: ResultCode) -> Completion {
+const fn completion_for(code: ResultCode) -> Completion {
     match code {
         ResultCode::DeadlineAfterDispatch => Completion::Cancelled,
         _ => Completion::Failed,
     }
 }
 
-/// Ends the execution with the body of its answer.
-struct Closing {
+/// Completes the execution when the body of its response ends.
+struct ExecutionCompletion {
     _scope: OpenScope,
     permit: Permit,
 }
 
-impl BodyObserver for Closing {
+impl BodyObserver for ExecutionCompletion {
     fn ended(self: Box<Self>, end: BodyEnd) {
         let completion = match end {
             BodyEnd::Complete => Completion::Succeeded,
@@ -256,7 +261,7 @@
     }
 }
 
-/// Counts a call at the back end for as long as it lives.
+/// Counts a call at the backend until it is dropped.
 pub(crate) struct InFlight(Arc<AtomicUsize>);
 
 impl InFlight {
@@ -272,8 +277,8 @@
     }
 }
 
-/// A request without a body, or the stream of one.
-pub(crate) fn body_of(request: Request<Incoming>) -> (Request<()>, RequestBody) {
+/// Splits the body off a request: none, or the stream of one.
+pub(crate) fn split_body(request: Request<Incoming>) -> (Request<()>, RequestBody) {
     use http_body::Body;
     let (parts, incoming) = request.into_parts();
     let body = if incoming.is_end_stream() {
--- a/crates/sidecar/src/inbound/handler.rs
+++ b/crates/sidecar/src/inbound/handler.rs
@@ -1,4 +1,4 @@
-//! Serves the calls of other sidecars.
+//! Handler for calls from other sidecars.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use wharfquay_protocol::context::{Callee, WireContext};
 use wharfquay_protocol::headers as names;
 
-use super::execution::{LocalExecutor, body_of};
+use super::execution::{LocalExecutor, split_body};
 use crate::message::RequestHead;
 
-/// Serves the calls of other sidecars.
+/// Serves calls from other sidecars.
 #[derive(Clone, Debug)]
 pub(crate) struct InboundHandler {
     executor: Arc<LocalExecutor>,
@@ -39,23 +39,27 @@
         Ok(response)
     }
 
-    /// Reads the context of a call that is meant for this sidecar.
+    /// Reads the context of a call that is addressed to this sidecar.
     ///
     /// # Errors
-    /// Why the call is refused; it was not run.
+    /// The reason why the call is refused; it was not executed.
     fn read_context(&self, request: &Request<Incoming>) -> Result<CallContext, ResultCode> {
         let value = request.headers().get(names::CONTEXT);
         let value = value.ok_or(ResultCode::InvalidContext)?;
         let wire = WireContext::decode(value.as_bytes()).map_err(|_| ResultCode::InvalidContext)?;
-        if wire.callee().is_some_and(|callee| !self.is_meant(callee)) {
+        if wire
+            .callee()
+            .is_some_and(|callee| !self.is_addressed_here(callee))
+        {
             return Err(ResultCode::Misaddressed);
         }
         wire.into_context(self.executor.clock.now())
             .map_err(|_| ResultCode::InvalidContext)
     }
 
-    /// Whether a call was sent to this sidecar and its back end, not to an earlier owner of the address.
-    fn is_meant(&self, callee: &Callee) -> bool {
+    /// True if a call is addressed to this sidecar and its backend, not to an earlier owner of the
+    /// address.
+    fn is_addressed_here(&self, callee: &Callee) -> bool {
         callee.service == self.executor.backend.service() && callee.sidecar == self.own_id
     }
 
@@ -64,7 +68,7 @@
         context: CallContext,
         request: Request<Incoming>,
     ) -> Response<AnswerBody> {
-        let (request, body) = body_of(request);
+        let (request, body) = split_body(request);
         let Some((mut head, ())) = RequestHead::split(request) else {
             return Failure::new(ResultCode::MalformedRequest).into_response();
         };
--- a/crates/sidecar/src/inbound/mod.rs
+++ b/crates/sidecar/src/inbound/mod.rs
@@ -1,14 +1,14 @@
-//! The inbound side: calls for the local back end, from this sidecar or from others.
+//! The inbound side: calls for the local backend, from this sidecar or from others.
 
 pub mod backend;
 
-mod answer;
 mod dispatch;
-mod end_detector;
 mod execution;
 mod handler;
 mod report;
+mod response;
+mod termination_detector;
 
-pub(crate) use end_detector::RunningRequest;
 pub(crate) use execution::{InFlight, LocalExecutor};
 pub(crate) use handler::InboundHandler;
+pub(crate) use termination_detector::ExecutingRequest;
--- a/crates/sidecar/src/inbound/report.rs
+++ b/crates/sidecar/src/inbound/report.rs
@@ -1,4 +1,4 @@
-//! What is told in the log about one call for the local back end.
+//! Log and metrics report of one call for the local backend.
 
 use http::Response;
 use wharfquay_core::call::CallContext;
@@ -16,7 +16,7 @@
 use crate::metrics::Metrics;
 use crate::outbound::millis;
 
-/// Collects what is told about a call.
+/// Collects the values that are logged about a call.
 #[derive(Debug)]
 pub(super) struct CallReport {
     clock: Clock,
@@ -41,12 +41,13 @@
         &self.context.request_kind
     }
 
-    /// The gate let the call through.
+    /// Records that the gate admitted the call.
     pub(super) fn admitted(&mut self) {
         self.admitted = Some(self.clock.now());
     }
 
-    /// Counts the end of the call, and writes it unless it is an ordinary success.
+    /// Records the completed call in the metrics and logs it. Successful calls are logged only if
+    /// sampled.
     pub(super) fn write(
         &self,
         instance: Option<&InstanceId>,
--- a/crates/sidecar/src/instance/registry.rs
+++ b/crates/sidecar/src/instance/registry.rs
@@ -102,7 +102,7 @@
                 Event::InstanceRestarted,
                 "instance={instance} earlier={earlier}"
             );
-            self.backend.end(&earlier);
+            self.backend.terminate(&earlier);
         }
     }
 
--- a/crates/sidecar/src/outbound/attempt.rs
+++ b/crates/sidecar/src/outbound/attempt.rs
@@ -29,7 +29,7 @@
 /// The margin is never more than this part of the remaining time.
 const HOP_MARGIN_SHARE: u32 = 16;
 /// Connections that may prove closed before a byte was written, for one attempt.
-const CONNECTION_TRIES: usize = 2;
+const CONNECTION_ATTEMPTS: usize = 2;
 
 /// How an attempt ended.
 pub(crate) struct AttemptEnd {
@@ -90,7 +90,7 @@
 ) -> AttemptEnd {
     let allowance = context.allowance;
     let mut request = head.to_request(body);
-    for _ in 0..CONNECTION_TRIES {
+    for _ in 0..CONNECTION_ATTEMPTS {
         let Ok(mut lease) = pool.checkout().await else {
             return AttemptEnd::not_sent(allowance, Some(request.into_body()));
         };
--- a/crates/sidecar/src/outbound/peers.rs
+++ b/crates/sidecar/src/outbound/peers.rs
@@ -14,7 +14,7 @@
 /// Most connections to one other sidecar.
 const CONNECTIONS: usize = 256;
 /// Longest rest of a connection that is used again.
-const LONGEST_REST: Duration = Duration::from_secs(5);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
 /// Connections to every sidecar that was called.
 #[derive(Debug, Default)]
@@ -31,7 +31,7 @@
                 address,
                 CONNECTIONS,
                 CONNECT_TIMEOUT,
-                LONGEST_REST,
+                MAX_IDLE_TIME,
                 since_boot,
             )
         });
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::events::Event;
 use crate::exchange::Reply;
-use crate::inbound::RunningRequest;
+use crate::inbound::ExecutingRequest;
 use crate::instance::InstanceId;
 use crate::log_event;
 
@@ -147,7 +147,7 @@
     }
 
     /// An instance of the local back end ended while it executed these requests.
-    pub(crate) fn instance_ended(&self, instance: &InstanceId, running: &[RunningRequest]) {
+    pub(crate) fn instance_ended(&self, instance: &InstanceId, running: &[ExecutingRequest]) {
         let instance = EndedInstance::new(hash_bytes(instance.to_string().as_bytes()));
         let ends = running.iter().map(|request| RequestEnd {
             fingerprint: request.fingerprint,
