--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -215,12 +215,12 @@
         last.map(|part| part.service.as_str())
     }
 
-    /// Longest time for which a request of a caller that waits for `given` is held.
+    /// Longest time for which a request of a caller that waits for `client_timeout` is held.
     #[must_use]
-    pub fn lifetime(&self, given: Option<Duration>) -> Duration {
+    pub fn lifetime(&self, client_timeout: Option<Duration>) -> Duration {
         let timeout = self.timeout_ms.map(Duration::from_millis);
-        match (timeout, given) {
-            (Some(timeout), Some(given)) => timeout.min(given),
+        match (timeout, client_timeout) {
+            (Some(timeout), Some(client_timeout)) => timeout.min(client_timeout),
             (one, other) => one.or(other).unwrap_or(DEFAULT_LIFETIME),
         }
     }
@@ -278,7 +278,7 @@
 
     /// Whether requests on this route need the API key of a tenant.
     #[must_use]
-    pub const fn asks_for_key(&self, route: &Route) -> bool {
+    pub const fn requires_key(&self, route: &Route) -> bool {
         !self.configuration.tenants.is_empty() && !route.is_public
     }
 
--- a/crates/sidecar/src/outbound/attempt.rs
+++ b/crates/sidecar/src/outbound/attempt.rs
@@ -23,27 +23,28 @@
 use crate::message::RequestHead;
 use crate::outbound::routing::{ServiceRouter, Target};
 
-/// Part of the remaining time that is kept back at a hop, so that the hop nearer to the back end
-/// answers first and its more exact answer reaches the caller.
+/// Part of the remaining time that each hop keeps back. The hop nearer to the backend then responds
+/// first, and its more exact result reaches the caller.
 const HOP_MARGIN: Duration = Duration::from_millis(3);
-/// The margin is never more than this part of the remaining time.
-const HOP_MARGIN_SHARE: u32 = 16;
-/// Connections that may prove closed before a byte was written, for one attempt.
+/// Divisor that bounds the margin: at most one in this many parts of the remaining time.
+const HOP_MARGIN_DIVISOR: u32 = 16;
+/// Attempts to find an open connection. A pooled connection may turn out closed before a byte is
+/// written.
 const CONNECTION_ATTEMPTS: usize = 2;
 
-/// How an attempt ended.
-pub(crate) struct AttemptEnd {
-    /// The answer of the back end, or the failure in its place.
+/// Outcome of an attempt.
+pub(crate) struct AttemptOutcome {
+    /// The backend's response, or the failure that replaces it.
     pub(crate) result: Result<Response<AnswerBody>, Failure>,
-    /// What the answering sidecar told along with it.
+    /// Metadata that the responding sidecar attached.
     pub(crate) metadata: Option<WireAnswer>,
-    /// What became of the retries that the attempt carried: handed back, or lost.
+    /// Retries of the attempt's allowance that were returned; `None` if the allowance is lost.
     pub(crate) returned: Option<RetryAllowance>,
-    /// The body, where none of it was sent.
+    /// The body, if none of it was sent.
     pub(crate) unsent: Option<RequestBody>,
 }
 
-impl AttemptEnd {
+impl AttemptOutcome {
     fn lost(code: ResultCode) -> Self {
         Self {
             result: Err(Failure::new(code)),
@@ -63,13 +64,13 @@
     }
 }
 
-/// The context of an attempt: a little less time, one hop deeper.
+/// Derives the context of an attempt: one hop deeper, with a slightly earlier deadline.
 pub(crate) fn attempt_context(
     context: &CallContext,
     now: Timestamp,
     allowance: RetryAllowance,
 ) -> CallContext {
-    let margin = HOP_MARGIN.min(context.remaining(now) / HOP_MARGIN_SHARE);
+    let margin = HOP_MARGIN.min(context.remaining(now) / HOP_MARGIN_DIVISOR);
     CallContext {
         attempt: AttemptId::new(rand::random()),
         deadline: context.deadline - margin,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Sends one attempt to another sidecar and waits for its answer.
+/// Sends one attempt to another sidecar and waits for its response.
 pub(crate) async fn send(
     pool: &Arc<BackendPool>,
     clock: &Clock,
@@ -87,15 +88,15 @@
     context: &CallContext,
     callee: &Callee,
     body: RequestBody,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let allowance = context.allowance;
     let mut request = head.to_request(body);
     for _ in 0..CONNECTION_ATTEMPTS {
         let Ok(mut lease) = pool.checkout().await else {
-            return AttemptEnd::not_sent(allowance, Some(request.into_body()));
+            return AttemptOutcome::not_sent(allowance, Some(request.into_body()));
         };
         if !write_context(&mut request, context, callee, clock.now()) {
-            return AttemptEnd::lost(ResultCode::MalformedRequest);
+            return AttemptOutcome::lost(ResultCode::MalformedRequest);
         }
         match lease.send(request).await {
             Ok(response) => {
@@ -103,10 +104,10 @@
                 return read(&head.method, response, lease, deadline).await;
             }
             Err(SendError::NotSent(unsent)) => request = unsent,
-            Err(SendError::Failed(_)) => return AttemptEnd::lost(ResultCode::ConnectionLost),
+            Err(SendError::Failed(_)) => return AttemptOutcome::lost(ResultCode::ConnectionLost),
         }
     }
-    AttemptEnd::not_sent(allowance, Some(request.into_body()))
+    AttemptOutcome::not_sent(allowance, Some(request.into_body()))
 }
 
 fn write_context(
@@ -129,7 +130,7 @@
     mut response: Response<Incoming>,
     lease: Lease,
     deadline: Instant,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let metadata = answer::take_metadata(response.headers_mut());
     let returned = metadata.map(|metadata| metadata.returned);
     let result = match answer::result(response.headers()) {
@@ -141,7 +142,7 @@
         }
         None => Err(Failure::new(ResultCode::MalformedAnswer)),
     };
-    AttemptEnd {
+    AttemptOutcome {
         result,
         metadata,
         returned,
@@ -171,55 +172,58 @@
     Ok(Response::from_parts(parts, body))
 }
 
-/// Reads the short body of a refusal, so that its connection can be used again.
+/// Reads the short body of a refusal, which allows its connection to be reused.
 async fn finish_refusal(response: Response<Incoming>, lease: Lease) {
     if let Ok(Collected::Whole(_)) = collect(response.into_body()).await {
         Box::new(lease).ended(BodyEnd::Complete);
     }
 }
 
-/// The router's record of an attempt in flight. Dropped without an end, the attempt was cancelled.
+/// The router's record of an attempt in flight. Dropping it without an outcome records the attempt
+/// as cancelled.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightAttempt {
     router: Arc<ServiceRouter>,
     target: Target,
     clock: Clock,
     started: Timestamp,
-    ended: bool,
+    is_observed: bool,
 }
 
-impl Flight {
+impl InFlightAttempt {
     pub(crate) fn new(router: &Arc<ServiceRouter>, target: &Target, clock: Clock) -> Self {
         Self {
             router: Arc::clone(router),
             target: target.clone(),
             clock,
             started: clock.now(),
-            ended: false,
+            is_observed: false,
         }
     }
 
-    /// The attempt ended.
-    pub(crate) fn finish(mut self, end: &AttemptEnd) {
+    /// Records the outcome of the attempt.
+    pub(crate) fn finish(mut self, completed: &AttemptOutcome) {
         let now = self.clock.now();
-        match &end.result {
-            Ok(response) => self.observe(now, end, OutcomeClass::Run, response.status(), false),
+        match &completed.result {
+            Ok(response) => {
+                self.observe(now, completed, OutcomeClass::Run, response.status(), false)
+            }
             Err(failure) => {
-                self.note_unavailable(now, failure.code);
+                self.record_unavailable(now, failure.code);
                 let outcome = failure.code.outcome();
                 let overloaded = is_overload(failure.code);
-                self.observe(now, end, outcome, StatusCode::OK, overloaded);
+                self.observe(now, completed, outcome, StatusCode::OK, overloaded);
             }
         }
     }
 
-    fn note_unavailable(&self, now: Timestamp, code: ResultCode) {
+    fn record_unavailable(&self, now: Timestamp, code: ResultCode) {
         match code {
-            // The member list still has to catch up with what the refusal says.
+            // The member list may not yet show that the endpoint is leaving.
             ResultCode::Draining | ResultCode::Misaddressed => {
                 self.router.refused_as_leaving(now, &self.target.id);
             }
-            // These may be over in a moment, as when a sidecar has just started.
+            // These conditions may be short, for example while a sidecar starts.
             ResultCode::NoBackend
             | ResultCode::NotReady
             | ResultCode::ConnectionLimit
@@ -234,13 +238,13 @@
     fn observe(
         &mut self,
         now: Timestamp,
-        end: &AttemptEnd,
+        completed: &AttemptOutcome,
         outcome: OutcomeClass,
         status: StatusCode,
         overloaded: bool,
     ) {
-        self.ended = true;
-        let load = end.metadata.map(|metadata| ReportedLoad {
+        self.is_observed = true;
+        let load = completed.metadata.map(|metadata| ReportedLoad {
             in_flight: metadata.in_flight,
             limit: metadata.limit,
             queued: metadata.queued,
@@ -251,21 +255,21 @@
             error_answer: status.is_server_error(),
             overloaded,
             load: load.filter(|load| load.limit > 0),
-            level: end.metadata.map(|metadata| metadata.level),
+            level: completed.metadata.map(|metadata| metadata.level),
         };
         self.router.observe(now, &self.target.id, seen);
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.is_observed {
             self.router.abandoned(&self.target.id);
         }
     }
 }
 
-/// Whether a refusal shows a busy endpoint rather than a broken one.
+/// True if a refusal shows an overloaded endpoint rather than a broken one.
 const fn is_overload(code: ResultCode) -> bool {
     matches!(
         code,
--- a/crates/sidecar/src/outbound/connection.rs
+++ b/crates/sidecar/src/outbound/connection.rs
@@ -1,8 +1,8 @@
-//! Connections of callers: requests are read ahead, executed side by side and answered in order.
+//! Connections of callers: requests are read ahead, executed concurrently and answered in order.
 //!
-//! The HTTP library serves a pipelined connection one request at a time; callers here give up a
-//! request that was not read within a second, so this module reads on its own, with the library's
-//! parser.
+//! The HTTP library serves a pipelined connection one request at a time. Callers on this platform
+//! abandon a request that is not read within a second, which is why this module reads connections
+//! itself, with the parser that the library uses.
 
 use std::fmt::Write as _;
 use std::io;
@@ -23,57 +23,58 @@
 use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::body::{AnswerBody, BodyError, FedBody, MAX_HELD_BODY, RequestBody};
 
-use super::answer::refusal;
 use super::parse::{BodyDecoder, ParseError, ParsedHead, Piece, take_head};
+use super::response::refusal;
 use crate::configuration::ConnectionLimits;
 use crate::fingerprint::BodyPrefix;
 
-/// Requests of one connection that are in progress at a time.
+/// Maximum number of requests in progress on one connection.
 const MAX_PIPELINED: usize = 64;
-/// Bytes read from a connection at a time.
+/// Number of bytes read from a connection at a time.
 const READ_SIZE: usize = 8 * 1024;
-/// Pieces of a long body that wait for the back end.
-const WAITING_PIECES: usize = 4;
-/// Longest time in which a caller must take some bytes of an answer.
-const WRITE_LIMIT: Duration = Duration::from_secs(12);
-/// Time for which a closed connection is still read, so that its last answer is not lost to a reset.
+/// Number of pieces of a streamed body that may be queued for the backend.
+const MAX_QUEUED_PIECES: usize = 4;
+/// Timeout for a caller to accept some bytes of a response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Time for which a connection is still read after the last response. Closing it with unread data
+/// would reset it and could lose that response.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// Gives the answer to a request.
+/// Handles the requests of a connection.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// The final answer. Dropping the future cancels the request.
+    /// Returns the final response. Dropping the future cancels the request.
     fn handle(
         &self,
         request: Request<RequestBody>,
     ) -> impl Future<Output = Response<AnswerBody>> + Send;
 }
 
-/// What the connections of one listener share.
+/// Settings shared by the connections of one listener.
 #[derive(Debug)]
 pub struct ConnectionSettings {
-    /// Bounds in force.
+    /// Connection limits in force.
     pub limits: watch::Receiver<ConnectionLimits>,
-    /// Whether answers close their connections, since the process is to stop.
+    /// True while the process is stopping: each response then closes its connection.
     pub closing: watch::Receiver<bool>,
 }
 
-/// An answer that is on its way, in the order of the requests.
-struct PendingAnswer {
-    answer: AbortOnDropHandle<Response<AnswerBody>>,
+/// A pending response, in the order of the requests.
+struct PendingResponse {
+    response: AbortOnDropHandle<Response<AnswerBody>>,
     method: Method,
     keep_alive: bool,
 }
 
-/// How reading ended.
+/// Reason why reading ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadEnd {
-    /// The caller closed the connection or broke off.
+    /// The caller closed or reset the connection.
     Gone,
-    /// Nothing came for longer than the limit.
+    /// No request arrived within the idle timeout.
     Idle,
 }
 
-/// Serves one connection until it ends.
+/// Serves one connection until it closes.
 pub async fn serve<H: RequestHandler>(
     mut stream: TcpStream,
     handler: Arc<H>,
@@ -89,7 +90,7 @@
         in_progress: Arc::clone(&in_progress),
         limits: settings.limits.clone(),
     };
-    let writer = write_answers(write_half, receiver, &in_progress, settings.closing.clone());
+    let writer = write_responses(write_half, receiver, &in_progress, settings.closing.clone());
     let closed = tokio::select! {
         _ = reader.run(sender) => None,
         written = writer => Some(written),
@@ -107,43 +108,46 @@
     limits: watch::Receiver<ConnectionLimits>,
 }
 
-/// Why no further request is read.
-enum Stop {
+/// Reason why no further request is read.
+enum ReadStop {
     End(ReadEnd),
-    Refuse(ParseError),
+    Reject(ParseError),
     TimedOut,
 }
 
-impl From<ParseError> for Stop {
+impl From<ParseError> for ReadStop {
     fn from(error: ParseError) -> Self {
-        Self::Refuse(error)
+        Self::Reject(error)
     }
 }
 
 impl<H: RequestHandler> Reader<'_, H> {
-    /// Reads requests until the caller is gone; returns then, so that everything in progress is
-    /// dropped.
-    async fn run(&mut self, answers: mpsc::Sender<PendingAnswer>) -> ReadEnd {
+    /// Reads requests until the caller disconnects. Returning then drops, and thereby cancels,
+    /// everything in progress.
+    async fn run(&mut self, responses: mpsc::Sender<PendingResponse>) -> ReadEnd {
         let stop = loop {
-            match self.read_request(&answers).await {
+            match self.read_request(&responses).await {
                 Ok(true) => {}
                 Ok(false) => break None,
                 Err(stop) => break Some(stop),
             }
         };
         match stop {
-            Some(Stop::End(end)) => return end,
-            Some(Stop::Refuse(error)) => self.refuse(&answers, status_of(error)).await,
-            Some(Stop::TimedOut) => self.refuse(&answers, StatusCode::REQUEST_TIMEOUT).await,
+            Some(ReadStop::End(end)) => return end,
+            Some(ReadStop::Reject(error)) => self.reject(&responses, status_of(error)).await,
+            Some(ReadStop::TimedOut) => self.reject(&responses, StatusCode::REQUEST_TIMEOUT).await,
             None => {}
         }
-        drop(answers);
+        drop(responses);
         self.discard().await;
         ReadEnd::Gone
     }
 
-    /// Reads one request and starts it; whether another may follow.
-    async fn read_request(&mut self, answers: &mpsc::Sender<PendingAnswer>) -> Result<bool, Stop> {
+    /// Reads and starts one request. Returns true if another may follow on the connection.
+    async fn read_request(
+        &mut self,
+        responses: &mpsc::Sender<PendingResponse>,
+    ) -> Result<bool, ReadStop> {
         let limits = *self.limits.borrow();
         let head = self.read_head(&limits).await?;
         let keep_alive = head.keep_alive;
@@ -153,17 +157,17 @@
         match held {
             ShortBody::Whole(bytes) => {
                 let body = RequestBody::held(bytes);
-                self.start(head, body, answers).await?;
+                self.start(head, body, responses).await?;
             }
-            ShortBody::Begun(first) => {
-                self.start_long(head, first, decoder, answers, timeout)
+            ShortBody::Partial(first) => {
+                self.start_streamed(head, first, decoder, responses, timeout)
                     .await?;
             }
         }
         Ok(keep_alive)
     }
 
-    async fn read_head(&mut self, limits: &ConnectionLimits) -> Result<ParsedHead, Stop> {
+    async fn read_head(&mut self, limits: &ConnectionLimits) -> Result<ParsedHead, ReadStop> {
         if self.buffer.is_empty() {
             self.wait_for_request(limits).await?;
         }
@@ -178,43 +182,44 @@
         };
         match tokio::time::timeout(timeout, reading).await {
             Ok(read) => read,
-            Err(_) => Err(Stop::TimedOut),
+            Err(_) => Err(ReadStop::TimedOut),
         }
     }
 
-    /// Waits for the first byte of a request; the time at rest counts while nothing is in progress.
-    async fn wait_for_request(&mut self, limits: &ConnectionLimits) -> Result<(), Stop> {
+    /// Waits for the first byte of a request. The idle timeout applies only while nothing is in
+    /// progress.
+    async fn wait_for_request(&mut self, limits: &ConnectionLimits) -> Result<(), ReadStop> {
         let timeout = Duration::from_millis(limits.idle_timeout_ms);
         loop {
             match tokio::time::timeout(timeout, self.fill()).await {
                 Ok(filled) => return filled,
                 Err(_) if self.in_progress.load(Ordering::Relaxed) > 0 => {}
-                Err(_) => return Err(Stop::End(ReadEnd::Idle)),
+                Err(_) => return Err(ReadStop::End(ReadEnd::Idle)),
             }
         }
     }
 
-    async fn fill(&mut self) -> Result<(), Stop> {
+    async fn fill(&mut self) -> Result<(), ReadStop> {
         self.buffer.reserve(READ_SIZE);
         match self.half.read_buf(&mut self.buffer).await {
-            Ok(0) | Err(_) => Err(Stop::End(ReadEnd::Gone)),
+            Ok(0) | Err(_) => Err(ReadStop::End(ReadEnd::Gone)),
             Ok(_) => Ok(()),
         }
     }
 
-    async fn fill_within(&mut self, timeout: Duration) -> Result<(), Stop> {
+    async fn fill_within(&mut self, timeout: Duration) -> Result<(), ReadStop> {
         match tokio::time::timeout(timeout, self.fill()).await {
             Ok(filled) => filled,
-            Err(_) => Err(Stop::TimedOut),
+            Err(_) => Err(ReadStop::TimedOut),
         }
     }
 
-    /// Reads a body that is short enough to be held.
+    /// Reads a body that is short enough to be held in memory.
     async fn read_short_body(
         &mut self,
         decoder: &mut BodyDecoder,
         timeout: Duration,
-    ) -> Result<ShortBody, Stop> {
+    ) -> Result<ShortBody, ReadStop> {
         let mut held = BytesMut::new();
         loop {
             match decoder.next(&mut self.buffer)? {
@@ -223,7 +228,7 @@
                 Piece::Data(data) => {
                     held.extend_from_slice(&data);
                     if held.len() > MAX_HELD_BODY {
-                        return Ok(ShortBody::Begun(held.freeze()));
+                        return Ok(ShortBody::Partial(held.freeze()));
                     }
                 }
             }
@@ -234,32 +239,32 @@
         &self,
         head: ParsedHead,
         body: RequestBody,
-        answers: &mpsc::Sender<PendingAnswer>,
-    ) -> Result<(), Stop> {
+        responses: &mpsc::Sender<PendingResponse>,
+    ) -> Result<(), ReadStop> {
         let method = head.request.method().clone();
         let request = head.request.map(|()| body);
         let handler = Arc::clone(&self.handler);
         let task = tokio::spawn(async move { handler.handle(request).await });
         self.in_progress.fetch_add(1, Ordering::Relaxed);
-        let pending = PendingAnswer {
-            answer: AbortOnDropHandle::new(task),
+        let pending = PendingResponse {
+            response: AbortOnDropHandle::new(task),
             method,
             keep_alive: head.keep_alive,
         };
-        let sent = answers.send(pending).await;
-        sent.map_err(|_| Stop::End(ReadEnd::Gone))
+        let sent = responses.send(pending).await;
+        sent.map_err(|_| ReadStop::End(ReadEnd::Gone))
     }
 
-    /// Starts a request and goes on reading its body for it.
-    async fn start_long(
+    /// Starts a request before its body is complete, and continues to read the body for it.
+    async fn start_streamed(
         &mut self,
         mut head: ParsedHead,
         first: Bytes,
         mut decoder: BodyDecoder,
-        answers: &mpsc::Sender<PendingAnswer>,
+        responses: &mpsc::Sender<PendingResponse>,
         timeout: Duration,
-    ) -> Result<(), Stop> {
-        let (pieces, receiver) = mpsc::channel(WAITING_PIECES);
+    ) -> Result<(), ReadStop> {
+        let (pieces, receiver) = mpsc::channel(MAX_QUEUED_PIECES);
         let length = match head.framing {
             super::parse::Framing::Length(length) => Some(length),
             super::parse::Framing::Chunked => None,
@@ -272,13 +277,13 @@
         head.request
             .extensions_mut()
             .insert(BodyPrefix(first.clone()));
-        self.start(head, body, answers).await?;
-        let mut is_wanted = pieces.send(Ok(first)).await.is_ok();
+        self.start(head, body, responses).await?;
+        let mut has_receiver = pieces.send(Ok(first)).await.is_ok();
         loop {
             match decoder.next(&mut self.buffer) {
                 Ok(Piece::End) => return Ok(()),
-                Ok(Piece::Data(data)) if is_wanted => {
-                    is_wanted = pieces.send(Ok(data)).await.is_ok();
+                Ok(Piece::Data(data)) if has_receiver => {
+                    has_receiver = pieces.send(Ok(data)).await.is_ok();
                 }
                 Ok(Piece::Data(_)) => {}
                 Ok(Piece::NeedMore) => {
@@ -295,8 +300,8 @@
         }
     }
 
-    /// Answers bytes that are no acceptable request.
-    async fn refuse(&self, answers: &mpsc::Sender<PendingAnswer>, status: StatusCode) {
+    /// Responds to bytes that are not an acceptable request.
+    async fn reject(&self, responses: &mpsc::Sender<PendingResponse>, status: StatusCode) {
         let task = tokio::spawn(async move {
             let code = ParseError::Malformed.code();
             let mut response = refusal(Failure::new(code));
@@ -304,15 +309,15 @@
             response
         });
         self.in_progress.fetch_add(1, Ordering::Relaxed);
-        let pending = PendingAnswer {
-            answer: AbortOnDropHandle::new(task),
+        let pending = PendingResponse {
+            response: AbortOnDropHandle::new(task),
             method: Method::GET,
             keep_alive: false,
         };
-        let _ = answers.send(pending).await;
+        let _ = responses.send(pending).await;
     }
 
-    /// Reads on without use until the caller closes the connection.
+    /// Reads and discards input until the caller closes the connection.
     async fn discard(&mut self) {
         loop {
             self.buffer.clear();
@@ -325,10 +330,10 @@
     }
 }
 
-/// A body as far as it is held.
+/// Start of a body: all of it, or as much as may be held in memory.
 enum ShortBody {
     Whole(Bytes),
-    Begun(Bytes),
+    Partial(Bytes),
 }
 
 const fn status_of(error: ParseError) -> StatusCode {
@@ -339,20 +344,20 @@
     }
 }
 
-/// Writes the answers in order; ends once the connection is to be closed.
-async fn write_answers(
+/// Writes the responses in order. Returns once the connection has to be closed.
+async fn write_responses(
     mut half: WriteHalf<'_>,
-    mut answers: mpsc::Receiver<PendingAnswer>,
+    mut responses: mpsc::Receiver<PendingResponse>,
     in_progress: &AtomicUsize,
     closing: watch::Receiver<bool>,
 ) -> io::Result<()> {
-    while let Some(pending) = answers.recv().await {
-        let response = match pending.answer.await {
+    while let Some(pending) = responses.recv().await {
+        let response = match pending.response.await {
             Ok(response) => response,
             Err(error) => return Err(io::Error::other(error)),
         };
         let keep_alive = pending.keep_alive && !*closing.borrow();
-        write_answer(&mut half, &pending.method, response, keep_alive).await?;
+        write_response(&mut half, &pending.method, response, keep_alive).await?;
         in_progress.fetch_sub(1, Ordering::Relaxed);
         if !keep_alive {
             break;
@@ -361,7 +366,7 @@
     half.shutdown().await
 }
 
-async fn write_answer(
+async fn write_response(
     half: &mut WriteHalf<'_>,
     method: &Method,
     response: Response<AnswerBody>,
@@ -404,10 +409,10 @@
     write_all(half, &buffer).await
 }
 
-/// Writes bytes as long as the caller goes on taking some.
+/// Writes bytes as long as the caller keeps accepting them within the timeout.
 async fn write_all(half: &mut WriteHalf<'_>, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
-        let written = tokio::time::timeout(WRITE_LIMIT, half.write(bytes)).await??;
+        let written = tokio::time::timeout(WRITE_TIMEOUT, half.write(bytes)).await??;
         if written == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -1,4 +1,4 @@
-//! The way of a call to a service: early refusal, choice of an endpoint, attempts and retries.
+//! Path of a call to a service: early refusal, endpoint selection, attempts and retries.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,7 +21,7 @@
 use wharfquay_daemon::sync::lock;
 use wharfquay_protocol::context::Callee;
 
-use super::attempt::{self, AttemptEnd, Flight, attempt_context};
+use super::attempt::{self, AttemptOutcome, InFlightAttempt, attempt_context};
 use super::peers::Peers;
 use super::report::RequestReport;
 use super::routing::{Routing, ServiceRouter, Target};
@@ -31,19 +31,20 @@
 use crate::quarantine::Quarantine;
 use crate::quota::{QuotaClient, Token};
 
-/// Sidecars that a call is offered to after refusals that cost their back ends nothing.
+/// Maximum number of sidecars that a call is offered to after refusals that did not reach their
+/// backends.
 const MAX_OFFERS: usize = 3;
-/// Retry-After when no sidecar of a service is known.
+/// Retry-After if no sidecar of a service is known.
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What is known of a call while it is under way, for an answer at its deadline.
+/// State of a call in progress, for the result that its caller receives at the deadline.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     may_run: AtomicBool,
 }
 
 impl Progress {
-    /// Whether a back end may have executed the call, or may do so.
+    /// True if a backend may have executed the call or may still be executing it.
     pub(crate) fn may_run(&self) -> bool {
         self.may_run.load(Ordering::Relaxed)
     }
@@ -59,18 +60,18 @@
     pub(crate) service: String,
     pub(crate) context: CallContext,
     pub(crate) head: RequestHead,
-    /// The tenant whose rate limit the request counts against.
+    /// Name of the tenant whose rate limit the request counts against; `None` if no limit applies.
     pub(crate) limited_tenant: Option<String>,
     pub(crate) ledger: Arc<Mutex<Ledger>>,
-    /// Calls among which the ledger divides its allowance.
+    /// Number of calls among which the ledger divides its allowance.
     pub(crate) children: usize,
-    /// Most back ends that may see the call.
+    /// Maximum number of backends that the call may reach.
     pub(crate) max_attempts: u32,
     pub(crate) progress: Arc<Progress>,
     pub(crate) report: RequestReport,
 }
 
-/// The body of a call: in memory, so that it can be sent again, or a stream that is sent once.
+/// The body of a call: in memory, which allows it to be sent again, or a stream that is sent once.
 #[derive(Debug)]
 pub(crate) enum CallBody {
     Held(Bytes),
@@ -85,7 +86,7 @@
         }
     }
 
-    fn for_attempt(&mut self) -> Option<RequestBody> {
+    fn take_for_attempt(&mut self) -> Option<RequestBody> {
         match self {
             Self::Held(bytes) => Some(RequestBody::held(bytes.clone())),
             Self::Once(body) => body.take(),
@@ -98,7 +99,7 @@
         }
     }
 
-    const fn can_repeat(&self) -> bool {
+    const fn can_resend(&self) -> bool {
         match self {
             Self::Held(_) => true,
             Self::Once(body) => body.is_some(),
@@ -106,17 +107,17 @@
     }
 }
 
-/// What the attempts of one call have shown so far.
+/// Outcomes of the attempts of one call.
 #[derive(Debug)]
 struct Attempts {
     /// Level that the originating request passed at its edge.
     admitted_below: AdmissionLevel,
-    tried: Vec<EndpointId>,
+    attempted: Vec<EndpointId>,
     offers: usize,
     arrivals: u32,
-    /// Back ends that ended under the call.
+    /// Backends that terminated while they executed the call.
     ended_backends: u8,
-    /// Result of an attempt that may have run.
+    /// Result of an attempt that may have been executed.
     uncertain: Option<Failure>,
 }
 
@@ -124,7 +125,7 @@
     const fn new(admitted_below: AdmissionLevel) -> Self {
         Self {
             admitted_below,
-            tried: Vec::new(),
+            attempted: Vec::new(),
             offers: 0,
             arrivals: 0,
             ended_backends: 0,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The context of the next attempt, which takes this allowance along.
+    /// Returns the context of the next attempt, which carries this allowance.
     fn next_context(
         &self,
         call: &CallContext,
@@ -147,8 +148,8 @@
         }
     }
 
-    fn note(&mut self, target: Target, failure: Failure) {
-        self.tried.push(target.id);
+    fn record(&mut self, target: Target, failure: Failure) {
+        self.attempted.push(target.id);
         if failure.code.outcome() == OutcomeClass::Unknown {
             self.uncertain = Some(failure);
         }
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The failure to report: "not run" only if that holds for every attempt.
+    /// Returns the failure to report: "not executed" only if that holds for every attempt.
     fn conclude(&self, last: Failure) -> Failure {
         match self.uncertain {
             Some(uncertain) if last.code.outcome() == OutcomeClass::NotRun => {
@@ -173,16 +174,16 @@
     }
 }
 
-/// Why a failed attempt is not followed by another.
+/// Reason why a failed attempt is not followed by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoRetry {
-    /// As many sidecars refused the call as it may be offered to.
+    /// The maximum number of sidecars refused the call.
     OffersSpent,
-    /// As many back ends saw the call as its route allows.
+    /// The call reached the maximum number of backends that its route allows.
     AttemptsSpent,
-    /// Too many back ends ended under this request, in this try or others.
+    /// Too many backends terminated under this request, in this call or in earlier ones.
     Quarantined,
-    /// The rule for retries says so.
+    /// The retry policy does not allow another attempt.
     GivenUp(GiveUpReason),
 }
 
@@ -195,8 +196,9 @@
     }
 }
 
-/// The key by which an endpoint's level is asked. A call on behalf of a request in execution goes to any endpoint
-/// that is not closed: the edge has decided for the whole call tree.
+/// Returns the key that is compared with an endpoint's admission level. A call on behalf of a
+/// request in execution may go to any endpoint that is not closed, because the edge has already
+/// decided for the whole call tree.
 fn routing_key(context: &CallContext) -> AdmissionKey {
     if context.depth > 0 {
         AdmissionKey::FIRST
@@ -205,7 +207,7 @@
     }
 }
 
-/// Whether a failed attempt arrived at a back end, so that a further one is a repeat.
+/// True if a failed attempt arrived at a backend, which makes a further one a repeat there.
 fn reached_backend(code: ResultCode) -> bool {
     code == ResultCode::RefusedByBackend || code.outcome() != OutcomeClass::NotRun
 }
@@ -224,7 +226,7 @@
 }
 
 impl Forwarder {
-    /// Takes a call to a back end of its service and gives the answer, or the failure in its place.
+    /// Sends a call to a backend of its service and returns the response.
     ///
     /// # Errors
     /// The failure to report to the caller.
@@ -243,13 +245,13 @@
         if let (Some(token), Err(failure)) = (token, &result)
             && failure.code.outcome() == OutcomeClass::NotRun
         {
-            self.quota.give_back(token);
+            self.quota.return_unused(token);
         }
         result
     }
 
-    /// Takes a token for a request whose tenant has a rate limit. Comes after the decision at the edge, so that
-    /// what is refused there uses up nothing.
+    /// Takes a token for a request whose tenant has a rate limit. This follows the decision at the
+    /// edge: requests that are refused there use no token.
     async fn take_token(&self, call: &OutgoingCall) -> Result<Option<Token>, Failure> {
         match &call.limited_tenant {
             Some(tenant) => self.quota.take(tenant).await.map(Some),
@@ -257,7 +259,8 @@
         }
     }
 
-    /// Offers an admitted call to sidecars of its service until one answers or no further attempt is allowed.
+    /// Offers an admitted call to sidecars of its service until one responds or no further attempt
+    /// is allowed.
     async fn offer(
         &self,
         call: &OutgoingCall,
@@ -277,9 +280,9 @@
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            attempts.note(target, failure);
+            attempts.record(target, failure);
             call.progress.set(attempts.uncertain.is_some());
-            let after = match self.next_after(call, &body, router, &attempts, failure) {
+            let after = match self.retry_delay(call, &body, router, &attempts, failure) {
                 Ok(after) => after,
                 Err(reason) => {
                     self.metrics.gave_up(&call.service, &reason.to_string());
@@ -294,8 +297,8 @@
         }
     }
 
-    /// Decides at the edge whether the whole call tree of a request is admitted, and gives the level that it
-    /// passed. Calls on behalf of a request in execution are not asked again.
+    /// Decides at the edge whether the whole call tree of a request is admitted, and returns the
+    /// level that it passed. Calls on behalf of a request in execution are not checked again.
     ///
     /// # Errors
     /// The refusal of a request that the path would not serve.
@@ -315,7 +318,8 @@
         Ok(below.fold(router.level(self.clock.now())))
     }
 
-    /// Picks an endpoint that was not tried; after an uncertain attempt also one that was.
+    /// Picks an endpoint that was not attempted yet. After an uncertain attempt, one that was
+    /// attempted may be picked if no other is available.
     fn pick(
         &self,
         call: &OutgoingCall,
@@ -327,7 +331,7 @@
             return Err(Failure::new(ResultCode::DeadlineUnreachable));
         }
         let key = routing_key(&call.context);
-        let picked = router.pick(now, key, &attempts.tried);
+        let picked = router.pick(now, key, &attempts.attempted);
         if picked.is_err() && attempts.uncertain.is_some() {
             return router.pick(now, key, &[]);
         }
@@ -342,15 +346,15 @@
         target: &Target,
         attempts: &Attempts,
     ) -> Result<Response<AnswerBody>, Failure> {
-        let flight = Flight::new(router, target, self.clock);
+        let flight = InFlightAttempt::new(router, target, self.clock);
         let started = self.clock.now();
         let sent = body
-            .for_attempt()
+            .take_for_attempt()
             .ok_or_else(|| Failure::new(ResultCode::RequestTooLarge))?;
         let grant = lock(&call.ledger).grant(call.children);
         let context = attempts.next_context(&call.context, self.clock.now(), grant.allowance());
         call.progress.set(true);
-        let end = if target.id == self.own_id {
+        let outcome = if target.id == self.own_id {
             self.execute_locally(call, context, sent).await
         } else {
             let callee = Callee {
@@ -360,21 +364,21 @@
             let pool = self.peers.pool(target.address);
             attempt::send(&pool, &self.clock, &call.head, &context, &callee, sent).await
         };
-        settle(&call.ledger, grant, &end);
-        if let Some(metadata) = &end.metadata {
+        settle_grant(&call.ledger, grant, &outcome);
+        if let Some(metadata) = &outcome.metadata {
             let kind = &call.context.request_kind;
             self.routing
-                .heard(&call.service, kind, &target.id, metadata);
+                .observe_metadata(&call.service, kind, &target.id, metadata);
         }
-        flight.finish(&end);
-        let code = end.result.as_ref().err().map(|failure| failure.code);
+        flight.finish(&outcome);
+        let code = outcome.result.as_ref().err().map(|failure| failure.code);
         let code = code.unwrap_or(ResultCode::Answered);
         call.report.attempted(&target.id, started, code);
         self.metrics.attempt_ended(target.id.as_str(), code);
-        if let Some(unsent) = end.unsent {
+        if let Some(unsent) = outcome.unsent {
             body.restore(unsent);
         }
-        end.result
+        outcome.result
     }
 
     async fn execute_locally(
@@ -382,9 +386,9 @@
         call: &OutgoingCall,
         context: CallContext,
         body: RequestBody,
-    ) -> AttemptEnd {
+    ) -> AttemptOutcome {
         let executed = self.local.execute(context, &call.head, body).await;
-        AttemptEnd {
+        AttemptOutcome {
             result: executed.result,
             returned: Some(executed.metadata.returned),
             metadata: Some(executed.metadata),
@@ -392,11 +396,11 @@
         }
     }
 
-    /// The wait before the next attempt.
+    /// Returns the wait before the next attempt.
     ///
     /// # Errors
-    /// Why there is none.
-    fn next_after(
+    /// The reason why there is no further attempt.
+    fn retry_delay(
         &self,
         call: &OutgoingCall,
         body: &CallBody,
@@ -410,7 +414,7 @@
         }
         let now = self.clock.now();
         let key = routing_key(&call.context);
-        let sibling_available = body.can_repeat() && router.can_pick(now, key, &attempts.tried);
+        let sibling_available = body.can_resend() && router.can_pick(now, key, &attempts.attempted);
         if !reached_backend(failure.code) {
             return match sibling_available {
                 true if attempts.offers < MAX_OFFERS => Ok(Duration::ZERO),
@@ -430,7 +434,7 @@
             repeatability: effective_repeatability(call, body),
             sibling_available,
             allowance: ledger.remaining(),
-            // The called service keeps the bound on repeats where they arrive.
+            // The called service enforces the bound on repeats where they arrive.
             budget_available: true,
             backoff: Backoff::default().delay(attempts.arrivals, &mut rand::rng()),
             expected_latency: Duration::ZERO,
@@ -443,17 +447,17 @@
     }
 }
 
-fn settle(ledger: &Mutex<Ledger>, grant: Grant, end: &AttemptEnd) {
+fn settle_grant(ledger: &Mutex<Ledger>, grant: Grant, outcome: &AttemptOutcome) {
     let mut ledger = lock(ledger);
-    match end.returned {
+    match outcome.returned {
         Some(returned) => ledger.settle(grant, returned),
         None => ledger.lose(grant),
     };
 }
 
-/// A body that can't be sent again makes a call unrepeatable.
+/// A call is not repeatable if its body can't be sent again.
 const fn effective_repeatability(call: &OutgoingCall, body: &CallBody) -> Repeatability {
-    if body.can_repeat() {
+    if body.can_resend() {
         call.context.repeatability
     } else {
         Repeatability::AtMostOnce
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and of the local back end: their route, their context and their answer.
+//! Requests of callers and of the local backend: route, context and response.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,10 +16,10 @@
 use wharfquay_daemon::clock::Clock;
 use wharfquay_daemon::headers::remove_internal_request;
 
-use super::answer::{refusal, status_of};
 use super::forward::{CallBody, Forwarder, OutgoingCall, Progress};
-use super::identity::identify;
+use super::identity::identify_tenant;
 use super::report::RequestReport;
+use super::response::{refusal, status_of};
 use crate::configuration::{Route, RouteIndex};
 use crate::confirmation::Confirmation;
 use crate::dialect::{Dialect, RequestLineage};
@@ -30,16 +30,16 @@
 
 /// Retries that a caller's request and all calls below it may spend.
 const RETRIES_PER_REQUEST: u16 = 3;
-/// Calls among which a caller's request divides its retries.
+/// Number of calls among which a caller's request divides its retries.
 const CALLS_PER_REQUEST: usize = 1;
 /// Retry-After while no configuration is known.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Retry-After of a request that came to a sidecar which is about to end.
+/// Retry-After of a request that arrives at a sidecar that is about to stop.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Retry-After of a request that could not be placed in its time.
+/// Retry-After of a request that could not be dispatched before its deadline.
 const TIMEOUT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Serves callers on this machine and the local back end.
+/// Serves callers on this machine and the local backend.
 #[derive(Debug)]
 pub(crate) struct OutboundHandler {
     pub(crate) dialect: Dialect,
@@ -49,58 +49,61 @@
     pub(crate) confirmation: Arc<Confirmation>,
     pub(crate) forwarder: Arc<Forwarder>,
     pub(crate) scopes: Arc<ScopeTable>,
-    /// Whether requests of callers are refused, since the process is about to end.
+    /// True if requests of callers are refused because the process is about to stop.
     pub(crate) refusing: Arc<AtomicBool>,
 }
 
-/// A request with what the configuration says about it.
-struct Admitted {
+/// A request with its route, context and limits from the configuration.
+struct PreparedRequest {
     call: OutgoingCall,
     parent: Option<Arc<Scope>>,
 }
 
 impl OutboundHandler {
-    /// Gives the final answer to a request.
+    /// Returns the final response to a request.
     pub(crate) async fn handle(&self, request: Request<RequestBody>) -> Response<AnswerBody> {
         let request_id = request.headers().get(&self.dialect.request_id).cloned();
-        let answer = match self.answer(request).await {
+        let response = match self.respond(request).await {
             Ok(response) => response,
             Err(failure) => refusal(failure),
         };
-        self.identify(answer, request_id)
+        self.set_request_id(response, request_id)
     }
 
-    /// The sidecar's own answers bear the id of their request, as those of back ends do.
-    fn identify(
+    /// Copies the request id into the sidecar's own responses, as backends do in theirs.
+    fn set_request_id(
         &self,
-        mut answer: Response<AnswerBody>,
+        mut response: Response<AnswerBody>,
         request_id: Option<HeaderValue>,
     ) -> Response<AnswerBody> {
         if let Some(id) = request_id {
             let name = self.dialect.request_id.clone();
-            answer.headers_mut().entry(name).or_insert(id);
+            response.headers_mut().entry(name).or_insert(id);
         }
-        answer
+        response
     }
 
-    async fn answer(&self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, Failure> {
+    async fn respond(
+        &self,
+        request: Request<RequestBody>,
+    ) -> Result<Response<AnswerBody>, Failure> {
         let index = self.configuration.borrow().clone();
         if index.configuration.version == 0 {
             let code = ResultCode::NotReady;
             return Err(Failure::with_retry_after(code, NOT_READY_RETRY_AFTER));
         }
-        let (admitted, body) = self.admit(&index, request)?;
-        let _waiting = admitted.parent.as_ref().map(DownstreamWait::start);
-        let result = self.run(&admitted.call, body).await;
+        let (prepared, body) = self.prepare(&index, request)?;
+        let _waiting = prepared.parent.as_ref().map(DownstreamWait::start);
+        let result = self.run(&prepared.call, body).await;
         let code = result.as_ref().err().map(|failure| failure.code);
         let code = code.unwrap_or(ResultCode::Answered);
-        let report = admitted.call.report;
+        let report = prepared.call.report;
         let metrics = &self.forwarder.metrics;
         metrics.request_ended(report.route(), code, report.elapsed());
         if let Some(tenant) = report.tenant() {
             metrics.tenant_request_ended(tenant, code);
         }
-        tell(report, &result);
+        write_report(report, &result);
         result
     }
 
@@ -116,22 +119,22 @@
             .timeout_at(call.context.deadline, forwarding)
             .await
         {
-            Ok(Err(failure)) if is_late(failure.code) && !call.progress.may_run() => {
-                Err(placed_too_late())
+            Ok(Err(failure)) if is_timeout(failure.code) && !call.progress.may_run() => {
+                Err(not_dispatched_in_time())
             }
             Ok(result) => result,
             Err(_) if call.progress.may_run() => {
                 Err(Failure::new(ResultCode::DeadlineAfterDispatch))
             }
-            Err(_) => Err(placed_too_late()),
+            Err(_) => Err(not_dispatched_in_time()),
         }
     }
 
-    fn admit(
+    fn prepare(
         &self,
         index: &RouteIndex,
         request: Request<RequestBody>,
-    ) -> Result<(Admitted, RequestBody), Failure> {
+    ) -> Result<(PreparedRequest, RequestBody), Failure> {
         let host = host(&request).ok_or_else(|| Failure::new(ResultCode::MalformedRequest))?;
         let route = index
             .find(&host, request.uri().path())
@@ -156,16 +159,24 @@
             .dialect
             .request_id(&head.headers)
             .ok_or_else(|| Failure::new(ResultCode::MalformedRequest))?;
-        let given = self.dialect.deadline(&head.headers);
+        let client_timeout = self.dialect.deadline(&head.headers);
         let priority = index.priority(tenant, route);
         let tenant_name = tenant.map(|tenant| tenant.name.as_str());
         let fingerprint = fingerprint(&host, &head, tenant_name, prefix.as_ref(), &body);
         let context = CallContext {
             fingerprint: Some(fingerprint),
-            ..self.context(route, priority, request_id, given, parent.as_deref())
+            ..self.context(
+                route,
+                priority,
+                request_id,
+                client_timeout,
+                parent.as_deref(),
+            )
         };
         if parent.is_some() {
-            self.forwarder.routing.calls(&context.request_kind, service);
+            self.forwarder
+                .routing
+                .record_call(&context.request_kind, service);
         }
         let (ledger, children) = match &parent {
             Some(scope) => (Arc::clone(&scope.ledger), INNER_CALLS_PER_REQUEST),
@@ -183,7 +194,8 @@
             index.configuration.version,
             &context,
         );
-        // The context carries the deadline on; the sidecar beside the back end writes the header anew.
+        // The context carries the deadline from here on. The sidecar beside the backend writes the
+        // header again.
         head.headers.remove(&self.dialect.deadline_ms);
         let call = OutgoingCall {
             service: service.to_owned(),
@@ -198,10 +210,11 @@
             progress: Arc::new(Progress::default()),
             report,
         };
-        Ok((Admitted { call, parent }, body))
+        Ok((PreparedRequest { call, parent }, body))
     }
 
-    /// The tenant that a caller's request belongs to, if its route asks for a key.
+    /// Returns the tenant that a caller's request belongs to; `None` if its route requires no API
+    /// key.
     fn identify_caller<'index>(
         &self,
         index: &'index RouteIndex,
@@ -209,14 +222,15 @@
         headers: &HeaderMap,
     ) -> Result<Option<&'index Tenant>, Failure> {
         let request_id = self.dialect.request_id(headers).unwrap_or_default();
-        identify(index, route, request_id, headers, &self.confirmation)
+        identify_tenant(index, route, request_id, headers, &self.confirmation)
     }
 
-    /// The execution at the local back end on whose behalf a request is made; none for a caller's own request.
+    /// Returns the execution at the local backend on whose behalf a request is made; `None` for a
+    /// caller's own request.
     ///
     /// # Errors
-    /// The refusal of a request that names an execution which this process knows nothing of, while callers have to
-    /// say who they are: the name could be made up.
+    /// The refusal of a request that names an execution unknown to this process while callers have
+    /// to identify themselves: the id could be forged.
     fn parent(&self, headers: &HeaderMap) -> Result<Option<Arc<Scope>>, Failure> {
         let request_id = self
             .dialect
@@ -234,7 +248,8 @@
         Ok(scope)
     }
 
-    /// Writes who sent a request, whatever the sender wrote there. Back ends see no key.
+    /// Sets the headers that identify the sender, replacing values that the sender wrote. API keys
+    /// are not forwarded to backends.
     fn set_identity(&self, headers: &mut HeaderMap, index: &RouteIndex, tenant: Option<&Tenant>) {
         remove_internal_request(headers);
         headers.remove(&self.dialect.target_instance);
@@ -249,17 +264,18 @@
         }
     }
 
-    /// What the call carries: a call of the back end has the priority and the rank of the request that it was
-    /// made for, so that every hop decides alike about the whole call tree.
+    /// Builds the context of a call. A call made by the backend inherits the priority and the
+    /// admission key of the request that it was made for, which makes every hop decide alike for
+    /// the whole call tree.
     fn context(
         &self,
         route: &Route,
         priority: Priority,
         request_id: &str,
-        given: Option<Duration>,
+        client_timeout: Option<Duration>,
         parent: Option<&Scope>,
     ) -> CallContext {
-        let deadline = self.clock.now() + route.lifetime(given);
+        let deadline = self.clock.now() + route.lifetime(client_timeout);
         let repeatability = if route.repeatable {
             Repeatability::Repeatable
         } else {
@@ -296,7 +312,7 @@
     }
 }
 
-/// Calls among which an execution divides its retries.
+/// Number of calls among which an execution divides its retries.
 const INNER_CALLS_PER_REQUEST: usize = 2;
 
 fn host<B>(request: &Request<B>) -> Option<String> {
@@ -306,7 +322,7 @@
     authority.or(named).map(str::to_owned)
 }
 
-/// The origin of a request, from a hash of the id that its user gave it.
+/// Derives the origin of a request: the 128-bit FNV-1a hash of the id that its user assigned.
 fn origin(root: &str) -> OriginId {
     const OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
     const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013B;
@@ -316,26 +332,26 @@
     OriginId::from_u128(hash)
 }
 
-/// Writes what became of a request.
-fn tell(report: RequestReport, result: &Result<Response<AnswerBody>, Failure>) {
+/// Logs the result of a request.
+fn write_report(report: RequestReport, result: &Result<Response<AnswerBody>, Failure>) {
     match result {
         Ok(response) => report.answered(response.status()),
         Err(failure) => report.failed(*failure, status_of(failure.code)),
     }
 }
 
-const fn is_late(code: ResultCode) -> bool {
+const fn is_timeout(code: ResultCode) -> bool {
     matches!(
         code,
         ResultCode::DeadlineUnreachable | ResultCode::QueueTimeout
     )
 }
 
-const fn placed_too_late() -> Failure {
+const fn not_dispatched_in_time() -> Failure {
     Failure::with_retry_after(ResultCode::DeadlineUnreachable, TIMEOUT_RETRY_AFTER)
 }
 
-/// The time for which an execution waits for one of its own calls.
+/// Tells the admission gate for how long an execution waits for one of its own calls.
 #[derive(Debug)]
 struct DownstreamWait {
     scope: Arc<Scope>,
--- a/crates/sidecar/src/outbound/identity.rs
+++ b/crates/sidecar/src/outbound/identity.rs
@@ -1,4 +1,4 @@
-//! Who sent a request: the tenant whose API key it carries.
+//! Identification of a request's tenant by its API key.
 
 use std::fmt;
 
@@ -12,21 +12,22 @@
 use crate::log_event;
 use crate::tenant::{KeyDigest, Tenant};
 
-/// Name of the authentication scheme under which a key is sent; schemes are compared without regard to case.
+/// Name of the authentication scheme of API keys. Scheme names are case-insensitive.
 const SCHEME: &[u8] = b"bearer";
 
-/// The tenant that a caller's request on this route belongs to; none where the route asks for no key.
+/// Returns the tenant that a caller's request on this route belongs to; `None` if the route
+/// requires no API key.
 ///
 /// # Errors
 /// The refusal of a request without a key that identifies a tenant.
-pub(super) fn identify<'index>(
+pub(super) fn identify_tenant<'index>(
     index: &'index RouteIndex,
     route: &Route,
     request_id: &str,
     headers: &HeaderMap,
     confirmation: &Confirmation,
 ) -> Result<Option<&'index Tenant>, Failure> {
-    if !index.asks_for_key(route) {
+    if !index.requires_key(route) {
         return Ok(None);
     }
     let refuse = |key: &dyn fmt::Display, failure: Failure| {
@@ -52,7 +53,8 @@
     Ok(Some(tenant))
 }
 
-/// The key that a request carries; none where there is no such line, or more than one, or one of another form.
+/// Returns the key that a request carries; `None` if the `Authorization` header is missing,
+/// repeated or of another form.
 fn bearer_key(headers: &HeaderMap) -> Option<&[u8]> {
     let mut lines = headers.get_all(header::AUTHORIZATION).iter();
     let line = lines.next()?.as_bytes();
--- a/crates/sidecar/src/outbound/mod.rs
+++ b/crates/sidecar/src/outbound/mod.rs
@@ -1,9 +1,8 @@
-//! The outbound side: requests of callers on this machine and of the local back end.
+//! The outbound side: requests of callers on this machine and of the local backend.
 
 pub mod connection;
 pub mod routing;
 
-mod answer;
 mod attempt;
 mod forward;
 mod handler;
@@ -11,6 +10,7 @@
 pub mod parse;
 mod peers;
 mod report;
+mod response;
 
 pub(crate) use forward::Forwarder;
 pub(crate) use handler::OutboundHandler;
--- a/crates/sidecar/src/outbound/parse.rs
+++ b/crates/sidecar/src/outbound/parse.rs
@@ -1,7 +1,7 @@
-//! Reading requests from the bytes of a connection: heads, lengths and chunks. No I/O.
+//! Parses requests from the bytes of a connection: heads, lengths and chunks. Performs no I/O.
 //!
-//! Anything that two readers could understand differently (two lengths, a length beside chunks, an
-//! unknown transfer coding) is refused, so that no request can hide in another.
+//! Input that two parsers could interpret differently (two lengths, a length together with chunks,
+//! an unknown transfer coding) is rejected, which prevents request smuggling.
 
 use bytes::{Buf, Bytes, BytesMut};
 use displaydoc::Display;
@@ -9,15 +9,15 @@
 use http::{Method, Request, Uri, Version};
 use wharfquay_core::outcome::ResultCode;
 
-/// Most headers of one request.
+/// Maximum number of headers in one request.
 const MAX_HEADERS: usize = 96;
-/// Longest line of a chunk's size, in bytes.
+/// Maximum length of a chunk-size line, in bytes.
 const MAX_CHUNK_LINE: usize = 1_024;
-/// Longest trailer section, in bytes.
+/// Maximum length of the trailer section, in bytes.
 const MAX_TRAILERS: usize = 8 * 1_024;
-const LINE_END: &[u8] = b"\r\n";
+const CRLF: &[u8] = b"\r\n";
 
-/// Why the bytes are no acceptable request.
+/// Reason why the bytes are not an acceptable request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ParseError {
     /// the request is malformed
@@ -31,7 +31,7 @@
 impl std::error::Error for ParseError {}
 
 impl ParseError {
-    /// The result that the caller is told.
+    /// Returns the result code that the caller receives.
     pub(crate) const fn code(self) -> ResultCode {
         match self {
             Self::Malformed => ResultCode::MalformedRequest,
@@ -40,30 +40,30 @@
     }
 }
 
-/// How the end of a body is told.
+/// How the end of a request body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length; zero for a request without a body.
+    /// By its length, which is zero for a request without a body.
     Length(u64),
-    /// By a last chunk.
+    /// By the last chunk of the chunked transfer coding.
     Chunked,
 }
 
-/// The head of a request.
+/// Parsed head of a request.
 #[derive(Debug)]
 pub struct ParsedHead {
-    /// The head, without the framing headers of its connection being interpreted further.
+    /// Method, target and headers. The framing headers are kept as received.
     pub request: Request<()>,
-    /// How its body ends.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// Whether another request may follow on the connection.
+    /// True if another request may follow on the connection.
     pub keep_alive: bool,
 }
 
-/// Takes one whole head off the buffer; `None` when more bytes are needed.
+/// Takes one complete head off the buffer. Returns `None` if more bytes are needed.
 ///
 /// # Errors
-/// [`ParseError`] when the bytes are no acceptable head of at most `limit` bytes.
+/// [`ParseError`] if the bytes are not an acceptable head of at most `limit` bytes.
 pub fn take_head(buffer: &mut BytesMut, limit: usize) -> Result<Option<ParsedHead>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -95,8 +95,8 @@
     *request.method_mut() =
         Method::from_bytes(method.as_bytes()).map_err(|_| ParseError::Malformed)?;
     *request.uri_mut() = target.parse::<Uri>().map_err(|_| ParseError::Malformed)?;
-    let is_old = parsed.version == Some(0);
-    *request.version_mut() = if is_old {
+    let is_http_10 = parsed.version == Some(0);
+    *request.version_mut() = if is_http_10 {
         Version::HTTP_10
     } else {
         Version::HTTP_11
@@ -106,8 +106,8 @@
         let value = HeaderValue::from_bytes(field.value).map_err(malformed)?;
         request.headers_mut().append(name, value);
     }
-    let framing = framing(request.headers(), is_old)?;
-    let keep_alive = keeps_alive(request.headers(), is_old);
+    let framing = framing(request.headers(), is_http_10)?;
+    let keep_alive = keeps_alive(request.headers(), is_http_10);
     Ok(ParsedHead {
         request,
         framing,
@@ -119,14 +119,14 @@
     ParseError::Malformed
 }
 
-fn framing(headers: &HeaderMap, is_old: bool) -> Result<Framing, ParseError> {
+fn framing(headers: &HeaderMap, is_http_10: bool) -> Result<Framing, ParseError> {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     match (codings.next(), lengths.next()) {
         (None, None) => Ok(Framing::Length(0)),
         (Some(coding), None) => {
             let is_chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
-            if is_chunked && !is_old && codings.next().is_none() {
+            if is_chunked && !is_http_10 && codings.next().is_none() {
                 Ok(Framing::Chunked)
             } else {
                 Err(ParseError::Malformed)
@@ -150,37 +150,37 @@
     text.parse().map_err(|_| ParseError::Malformed)
 }
 
-fn keeps_alive(headers: &HeaderMap, is_old: bool) -> bool {
-    let says = |word: &str| {
+fn keeps_alive(headers: &HeaderMap, is_http_10: bool) -> bool {
+    let has_option = |word: &str| {
         let values = headers.get_all(header::CONNECTION).iter();
         let texts = values.filter_map(|value| value.to_str().ok());
         texts
             .flat_map(|text| text.split(','))
             .any(|part| part.trim().eq_ignore_ascii_case(word))
     };
-    if is_old {
-        says("keep-alive")
+    if is_http_10 {
+        has_option("keep-alive")
     } else {
-        !says("close")
+        !has_option("close")
     }
 }
 
-/// What a decoder found in the buffer.
+/// Result of one decoding step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
     /// Bytes of the body.
     Data(Bytes),
-    /// More bytes of the connection are needed.
+    /// More bytes must be read from the connection.
     NeedMore,
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
-/// Takes the body of a request off the buffer.
+/// Decodes the body of a request from the buffer.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: DecoderState,
-    /// Bytes of the body that may still come.
+    /// Number of further body bytes that are allowed.
     allowance: u64,
 }
 
@@ -195,10 +195,10 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for a body of at most `limit` bytes.
+    /// Creates a decoder for a body of at most `limit` bytes.
     ///
     /// # Errors
-    /// [`ParseError::BodyTooLong`] when the length that is told is above the limit.
+    /// [`ParseError::BodyTooLong`] if the declared length is above the limit.
     pub fn new(framing: Framing, limit: u64) -> Result<Self, ParseError> {
         let state = match framing {
             Framing::Length(length) if length > limit => return Err(ParseError::BodyTooLong),
@@ -212,10 +212,10 @@
         })
     }
 
-    /// The next piece of the body.
+    /// Returns the next piece of the body.
     ///
     /// # Errors
-    /// [`ParseError`] when the chunks are malformed or exceed the limit.
+    /// [`ParseError`] if the chunks are malformed or exceed the limit.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, ParseError> {
         loop {
             match self.state {
@@ -229,13 +229,13 @@
                     self.begin_chunk(chunk_size(&line)?)?;
                 }
                 DecoderState::ChunkEnd => {
-                    if buffer.len() < LINE_END.len() {
+                    if buffer.len() < CRLF.len() {
                         return Ok(Piece::NeedMore);
                     }
-                    if !buffer.starts_with(LINE_END) {
+                    if !buffer.starts_with(CRLF) {
                         return Err(ParseError::Malformed);
                     }
-                    buffer.advance(LINE_END.len());
+                    buffer.advance(CRLF.len());
                     self.state = DecoderState::ChunkLine;
                 }
                 DecoderState::Trailers(read) => {
@@ -286,15 +286,13 @@
     }
 }
 
-/// Takes a line without its end off the buffer.
+/// Takes a line without its line ending off the buffer.
 fn take_line(buffer: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, ParseError> {
-    let end = buffer
-        .windows(LINE_END.len())
-        .position(|pair| pair == LINE_END);
+    let end = buffer.windows(CRLF.len()).position(|pair| pair == CRLF);
     match end {
         Some(end) => {
             let line = buffer.split_to(end).freeze();
-            buffer.advance(LINE_END.len());
+            buffer.advance(CRLF.len());
             Ok(Some(line))
         }
         None if buffer.len() > limit => Err(ParseError::Malformed),
--- a/crates/sidecar/src/outbound/peers.rs
+++ b/crates/sidecar/src/outbound/peers.rs
@@ -1,4 +1,5 @@
-//! Connections to other sidecars: HTTP/1.1, so that one lost packet holds up one call only.
+//! Connections to other sidecars. They use HTTP/1.1 because one lost packet then delays one call
+//! only.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,21 +10,21 @@
 use wharfquay_daemon::backend_pool::BackendPool;
 use wharfquay_daemon::sync::lock;
 
-/// Longest time to open a connection to another sidecar.
+/// Timeout for opening a connection to another sidecar.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Most connections to one other sidecar.
+/// Maximum number of connections to one other sidecar.
 const CONNECTIONS: usize = 256;
-/// Longest rest of a connection that is used again.
+/// Maximum idle time after which a connection is not reused.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
-/// Connections to every sidecar that was called.
+/// Connection pools of all sidecars that were called.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     pools: Mutex<HashMap<SocketAddr, Arc<BackendPool>>>,
 }
 
 impl Peers {
-    /// The connections to one sidecar.
+    /// Returns the connection pool of one sidecar.
     pub(crate) fn pool(&self, address: SocketAddr) -> Arc<BackendPool> {
         let mut pools = lock(&self.pools);
         let pool = pools.entry(address).or_insert_with(|| {
@@ -38,15 +39,15 @@
         Arc::clone(pool)
     }
 
-    /// Closes connections that have rested longer than they may.
-    pub(crate) fn close_rested(&self) {
+    /// Closes connections that exceeded the maximum idle time.
+    pub(crate) fn close_idle(&self) {
         let pools: Vec<Arc<BackendPool>> = lock(&self.pools).values().cloned().collect();
         for pool in pools {
             pool.close_rested();
         }
     }
 
-    /// Forgets the sidecars that `listed` does not name.
+    /// Drops the pools of sidecars that `listed` does not contain.
     pub(crate) fn retain(&self, listed: &HashSet<SocketAddr>) {
         lock(&self.pools).retain(|address, _| listed.contains(address));
     }
--- a/crates/sidecar/src/outbound/report.rs
+++ b/crates/sidecar/src/outbound/report.rs
@@ -1,4 +1,4 @@
-//! What is told in the log about one request of a caller or of the local back end.
+//! Log report of one request of a caller or of the local backend.
 
 use std::fmt::Write as _;
 use std::sync::Mutex;
@@ -20,13 +20,14 @@
 
 /// One attempt of a request.
 #[derive(Clone, Debug)]
-struct AttemptNote {
+struct AttemptRecord {
     target: EndpointId,
     result: ResultCode,
     took: Duration,
 }
 
-/// Collects what is told about a request; dropped without an end, the caller gave it up.
+/// Collects the values that are logged about a request. If it is dropped without a result, the
+/// caller cancelled the request.
 #[derive(Debug)]
 pub(crate) struct RequestReport {
     clock: Clock,
@@ -37,9 +38,9 @@
     service: String,
     version: u64,
     context: CallContext,
-    attempts: Mutex<Vec<AttemptNote>>,
+    attempts: Mutex<Vec<AttemptRecord>>,
     gave_up: Mutex<Option<NoRetry>>,
-    is_ended: bool,
+    is_reported: bool,
 }
 
 impl RequestReport {
@@ -63,52 +64,53 @@
             context: context.clone(),
             attempts: Mutex::default(),
             gave_up: Mutex::default(),
-            is_ended: false,
+            is_reported: false,
         }
     }
 
-    /// Name of the tenant whose key the request carried.
+    /// Returns the name of the tenant whose key the request carried.
     pub(crate) fn tenant(&self) -> Option<&str> {
         self.tenant.as_deref()
     }
 
-    /// Name of the request's route.
+    /// Returns the name of the request's route.
     pub(crate) fn route(&self) -> &str {
         &self.route
     }
 
-    /// Time since the request arrived.
+    /// Returns the time since the request arrived.
     pub(crate) fn elapsed(&self) -> Duration {
         self.clock.now().saturating_since(self.started)
     }
 
-    /// Notes the end of an attempt that began at `started`.
+    /// Records the result of an attempt that began at `started`.
     pub(crate) fn attempted(&self, target: &EndpointId, started: Timestamp, result: ResultCode) {
         let took = self.clock.now().saturating_since(started);
-        lock(&self.attempts).push(AttemptNote {
+        lock(&self.attempts).push(AttemptRecord {
             target: target.clone(),
             result,
             took,
         });
     }
 
-    /// Notes why the last attempt is not followed by another.
+    /// Records why the last attempt is not followed by another.
     pub(crate) fn gave_up(&self, reason: NoRetry) {
         *lock(&self.gave_up) = Some(reason);
     }
 
-    /// The request has the answer of a back end.
+    /// Logs a request that received a response of a backend. Responses without a server error are
+    /// logged only if sampled.
     pub(crate) fn answered(mut self, status: StatusCode) {
-        self.is_ended = true;
+        self.is_reported = true;
         if !status.is_server_error() && !is_sampled(self.context.origin) {
             return;
         }
         self.write(ResultCode::Answered, status.as_u16(), Duration::ZERO);
     }
 
-    /// The request has the sidecar's own answer.
+    /// Logs a request that received the sidecar's own response.
     pub(crate) fn failed(mut self, failure: Failure, status: StatusCode) {
-        self.is_ended = true;
+        self.is_reported = true;
         self.write(failure.code, status.as_u16(), failure.retry_after);
     }
 
@@ -137,21 +139,21 @@
         );
     }
 
-    /// The attempts as `target:result:milliseconds`, separated by commas.
+    /// Formats the attempts as `target:result:milliseconds`, separated by commas.
     fn attempts_text(&self) -> String {
         let attempts = lock(&self.attempts);
         if attempts.is_empty() {
             return "none".to_owned();
         }
         let mut text = String::new();
-        for note in attempts.iter() {
+        for attempt in attempts.iter() {
             let separator = if text.is_empty() { "" } else { "," };
-            let (target, result) = (&note.target, note.result.number());
+            let (target, result) = (&attempt.target, attempt.result.number());
             // Writing to a String can't fail.
             let _ = write!(
                 text,
                 "{separator}{target}:{result}:{:.1}",
-                millis(note.took)
+                millis(attempt.took)
             );
         }
         text
@@ -160,13 +162,13 @@
 
 impl Drop for RequestReport {
     fn drop(&mut self) {
-        if !self.is_ended {
+        if !self.is_reported {
             self.write(ResultCode::CancelledAfterDispatch, 0, Duration::ZERO);
         }
     }
 }
 
-/// Milliseconds with their fraction.
+/// Converts a duration to milliseconds with their fraction.
 pub(crate) fn millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1_000.0
 }
--- a/crates/sidecar/src/outbound/answer.rs
+++ b/crates/sidecar/src/outbound/response.rs
@@ -1,4 +1,4 @@
-//! The answers that the sidecar itself gives to callers.
+//! Responses that the sidecar itself sends to callers.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use wharfquay_daemon::body::AnswerBody;
 use wharfquay_protocol::headers as names;
 
-/// Shortest Retry-After that a caller is told.
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Shortest Retry-After that a caller receives.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// The answer in place of a back end's. A status that promises that the request was not executed is
-/// given only where that holds.
+/// Builds the response that replaces a backend's. A status that promises that the request was not
+/// executed is used only where that holds.
 pub(crate) fn refusal(failure: Failure) -> Response<AnswerBody> {
     let status = status_of(failure.code);
     let text = format!(
@@ -39,7 +39,8 @@
     response
 }
 
-/// The status by which a caller of this platform learns what it may conclude.
+/// Returns the HTTP status that tells a caller of this platform whether its request may have been
+/// executed.
 pub(crate) fn status_of(code: ResultCode) -> StatusCode {
     match code {
         ResultCode::MalformedRequest | ResultCode::InvalidContext => StatusCode::BAD_REQUEST,
@@ -53,9 +54,9 @@
     }
 }
 
-/// Seconds with their fraction.
+/// Formats a Retry-After in seconds with three decimals, at least [`MIN_RETRY_AFTER`].
 fn retry_after(wait: Duration) -> HeaderValue {
-    let wait = wait.max(SHORTEST_RETRY_AFTER);
+    let wait = wait.max(MIN_RETRY_AFTER);
     let text = format!("{:.3}", wait.as_secs_f64());
     HeaderValue::from_str(&text).unwrap_or_else(|_| HeaderValue::from_static("1"))
 }
--- a/crates/sidecar/src/outbound/routing.rs
+++ b/crates/sidecar/src/outbound/routing.rs
@@ -1,5 +1,4 @@
-//! For each service a router and the addresses of its sidecars; and what is known of
-//! the admission levels on the paths below.
+//! Routers and sidecar addresses per service, and the known admission levels of the paths below.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -21,33 +20,35 @@
 use wharfquay_membership::table::MemberTable;
 use wharfquay_protocol::answer::WireAnswer;
 
-/// Executions at a time that an endpoint is taken to bear before it has reported its limit.
+/// Number of concurrent executions assumed for an endpoint that has not reported its limit.
 const ASSUMED_SLOTS: u32 = 16;
-/// Time for which an endpoint that refused as leaving gets nothing.
+/// Time for which an endpoint that refused a call as leaving receives no calls.
 const LEAVING_HOLD: Duration = Duration::from_millis(700);
-/// How long reported levels of a path count. An edge that admits few requests of a kind gets few answers that could
-/// report anew: a level that reopened between two answers would let in a burst.
+/// Lifetime of reported path levels. An edge that admits few requests of a kind receives few
+/// responses that could update the level; a level that reopened between two responses would admit a
+/// burst.
 const PATH_TIMING: PathTiming = PathTiming {
     fresh_for: Duration::from_millis(500),
     reopened_after: Duration::from_millis(4_500),
 };
-/// Cost of the best endpoint of the own zone from which other zones are considered: as many calls wait there as are
-/// executed. Bytes between zones are priced, and a wait of one execution is shorter than what deadlines leave
-/// (docs/design/decisions.md).
+/// Cost of the best endpoint of the local zone above which other zones are considered. At this cost
+/// as many calls wait there as are executed. Traffic between zones is charged, and waiting for one
+/// execution takes less time than deadlines leave (docs/design/decisions.md).
 const SPILL_THRESHOLD: f64 = 2.0;
-/// Request kinds whose called services are remembered.
-const REMEMBERED_KINDS: usize = 1_024;
+/// Maximum number of request kinds for which called services are tracked.
+const MAX_TRACKED_KINDS: usize = 1_024;
 
-/// A sidecar that was picked for an attempt; the router counts the attempt until it is observed.
+/// A sidecar picked for an attempt. The router counts the attempt as in flight until its outcome is
+/// observed.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its identity.
+    /// Identity of the sidecar.
     pub id: EndpointId,
-    /// Its address for calls.
+    /// Address for calls.
     pub address: SocketAddr,
 }
 
-/// How the calls of this sidecar to one service are routed.
+/// Routes this sidecar's calls to one service.
 #[derive(Debug)]
 pub struct ServiceRouter {
     state: Mutex<RouterState>,
@@ -57,11 +58,11 @@
 struct RouterState {
     router: Router,
     addresses: HashMap<EndpointId, SocketAddr>,
-    /// What the router was built from.
+    /// Members from which the router was built.
     listed: Vec<ListedMember>,
 }
 
-/// What a router needs to know of a member.
+/// The properties of a member that its router depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ListedMember {
     profile: Arc<MemberProfile>,
@@ -114,7 +115,7 @@
     /// Picks an endpoint and counts the attempt there.
     ///
     /// # Errors
-    /// What to answer when no endpoint can take the call.
+    /// The failure to report if no endpoint can take the call.
     pub fn pick(
         &self,
         now: Timestamp,
@@ -136,38 +137,38 @@
         Ok(Target { id, address })
     }
 
-    /// Whether another endpoint could take the call.
+    /// Returns true if an endpoint that is not excluded can take the call.
     pub fn can_pick(&self, now: Timestamp, key: AdmissionKey, excluded: &[EndpointId]) -> bool {
         let request = PickRequest { key, excluded };
         lock(&self.state).router.can_pick(now, &request)
     }
 
-    /// Level of the most open endpoint.
+    /// Returns the level of the most open endpoint.
     pub fn level(&self, now: Timestamp) -> AdmissionLevel {
         lock(&self.state).router.level(now)
     }
 
-    /// Takes in the end of an attempt.
+    /// Records the outcome of an attempt.
     pub fn observe(&self, now: Timestamp, endpoint: &EndpointId, seen: Observation) {
         lock(&self.state).router.observe(now, endpoint, seen);
     }
 
-    /// Takes in the end of an attempt that says nothing about the endpoint.
+    /// Records the end of an attempt that provides no information about the endpoint.
     pub fn abandoned(&self, endpoint: &EndpointId) {
         lock(&self.state).router.abandoned(endpoint);
     }
 
-    /// Keeps calls away for a while from an endpoint that can't take any.
+    /// Stops calls to an endpoint for a while after it refused one because it can't take any.
     pub fn refused_as_leaving(&self, now: Timestamp, endpoint: &EndpointId) {
         lock(&self.state).router.refused_as_leaving(now, endpoint);
     }
 
-    /// Keeps calls away for a moment from an endpoint that could not be reached.
+    /// Stops calls to an endpoint for a short time after it could not be reached.
     pub fn connection_refused(&self, now: Timestamp, endpoint: &EndpointId) {
         lock(&self.state).router.connection_refused(now, endpoint);
     }
 
-    /// Takes over the members of the service; does nothing when none of them changed.
+    /// Applies the members of the service. Does nothing if none of them changed.
     fn set_members(&self, now: Timestamp, members: &[&Member]) {
         let listed = members.iter().map(|member| ListedMember::of(member));
         let listed: Vec<ListedMember> = listed.collect();
@@ -193,19 +194,19 @@
     }
 }
 
-/// The routers of every service with a sidecar, and the levels below.
+/// The routers of all services with a known sidecar, and the levels of the paths below.
 #[derive(Debug)]
 pub struct Routing {
     clock: Clock,
     zone: Zone,
     services: RwLock<HashMap<String, Arc<ServiceRouter>>>,
     levels: Mutex<PathLevels>,
-    /// Services that executions of a request kind at the local back end were seen to call.
+    /// Services that executions of a request kind at the local backend have called.
     called: Mutex<HashMap<String, BTreeSet<String>>>,
 }
 
 impl Routing {
-    /// Routing that knows no service.
+    /// Creates a routing table without services.
     #[must_use]
     pub fn new(clock: Clock, zone: &str) -> Arc<Self> {
         Arc::new(Self {
@@ -217,13 +218,13 @@
         })
     }
 
-    /// The router of a service, if a sidecar of it is known.
+    /// Returns the router of a service; `None` if no sidecar of it is known.
     pub fn service(&self, name: &str) -> Option<Arc<ServiceRouter>> {
         let services = self.services.read().unwrap_or_else(PoisonError::into_inner);
         services.get(name).cloned()
     }
 
-    /// Takes over the members that are known. Calls go on meanwhile.
+    /// Applies the current member table. Calls continue meanwhile.
     pub fn update(&self, table: &MemberTable) {
         let now = self.clock.now();
         let mut by_service: HashMap<&str, Vec<&Member>> = HashMap::new();
@@ -249,8 +250,8 @@
         }
     }
 
-    /// Refuses a request that the path below its service is short of room for; else gives the level that it
-    /// passed.
+    /// Refuses a request for which the path below its service lacks capacity; otherwise returns the
+    /// level that it passed.
     ///
     /// # Errors
     /// The refusal, with the time after which the path may admit the request.
@@ -271,9 +272,15 @@
         }
     }
 
-    /// Notes what an answer says about the path below its endpoint.
-    pub fn heard(&self, service: &str, request_kind: &str, from: &EndpointId, told: &WireAnswer) {
-        let Some(below) = level_below(told.level, told.folded_level) else {
+    /// Records the level of the path below an endpoint, as reported in a response.
+    pub fn observe_metadata(
+        &self,
+        service: &str,
+        request_kind: &str,
+        from: &EndpointId,
+        metadata: &WireAnswer,
+    ) {
+        let Some(below) = level_below(metadata.level, metadata.folded_level) else {
             return;
         };
         let now = self.clock.now();
@@ -281,8 +288,8 @@
         levels.observe_from(now, service, from.as_str(), request_kind, below);
     }
 
-    /// Notes that an execution of a request kind at the local back end calls a service.
-    pub fn calls(&self, request_kind: &str, service: &str) {
+    /// Records that an execution of a request kind at the local backend calls a service.
+    pub fn record_call(&self, request_kind: &str, service: &str) {
         let mut called = lock(&self.called);
         if let Some(services) = called.get_mut(request_kind) {
             if !services.contains(service) {
@@ -290,14 +297,15 @@
             }
             return;
         }
-        if called.len() >= REMEMBERED_KINDS {
+        if called.len() >= MAX_TRACKED_KINDS {
             called.clear();
         }
         let services = BTreeSet::from([service.to_owned()]);
         called.insert(request_kind.to_owned(), services);
     }
 
-    /// Strictest level towards the services that executions of a request kind call from here.
+    /// Returns the strictest level towards the services that executions of a request kind call from
+    /// here.
     pub fn level_below(&self, request_kind: &str) -> AdmissionLevel {
         let now = self.clock.now();
         let called = lock(&self.called);
--- a/crates/sidecar/src/quota/client.rs
+++ b/crates/sidecar/src/quota/client.rs
@@ -91,7 +91,7 @@
     }
 
     /// Takes back the token of a request that certainly did not run.
-    pub(crate) fn give_back(&self, token: Token) {
+    pub(crate) fn return_unused(&self, token: Token) {
         let mut tenants = lock(&self.tenants);
         let known = tenants.entry(token.tenant).or_default();
         known.unused.put(token.end);
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -468,7 +468,7 @@
 async fn close_rested_connections(forwarder: Arc<Forwarder>) {
     loop {
         tokio::time::sleep(REST_CHECK_INTERVAL).await;
-        forwarder.peers.close_rested();
+        forwarder.peers.close_idle();
     }
 }
 
