--- a/crates/sidecar/src/confirmation.rs
+++ b/crates/sidecar/src/confirmation.rs
@@ -20,7 +20,7 @@
 use wharfquay_membership::table::MemberTable;
 
 use crate::configuration::RouteIndex;
-use crate::exchange::{Exchange, Peer, Question, Reply};
+use crate::exchange::{Exchange, ExchangeRequest, Peer, Reply};
 
 /// Part of the bound on revocation for which a confirmation holds. Times are those of one monotonic clock, so the
 /// rest covers only clocks that run unevenly.
@@ -37,12 +37,12 @@
 /// Pause between two looks whether to ask.
 const ASK_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest wait for the answer of another sidecar.
-const ANSWER_LIMIT: Duration = Duration::from_millis(200);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time after a restored store was noticed for which its answers confirm nothing: it may lack configurations that were
 /// acknowledged, which the operator is about to write again. Shorter than the rest of a lease that was just renewed.
 const RESTORED_HOLD: Duration = Duration::from_secs(2);
 /// Added to the process's clock, so that a process that has just started can hold a confirmation from before.
-const BEFORE_THE_START: Duration = Duration::from_secs(3_600);
+const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
 /// Retry-After while the configuration is not confirmed: about the time in which a lost confirmation is renewed.
 const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
@@ -80,7 +80,7 @@
 
     /// The time, as confirmations are dated.
     pub(crate) fn now(&self) -> Timestamp {
-        self.clock.now() + BEFORE_THE_START
+        self.clock.now() + CLOCK_OFFSET
     }
 
     /// The platform's store was restored from a copy.
@@ -162,7 +162,7 @@
 }
 
 /// Renews the confirmation by asking other sidecars; ends at once where no bound on revocation is set.
-pub(crate) async fn keep_confirmed(
+pub(crate) async fn renew_confirmation(
     confirmation: Arc<Confirmation>,
     exchange: Arc<Exchange>,
     members: watch::Receiver<MemberTable>,
@@ -202,8 +202,8 @@
     exchange: &Exchange,
     peer: Option<&Peer>,
 ) -> Option<Duration> {
-    let asked_at = confirmation.now();
-    let reply = exchange.ask(peer?, Question::Confirmation, ANSWER_LIMIT);
+    let requested_at = confirmation.now();
+    let reply = exchange.request(peer?, ExchangeRequest::Confirmation, REPLY_TIMEOUT);
     let Reply::Confirmed {
         version,
         age_micros,
@@ -212,7 +212,7 @@
         return None;
     };
     let age = Duration::from_micros(age_micros);
-    confirmation.confirm(version, asked_at - age);
+    confirmation.confirm(version, requested_at - age);
     Some(age)
 }
 
--- a/crates/sidecar/src/control/directory.rs
+++ b/crates/sidecar/src/control/directory.rs
@@ -14,7 +14,7 @@
 use crate::platform::{DirectoryEntry, Freshness, Platform};
 
 /// Longest wait for the directory's answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// This sidecar's part in the directory.
 pub(super) struct DirectoryTask<P> {
@@ -83,14 +83,14 @@
             ListingAge::Latest => Freshness::Latest,
         };
         let listing = self.platform.directory(freshness);
-        let listed = tokio::time::timeout(ANSWER_LIMIT, listing).await;
+        let listed = tokio::time::timeout(REPLY_TIMEOUT, listing).await;
         listed.ok()?.ok()
     }
 
     /// Whether the own entry stands in the directory now.
     async fn enter(&self) -> bool {
         let registering = self.platform.register(&self.entry);
-        let registered = tokio::time::timeout(ANSWER_LIMIT, registering).await;
+        let registered = tokio::time::timeout(REPLY_TIMEOUT, registering).await;
         matches!(registered, Ok(Ok(())))
     }
 }
--- a/crates/sidecar/src/control/reader.rs
+++ b/crates/sidecar/src/control/reader.rs
@@ -16,9 +16,9 @@
 use crate::platform::{ConfigurationReading, Freshness, Platform, PlatformError, Position};
 
 /// First pause after a failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest pause after a failure.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Longest wait for the answer to one reading.
 const READ_LIMIT: Duration = Duration::from_millis(1_500);
 /// Longest wait of one watch where its answers need not confirm the configuration; the platform's history is far
@@ -110,12 +110,12 @@
         false => Freshness::MayBeStale,
     };
     loop {
-        let asked_at = needs_confirmation.then(|| confirmation.now());
+        let requested_at = needs_confirmation.then(|| confirmation.now());
         let reading = platform.read_configuration(freshness);
         let event = match tokio::time::timeout(READ_LIMIT, reading).await {
             Ok(Ok(reading)) => reading
                 .configuration
-                .map(|found| ReaderEvent::Configuration(Box::new(found), asked_at)),
+                .map(|found| ReaderEvent::Configuration(Box::new(found), requested_at)),
             Ok(Err(_)) | Err(_) => Some(ReaderEvent::NoContact),
         };
         let is_found = matches!(event, Some(ReaderEvent::Configuration(..)));
@@ -139,21 +139,21 @@
 ) {
     let watch = confirmation.watch_limit().unwrap_or(LONGEST_WATCH);
     let mut position = None;
-    let mut pause = FIRST_PAUSE;
+    let mut pause = INITIAL_BACKOFF;
     let mut lost_at: Option<Instant> = None;
     loop {
-        let asked_at = confirmation.now();
+        let requested_at = confirmation.now();
         let event = match read_once(&*platform, position, watch).await {
             Ok(reading) => {
-                pause = FIRST_PAUSE;
+                pause = INITIAL_BACKOFF;
                 if let Some(lost_at) = lost_at.take() {
                     let after_ms = lost_at.elapsed().as_millis();
                     log_event!(Event::StoreRegained, "after_ms={after_ms}");
                 }
                 position = Some(reading.position);
                 match reading.configuration {
-                    Some(found) => ReaderEvent::Configuration(Box::new(found), Some(asked_at)),
-                    None => ReaderEvent::Unchanged(asked_at),
+                    Some(found) => ReaderEvent::Configuration(Box::new(found), Some(requested_at)),
+                    None => ReaderEvent::Unchanged(requested_at),
                 }
             }
             Err(PlatformError::HistoryGone) => {
@@ -171,7 +171,7 @@
                     return;
                 }
                 tokio::time::sleep(pause.mul_f64(jitter)).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_BACKOFF);
                 continue;
             }
         };
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -37,10 +37,10 @@
 /// As [`ISOLATED_AFTER`], for a sidecar without another one in its zone: zones exchange messages once a second.
 const ISOLATED_ALONE_AFTER: Duration = Duration::from_secs(3);
 /// Time in which a starting sidecar may not have met all others yet.
-const MEETING_TIME: Duration = Duration::from_millis(1_500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// The same at the first start of the whole deployment, when nobody is listed yet.
 const FIRST_MEETING_TIME: Duration = Duration::from_millis(2_500);
-/// As [`MEETING_TIME`], at the first start of the whole deployment: hundreds take longer to meet, and their requests begin
+/// As [`DISCOVERY_TIME`], at the first start of the whole deployment: hundreds take longer to meet, and their requests begin
 /// later still.
 const FIRST_READING_TIME: Duration = Duration::from_secs(6);
 /// How often it is decided anew whether to read the platform.
@@ -205,7 +205,7 @@
             }
             Next::Stopping => self.node.leave(now, random),
             Next::Seeds(entries) => {
-                self.ring.note_directory(now, &entries);
+                self.ring.add_directory_entries(now, &entries);
                 self.channels.listed.send_replace(Some(entries.clone()));
                 self.set_seeds(&entries);
                 Vec::new()
@@ -231,11 +231,13 @@
     }
 
     fn take_reading(&mut self, event: ReaderEvent) -> Vec<Effect> {
-        let (configuration, asked_at) = match event {
-            ReaderEvent::Configuration(configuration, asked_at) => (*configuration, asked_at),
-            ReaderEvent::Unchanged(asked_at) => {
+        let (configuration, requested_at) = match event {
+            ReaderEvent::Configuration(configuration, requested_at) => {
+                (*configuration, requested_at)
+            }
+            ReaderEvent::Unchanged(requested_at) => {
                 self.confirmation
-                    .confirm_by_platform(self.read_version, asked_at);
+                    .confirm_by_platform(self.read_version, requested_at);
                 self.node.store_contact(true);
                 return Vec::new();
             }
@@ -256,8 +258,9 @@
         }
         let revision = configuration.version;
         self.read_version = revision;
-        if let Some(asked_at) = asked_at {
-            self.confirmation.confirm_by_platform(revision, asked_at);
+        if let Some(requested_at) = requested_at {
+            self.confirmation
+                .confirm_by_platform(revision, requested_at);
         }
         let payload = match encode(&configuration) {
             Ok(payload) => payload,
@@ -387,7 +390,7 @@
         }
         let meeting_time = match self.is_first_start {
             true => FIRST_READING_TIME,
-            false => MEETING_TIME,
+            false => DISCOVERY_TIME,
         };
         let is_meeting = now.saturating_since(self.started_at) < meeting_time;
         Some(if is_meeting {
--- a/crates/sidecar/src/control/transport.rs
+++ b/crates/sidecar/src/control/transport.rs
@@ -110,7 +110,7 @@
         loop {
             match self.socket.recv_from(&mut self.buffer).await {
                 Ok((length, source)) if Exchange::is_exchange(&self.buffer[..length]) => {
-                    self.exchange.take(source, &self.buffer[..length]);
+                    self.exchange.receive(source, &self.buffer[..length]);
                 }
                 Ok((length, source)) => {
                     let bytes = Bytes::copy_from_slice(&self.buffer[..length]);
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -1,8 +1,8 @@
-//! Questions that one sidecar asks another and that are answered at once, one datagram each way; notices, which are not
-//! answered.
+//! Requests between sidecars that are replied to immediately, with one datagram each way, and
+//! notices, which receive no reply.
 //!
-//! They share the socket of gossip; their first byte tells them from its messages. A question or an answer that is
-//! lost is not repeated here: who asks has another sidecar to ask.
+//! The datagrams share the socket of gossip and differ from its messages by the first byte. A lost
+//! request or reply is not sent again here: the requester can contact another sidecar.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -20,149 +20,154 @@
 use crate::log_event;
 use crate::store_era::StoreEras;
 
-/// First byte of each datagram; gossip's messages begin with their version, a small number.
-const MARK: u8 = 0x80;
+/// First byte of each datagram. Gossip messages begin with their version, which is a small number.
+const MAGIC_BYTE: u8 = 0x80;
 
-/// A sidecar that can be asked.
+/// Another sidecar that requests and notices can be sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
-    /// Its identity.
+    /// Identity of the sidecar.
     pub(crate) id: String,
-    /// Its control address.
+    /// Control address of the sidecar.
     pub(crate) address: SocketAddr,
 }
 
-/// What is asked. Names are one letter long on the wire, since there is a question for each request of a tenant
-/// with a limit.
+/// A request to another sidecar. Names have one letter on the wire because one such message is sent
+/// for each request of a tenant with a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Question {
-    /// How recently the configuration in force was confirmed.
+pub(crate) enum ExchangeRequest {
+    /// Requests the age of the last confirmation of the configuration in force.
     #[serde(rename = "f")]
     Confirmation,
-    /// Tokens of a tenant's rate limit.
+    /// Requests tokens of a tenant's rate limit.
     #[serde(rename = "t")]
     Tokens {
         /// Name of the tenant.
         #[serde(rename = "n")]
         tenant: String,
-        /// How many.
+        /// Number of tokens.
         #[serde(rename = "w")]
         wanted: u32,
     },
-    /// An instance ended while it executed these requests, which the receiver owns.
+    /// Reports that an instance terminated while it executed these requests, which the receiver
+    /// owns.
     #[serde(rename = "e")]
-    Ends {
-        /// The instance.
+    Terminations {
+        /// The terminated instance.
         #[serde(rename = "i")]
         instance: EndedInstance,
-        /// The requests, and whether each was the only suspect in execution.
+        /// Fingerprints of the requests, each with a flag that is true if it was the only suspect
+        /// in execution.
         #[serde(rename = "r")]
         requests: Vec<(RequestFingerprint, bool)>,
     },
-    /// A request was answered after back ends had ended under it.
+    /// Reports that a request received a response after backends had terminated under it.
     #[serde(rename = "a")]
-    Answered(RequestFingerprint),
-    /// Which requests are quarantined, unless just those with this digest are.
+    ResponseReceived(RequestFingerprint),
+    /// Requests the quarantined requests, unless their digest equals this one.
     #[serde(rename = "q")]
     Quarantined {
-        /// Digest of those that the sender knows of.
+        /// Digest of the quarantined requests that the sender knows.
         #[serde(rename = "d")]
         digest: u64,
     },
-    /// Whether the leaving of an instance was acknowledged before the sender's process started.
+    /// Asks whether the departure of an instance was acknowledged before the sender's process
+    /// started.
     #[serde(rename = "d")]
     Departed {
         /// Name of the instance.
         #[serde(rename = "n")]
         name: String,
-        /// Unix time of its start, in milliseconds.
+        /// Start time of the instance in milliseconds since the Unix epoch; `None` if unknown.
         #[serde(rename = "b")]
-        born_ms: Option<u64>,
-        /// Time since the sender's process started.
+        started_at_ms: Option<u64>,
+        /// Uptime of the sender's process in milliseconds.
         #[serde(rename = "l")]
-        lived_ms: u64,
-        /// Whether the receiver is to read the marks for the sender, if it has to.
+        uptime_ms: u64,
+        /// True if the receiver shall read the departure records if it needs them to reply.
         #[serde(rename = "r")]
-        is_to_read: bool,
+        read_records: bool,
     },
 }
 
-impl Question {
-    /// Tells of ends of one instance.
-    pub(crate) fn ends(ends: &[RequestEnd]) -> Self {
-        let instance = ends
+impl ExchangeRequest {
+    /// Creates a report of terminations of one instance.
+    pub(crate) fn terminations(terminations: &[RequestEnd]) -> Self {
+        let instance = terminations
             .first()
-            .map_or(EndedInstance::new(0), |end| end.instance);
-        let requests = ends.iter().map(|end| (end.fingerprint, end.was_isolated));
-        Self::Ends {
+            .map_or(EndedInstance::new(0), |termination| termination.instance);
+        let requests = terminations
+            .iter()
+            .map(|termination| (termination.fingerprint, termination.was_isolated));
+        Self::Terminations {
             instance,
             requests: requests.collect(),
         }
     }
 }
 
-/// What one sidecar tells another, which does not answer.
+/// A message to another sidecar that receives no reply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Notice {
-    /// What is held against requests.
+    /// Reports of the state of suspected and quarantined requests.
     #[serde(rename = "q")]
     Quarantine(Vec<QuarantineReport>),
-    /// The platform's store was restored; the era comes with the datagram.
+    /// Announces that the platform's store was restored. The era is part of the datagram.
     #[serde(rename = "e")]
     StoreRestored,
-    /// The leaving of an instance was acknowledged.
+    /// Announces that the departure of an instance was acknowledged.
     #[serde(rename = "d")]
     Departed {
         /// Name of the instance.
         #[serde(rename = "n")]
         name: String,
-        /// Unix time of its start, in milliseconds.
+        /// Start time of the instance in milliseconds since the Unix epoch; `None` if unknown.
         #[serde(rename = "b")]
-        born_ms: Option<u64>,
+        started_at_ms: Option<u64>,
     },
 }
 
-/// An answer.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// This version was known to be the newest so long ago, in microseconds.
+    /// The version that was last confirmed as the newest, with the age of that confirmation.
     #[serde(rename = "f")]
     Confirmed {
-        /// The version.
+        /// Version of the configuration.
         #[serde(rename = "v")]
         version: u64,
-        /// Age of the confirmation.
+        /// Age of the confirmation in microseconds.
         #[serde(rename = "a")]
         age_micros: u64,
     },
-    /// So many tokens are granted; where there are fewer than were wanted, a further one comes after so many
-    /// microseconds.
+    /// Granted tokens. If fewer than requested are granted, the next one is available after
+    /// `next_after_micros`.
     #[serde(rename = "t")]
     Granted {
-        /// The tokens.
+        /// Number of granted tokens.
         #[serde(rename = "g")]
         tokens: u32,
-        /// Time until the next one.
+        /// Time until the next token in microseconds.
         #[serde(rename = "a")]
         next_after_micros: u64,
     },
-    /// What was told is taken in, or there is nothing to tell.
+    /// The report was recorded, or there is nothing to record.
     #[serde(rename = "n")]
-    Noted,
-    /// These requests are quarantined; none where the asker knows of the same.
+    Recorded,
+    /// The quarantined requests; empty if the requester knows the same ones.
     #[serde(rename = "q")]
     Quarantined {
-        /// The requests.
+        /// Reports of the requests.
         #[serde(rename = "r")]
         reports: Vec<QuarantineReport>,
-        /// Whether the sender knows what was quarantined before its process started.
+        /// True if the sender knows the requests quarantined before its process started.
         #[serde(rename = "s")]
-        is_settled: bool,
+        is_initialized: bool,
     },
-    /// Whether the leaving of the instance was acknowledged.
+    /// True if the departure of the instance was acknowledged.
     #[serde(rename = "d")]
     Departed(bool),
-    /// The question can't be answered here.
+    /// The receiver can't answer the request.
     #[serde(rename = "u")]
     Unknown,
 }
@@ -170,18 +175,18 @@
 #[derive(Serialize, Deserialize)]
 enum Content {
     #[serde(rename = "q")]
-    Question {
-        /// Identity of the sidecar that is meant: addresses are used again.
+    Request {
+        /// Identity of the addressed sidecar. It is needed because addresses are reused.
         #[serde(rename = "i")]
         to: String,
         #[serde(rename = "q")]
-        question: Question,
+        request: ExchangeRequest,
     },
     #[serde(rename = "r")]
     Reply(Reply),
     #[serde(rename = "t")]
     Notice {
-        /// As for questions.
+        /// Identity of the addressed sidecar, as in requests.
         #[serde(rename = "i")]
         to: String,
         #[serde(rename = "t")]
@@ -191,41 +196,42 @@
 
 #[derive(Serialize, Deserialize)]
 struct Datagram {
-    /// Number that the reply repeats, drawn by chance, so that no reply to an earlier process fits.
+    /// Random number that the reply repeats, which prevents a reply to an earlier process from
+    /// matching.
     #[serde(rename = "n")]
     number: u64,
-    /// The newest era of the platform's store that the sender knows of.
+    /// Newest era of the platform's store that the sender knows.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     store_era: Option<u64>,
     #[serde(rename = "c")]
     content: Content,
 }
 
-/// Answers questions of other sidecars.
-pub(crate) trait Answer: Send + Sync {
-    /// The answer, at once.
-    fn answer(&self, question: &Question) -> Reply;
+/// Handles requests and notices of other sidecars.
+pub(crate) trait ExchangeHandler: Send + Sync {
+    /// Returns the reply. Must not block.
+    fn handle_request(&self, request: &ExchangeRequest) -> Reply;
 
-    /// Takes in what another sidecar tells.
-    fn take(&self, notice: &Notice);
+    /// Handles a notice.
+    fn handle_notice(&self, notice: &Notice);
 }
 
-/// This sidecar's end of the exchange.
+/// This sidecar's endpoint of the exchange.
 pub(crate) struct Exchange {
     socket: Arc<UdpSocket>,
     own_id: String,
-    answerer: Arc<dyn Answer>,
+    handler: Arc<dyn ExchangeHandler>,
     eras: Arc<StoreEras>,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<Reply>>>,
+    pending: Mutex<HashMap<u64, oneshot::Sender<Reply>>>,
 }
 
 impl fmt::Debug for Exchange {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let waiting = lock(&self.waiting).len();
+        let pending = lock(&self.pending).len();
         formatter
             .debug_struct("Exchange")
             .field("own_id", &self.own_id)
-            .field("waiting", &waiting)
+            .field("waiting", &pending)
             .finish_non_exhaustive()
     }
 }
@@ -234,58 +240,60 @@
     pub(crate) fn new(
         socket: Arc<UdpSocket>,
         own_id: &str,
-        answerer: Arc<dyn Answer>,
+        handler: Arc<dyn ExchangeHandler>,
         eras: Arc<StoreEras>,
     ) -> Self {
         Self {
             socket,
             own_id: own_id.to_owned(),
-            answerer,
+            handler,
             eras,
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
         }
     }
 
-    /// Identity of this sidecar.
+    /// Returns the identity of this sidecar.
     pub(crate) fn own_id(&self) -> &str {
         &self.own_id
     }
 
-    /// Whether a datagram belongs to the exchange.
+    /// True if a datagram belongs to the exchange.
     pub(crate) fn is_exchange(bytes: &[u8]) -> bool {
-        bytes.first() == Some(&MARK)
+        bytes.first() == Some(&MAGIC_BYTE)
     }
 
-    /// Asks a sidecar, and waits for its answer up to `limit`. This sidecar answers itself without a datagram.
-    pub(crate) async fn ask(
+    /// Sends a request and waits up to `limit` for the reply; `None` if none arrives. A request to
+    /// this sidecar itself is handled locally without a datagram.
+    pub(crate) async fn request(
         &self,
         peer: &Peer,
-        question: Question,
+        request: ExchangeRequest,
         limit: Duration,
     ) -> Option<Reply> {
         if peer.id == self.own_id {
-            return Some(self.answerer.answer(&question));
+            return Some(self.handler.handle_request(&request));
         }
         let number = rand::random();
         let (sender, receiver) = oneshot::channel();
-        lock(&self.waiting).insert(number, sender);
-        let _waiting = Waiting {
+        lock(&self.pending).insert(number, sender);
+        let _waiting = PendingRequest {
             exchange: self,
             number,
         };
         let to = peer.id.clone();
-        self.send(peer.address, number, Content::Question { to, question });
+        self.send(peer.address, number, Content::Request { to, request });
         tokio::time::timeout(limit, receiver).await.ok()?.ok()
     }
 
-    /// Tells another sidecar something that needs no answer.
-    pub(crate) fn tell(&self, peer: &Peer, notice: Notice) {
+    /// Sends a notice to another sidecar.
+    pub(crate) fn notify(&self, peer: &Peer, notice: Notice) {
         let to = peer.id.clone();
         self.send(peer.address, 0, Content::Notice { to, notice });
     }
 
-    /// Takes a datagram of the exchange: answers a question, or hands an answer to who waits for it.
-    pub(crate) fn take(&self, source: SocketAddr, bytes: &[u8]) {
+    /// Processes a datagram of the exchange: handles a request or a notice, or passes a reply to
+    /// its requester.
+    pub(crate) fn receive(&self, source: SocketAddr, bytes: &[u8]) {
         let datagram: Datagram = match ciborium::from_reader(&bytes[1..]) {
             Ok(datagram) => datagram,
             Err(error) => {
@@ -301,32 +309,34 @@
         }
         let number = datagram.number;
         match datagram.content {
-            Content::Question { to, question } if to == self.own_id => {
-                let reply = self.answerer.answer(&question);
+            Content::Request { to, request } if to == self.own_id => {
+                let reply = self.handler.handle_request(&request);
                 self.send(source, number, Content::Reply(reply));
             }
-            Content::Notice { to, notice } if to == self.own_id => self.answerer.take(&notice),
-            Content::Question { to, .. } | Content::Notice { to, .. } => log_event!(
+            Content::Notice { to, notice } if to == self.own_id => {
+                self.handler.handle_notice(&notice)
+            }
+            Content::Request { to, .. } | Content::Notice { to, .. } => log_event!(
                 Event::ControlMessageDropped,
                 "source={source} reason=\"meant for {to}\""
             ),
             Content::Reply(reply) => {
-                if let Some(sender) = lock(&self.waiting).remove(&number) {
-                    // Who asked may have stopped waiting at this moment; the answer is of no use then.
+                if let Some(sender) = lock(&self.pending).remove(&number) {
+                    // The requester may have timed out meanwhile; the reply is then discarded.
                     let _ = sender.send(reply);
                 }
             }
         }
     }
 
-    /// Sends a datagram; one that can't be sent counts as lost.
+    /// Sends a datagram. One that can't be sent is treated as lost.
     fn send(&self, to: SocketAddr, number: u64, content: Content) {
         let datagram = Datagram {
             number,
             store_era: self.eras.newest().number,
             content,
         };
-        let mut bytes = vec![MARK];
+        let mut bytes = vec![MAGIC_BYTE];
         if let Err(error) = ciborium::into_writer(&datagram, &mut bytes) {
             log_event!(Event::ControlSendFailed, "to={to} error=\"{error}\"");
             return;
@@ -338,14 +348,14 @@
     }
 }
 
-/// A question without an answer yet; dropped, its answer is no longer waited for.
-struct Waiting<'exchange> {
+/// A request that awaits its reply. Dropping it discards the reply.
+struct PendingRequest<'exchange> {
     exchange: &'exchange Exchange,
     number: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        lock(&self.exchange.waiting).remove(&self.number);
+        lock(&self.exchange.pending).remove(&self.number);
     }
 }
--- a/crates/sidecar/src/inbound/dispatch.rs
+++ b/crates/sidecar/src/inbound/dispatch.rs
@@ -125,7 +125,7 @@
             // A server error does not clear a suspect: it may precede the termination that the
             // request causes.
             Ok(answered) if !answered.parts.status.is_server_error() => {
-                self.quarantine.answered(call.context);
+                self.quarantine.record_response(call.context);
             }
             Err(failure)
                 if failure.code == ResultCode::ConnectionLost
--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -20,7 +20,7 @@
 use wharfquay_membership::table::MemberTable;
 
 use super::InstanceId;
-use crate::exchange::{Exchange, Notice, Peer, Question, Reply};
+use crate::exchange::{Exchange, ExchangeRequest, Notice, Peer, Reply};
 use crate::platform::{DirectoryEntry, Platform};
 use crate::store_era::StoreEra;
 
@@ -31,7 +31,7 @@
 /// Key of the rendezvous by which readers are chosen.
 const KEY: &str = "departures";
 /// Longest wait for a reader's answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(100);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 /// Longest wait for a listing of the marks.
 const LIST_LIMIT: Duration = Duration::from_millis(800);
 /// Wait between the first question that needs a listing and the listing: it then serves all that started until then.
@@ -40,7 +40,7 @@
 const LISTING_PAUSE: Duration = Duration::from_millis(60);
 /// Time after its start for which a sidecar chooses readers among the entries of the directory: all that start together
 /// read the same ones there, while each has met others.
-const MEETING_TIME: Duration = Duration::from_secs(10);
+const DISCOVERY_TIME: Duration = Duration::from_secs(10);
 /// The same for one that the directory refuses: nearly all know nearly all others then.
 const UNLISTED_MEETING_TIME: Duration = Duration::from_millis(1_500);
 /// Leavings that are remembered from what others told; beyond it the oldest are forgotten. Back ends end some seconds
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 struct Listing {
     /// When the store was asked.
-    asked_at: Timestamp,
+    requested_at: Timestamp,
     departed: HashMap<String, InstanceId>,
 }
 
@@ -80,8 +80,13 @@
 
     /// The answer to a sidecar that has lived so long and asks whether an earlier process acknowledged the leaving of
     /// an instance. Only a listing that was asked for after that process ended can say that none did.
-    /// `is_to_read`: whether to read one for that.
-    pub(crate) fn reply(&self, instance: &InstanceId, lived: Duration, is_to_read: bool) -> Reply {
+    /// `read_records`: whether to read one for that.
+    pub(crate) fn reply(
+        &self,
+        instance: &InstanceId,
+        lived: Duration,
+        read_records: bool,
+    ) -> Reply {
         let state = lock(&self.state);
         let told = state.told.get(instance.name());
         if told.is_some_and(|(told, _)| !told.is_before(instance)) {
@@ -89,12 +94,12 @@
         }
         let started_at = self.clock.now() - lived;
         match &state.listed {
-            Some(listing) if listing.asked_at >= started_at => {
+            Some(listing) if listing.requested_at >= started_at => {
                 let mark = listing.departed.get(instance.name());
                 Reply::Departed(mark.is_some_and(|mark| !mark.is_before(instance)))
             }
             _ => {
-                if is_to_read {
+                if read_records {
                     self.wanted.notify_one();
                 }
                 Reply::Unknown
@@ -121,14 +126,14 @@
         loop {
             self.wanted.notified().await;
             tokio::time::sleep(GATHERING_TIME).await;
-            let asked_at = self.clock.now();
+            let requested_at = self.clock.now();
             let listing = tokio::time::timeout(LIST_LIMIT, platform.departures());
             // After a failure whoever asks asks again.
             if let Ok(Ok(departed)) = listing.await {
                 let departed = departed.into_iter();
                 let departed = departed.map(|instance| (instance.name().to_owned(), instance));
                 lock(&self.state).listed = Some(Listing {
-                    asked_at,
+                    requested_at,
                     departed: departed.collect(),
                 });
             }
@@ -171,20 +176,20 @@
 
 impl DepartureReaders {
     /// Asks a reader whether the leaving of an instance was acknowledged; none where it does not know yet.
-    /// `questions` were asked before; `is_to_read`: whether the reader is to read the marks for this sidecar.
+    /// `questions` were asked before; `read_records`: whether the reader is to read the marks for this sidecar.
     pub(crate) async fn ask(
         &self,
         instance: &InstanceId,
         questions: usize,
-        is_to_read: bool,
+        read_records: bool,
     ) -> Option<bool> {
         let lived = self.clock.now().saturating_since(Timestamp::ZERO);
-        let lived_ms = u64::try_from(lived.as_millis()).unwrap_or(u64::MAX);
-        let question = Question::Departed {
+        let uptime_ms = u64::try_from(lived.as_millis()).unwrap_or(u64::MAX);
+        let request = ExchangeRequest::Departed {
             name: instance.name().to_owned(),
-            born_ms: instance.born().map(|born| born.as_millis()),
-            lived_ms,
-            is_to_read,
+            started_at_ms: instance.born().map(|born| born.as_millis()),
+            uptime_ms,
+            read_records,
         };
         let readers = self.readers();
         if !self.has_others(&readers) {
@@ -193,7 +198,7 @@
         }
         let turn = self.first_turn() + questions / QUESTIONS_TO_ONE;
         let reader = readers.get(turn % readers.len())?;
-        match self.exchange.ask(reader, question, ANSWER_LIMIT).await {
+        match self.exchange.request(reader, request, REPLY_TIMEOUT).await {
             Some(Reply::Departed(is_departed)) => Some(is_departed),
             _ => None,
         }
@@ -224,9 +229,9 @@
         for reader in self.all_readers() {
             let notice = Notice::Departed {
                 name: instance.name().to_owned(),
-                born_ms: instance.born().map(|born| born.as_millis()),
+                started_at_ms: instance.born().map(|born| born.as_millis()),
             };
-            self.exchange.tell(&reader, notice);
+            self.exchange.notify(&reader, notice);
         }
     }
 
@@ -250,7 +255,7 @@
     fn readers(&self) -> Vec<Peer> {
         let lived = self.clock.now().saturating_since(Timestamp::ZERO);
         let meeting_time = match *self.listed.borrow() {
-            Some(_) => MEETING_TIME,
+            Some(_) => DISCOVERY_TIME,
             None => UNLISTED_MEETING_TIME,
         };
         match lived < meeting_time {
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -24,10 +24,10 @@
 pub mod store_era;
 pub mod tenant;
 
-mod answerer;
 mod body;
 mod confirmation;
 mod exchange;
+mod exchange_handler;
 mod fingerprint;
 mod importance;
 mod listeners;
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -1,11 +1,14 @@
-//! Keeping requests from back ends that they would end: what this sidecar knows, and its part in what all know.
+//! Quarantine of requests that crash backends: the state that this sidecar knows, and its part in
+//! sharing it.
 //!
-//! [`wharfquay_core::quarantine`] has the rules. Here: each try is checked at its first sidecar, before each attempt, and
-//! at the last one right before its bytes go to the back end. The sidecar beside a back end that ended reports what that
-//! executed to the owners of those requests, which count; a decision goes from sidecar to sidecar.
+//! [`wharfquay_core::quarantine`] defines the rules. A call is checked by the first sidecar on its
+//! path before each attempt, and by the last one directly before it is sent to the backend. The
+//! sidecar beside a backend that terminated reports the requests in execution to the owners of
+//! those requests. The owners count the terminations; their decisions are disseminated to all
+//! sidecars.
 
-mod keeper;
-mod spread;
+mod disseminator;
+mod record_store;
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -30,48 +33,50 @@
 use crate::instance::InstanceId;
 use crate::log_event;
 
-pub(crate) use keeper::Keeper;
-pub(crate) use spread::{Outbox, Outgoing, Spreader};
+pub(crate) use disseminator::{Disseminator, Outbox, Outgoing};
+pub(crate) use record_store::RecordStore;
 
-/// Longest wait of a suspect for its turn at a back end, where its deadline allows as much: time for about six
-/// executions of the work that the users describe, so that the twenty to thirty requests which an end leaves behind
-/// have their turns at the back ends that are left.
-const LONGEST_TURN_WAIT: Duration = Duration::from_secs(1);
-/// Part of its time that a suspect waits at the most.
-const TURN_WAIT_SHARE: u32 = 3;
-/// Retry-After of a suspect that did not have its turn.
+/// Maximum wait of a suspect for its turn at a backend, if its deadline allows as much. It covers
+/// about six executions of the users' workload, which lets the twenty to thirty requests in
+/// execution at a termination have their turns at the remaining backends.
+const MAX_TURN_WAIT: Duration = Duration::from_secs(1);
+/// Divisor of a suspect's remaining time that bounds its wait for a turn.
+const TURN_WAIT_DIVISOR: u32 = 3;
+/// Retry-After of a suspect that did not have its turn in time.
 const TURN_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Added to the process's clock, so that a process that has just started can hold what was found before.
-const BEFORE_THE_START: Duration = QUARANTINE_TIME.saturating_mul(2);
-/// Reports in one message, so that it fits a datagram.
+/// Offset added to the process clock, which allows a process that has just started to represent
+/// times before its start.
+const CLOCK_OFFSET: Duration = QUARANTINE_TIME.saturating_mul(2);
+/// Maximum number of reports in one message, which must fit into a datagram.
 const REPORTS_PER_MESSAGE: usize = 32;
 
-/// What this sidecar knows of suspects and quarantined requests, and what it counts as an owner.
+/// Suspects and quarantined requests known to this sidecar, and the terminations that it counts as
+/// an owner.
 #[derive(Debug)]
 pub(crate) struct Quarantine {
     clock: Clock,
     table: Mutex<QuarantineTable>,
     ledger: Mutex<EndLedger>,
-    /// Told when the standing of a request changes.
+    /// Notified when the state of a request changes.
     changed: Notify,
-    /// The turn of suspects at the local back end.
+    /// Held by the suspect that has its turn at the local backend.
     turn: Arc<Semaphore>,
     outbox: Outbox,
-    /// Whether all is known that was quarantined before this process started.
-    is_settled: AtomicBool,
+    /// True if the requests quarantined before this process started are known.
+    is_initialized: AtomicBool,
 }
 
-/// The turn of a suspect at the back end, which executes no other suspect meanwhile.
+/// Turn of a suspect at the backend, which executes no other suspect meanwhile.
 #[derive(Debug)]
 pub(crate) struct Turn(
     #[expect(dead_code, reason = "held for as long as the turn lasts")] OwnedSemaphorePermit,
 );
 
 impl Quarantine {
-    /// A quarantine of which nothing is known, and what it sends.
-    /// Before the first start of the deployment nothing can have been quarantined.
+    /// Creates an empty quarantine and the receiver of its outgoing messages. At the first start of
+    /// the deployment nothing can have been quarantined before.
     pub(crate) fn new(clock: Clock, is_first_start: bool) -> (Arc<Self>, mpsc::Receiver<Outgoing>) {
-        let (outbox, outgoing) = spread::outbox();
+        let (outbox, outgoing) = disseminator::outbox();
         let quarantine = Self {
             clock,
             table: Mutex::default(),
@@ -79,19 +84,19 @@
             changed: Notify::new(),
             turn: Arc::new(Semaphore::new(1)),
             outbox,
-            is_settled: AtomicBool::new(is_first_start),
+            is_initialized: AtomicBool::new(is_first_start),
         };
         (Arc::new(quarantine), outgoing)
     }
 
     fn now(&self) -> Timestamp {
-        self.clock.now() + BEFORE_THE_START
+        self.clock.now() + CLOCK_OFFSET
     }
 
-    /// Refuses a call that would end its back end.
+    /// Refuses a quarantined call.
     ///
     /// # Errors
-    /// The refusal; this attempt was not run.
+    /// The refusal; this attempt was not executed.
     pub(crate) fn check(&self, context: &CallContext) -> Result<(), Failure> {
         let Some(fingerprint) = context.fingerprint else {
             return Ok(());
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Waits for the turn of a call that is under suspicion; others need none.
+    /// Waits for the turn of a suspect. Other calls need no turn and return immediately.
     ///
     /// # Errors
     /// The refusal of a call that is quarantined meanwhile, or whose turn does not come in time.
@@ -116,7 +121,7 @@
         context: &CallContext,
     ) -> Result<Option<Turn>, Failure> {
         let remaining = context.remaining(self.clock.now());
-        let wait = LONGEST_TURN_WAIT.min(remaining / TURN_WAIT_SHARE);
+        let wait = MAX_TURN_WAIT.min(remaining / TURN_WAIT_DIVISOR);
         let waiting = tokio::time::timeout(wait, self.turn_of(context));
         let too_late = Failure::with_retry_after(ResultCode::SuspectWaited, TURN_RETRY_AFTER);
         waiting.await.unwrap_or(Err(too_late))
@@ -146,39 +151,41 @@
             })
     }
 
-    /// An instance of the local back end ended while it executed these requests.
+    /// Reports that an instance of the local backend terminated while it executed these requests.
     pub(crate) fn instance_ended(&self, instance: &InstanceId, running: &[ExecutingRequest]) {
         let instance = EndedInstance::new(hash_bytes(instance.to_string().as_bytes()));
-        let ends = running.iter().map(|request| RequestEnd {
+        let terminations = running.iter().map(|request| RequestEnd {
             fingerprint: request.fingerprint,
             instance,
             was_isolated: request.is_isolated,
         });
-        self.outbox.send(Outgoing::Ends(ends.collect()));
+        self.outbox
+            .send(Outgoing::Terminations(terminations.collect()));
     }
 
-    /// A back end answered a request: one that answers is none that ends back ends.
-    pub(crate) fn answered(&self, context: &CallContext) {
+    /// Records that a request received a response, which clears it: a request that crashes backends
+    /// receives none.
+    pub(crate) fn record_response(&self, context: &CallContext) {
         let Some(fingerprint) = context.fingerprint else {
             return;
         };
         let standing = lock(&self.table).standing(self.now(), fingerprint);
         if standing == Standing::Quarantined {
-            self.outbox.send(Outgoing::Remove(fingerprint));
+            self.outbox.send(Outgoing::RemoveRecord(fingerprint));
         }
         if standing != Standing::Unsuspected {
-            self.learn(&[QuarantineReport {
+            self.apply_reports(&[QuarantineReport {
                 fingerprint,
                 standing: ReportedStanding::Cleared,
                 age_ms: 0,
             }]);
         } else if context.ended_backends > 0 {
-            self.outbox.send(Outgoing::Answered(fingerprint));
+            self.outbox.send(Outgoing::ResponseReceived(fingerprint));
         }
     }
 
-    /// Takes reports in, and passes on what is news.
-    pub(crate) fn learn(&self, reports: &[QuarantineReport]) {
+    /// Applies reports and forwards those that change the local state.
+    pub(crate) fn apply_reports(&self, reports: &[QuarantineReport]) {
         let now = self.now();
         for report in reports {
             if !lock(&self.table).learn(now, *report) {
@@ -206,43 +213,44 @@
         self.changed.notify_waiters();
     }
 
-    /// Counts ends as an owner of these requests, and decides.
-    pub(crate) fn count_ends(&self, ends: &[RequestEnd]) {
+    /// Counts terminations as an owner of these requests and decides on their state.
+    pub(crate) fn count_terminations(&self, terminations: &[RequestEnd]) {
         let now = self.now();
-        let decide = |end: &RequestEnd| {
-            let standing = match lock(&self.ledger).note(now, *end) {
+        let decide = |termination: &RequestEnd| {
+            let standing = match lock(&self.ledger).note(now, *termination) {
                 Standing::Unsuspected => return None,
                 Standing::Suspect => ReportedStanding::Suspect,
                 Standing::Quarantined => ReportedStanding::Quarantined,
             };
             Some(QuarantineReport {
-                fingerprint: end.fingerprint,
+                fingerprint: termination.fingerprint,
                 standing,
                 age_ms: 0,
             })
         };
-        let decisions: Vec<QuarantineReport> = ends.iter().filter_map(decide).collect();
-        let quarantined_now = |report: &&QuarantineReport| {
+        let decisions: Vec<QuarantineReport> = terminations.iter().filter_map(decide).collect();
+        let newly_quarantined = |report: &&QuarantineReport| {
             let standing = lock(&self.table).standing(now, report.fingerprint);
             report.standing == ReportedStanding::Quarantined && standing != Standing::Quarantined
         };
-        for report in decisions.iter().filter(quarantined_now) {
-            self.outbox.send(Outgoing::Keep(report.fingerprint));
+        for report in decisions.iter().filter(newly_quarantined) {
+            self.outbox.send(Outgoing::WriteRecord(report.fingerprint));
         }
-        self.learn(&decisions);
+        self.apply_reports(&decisions);
     }
 
-    /// Forgets the ends that were counted for a request, since it was answered.
-    pub(crate) fn forget_ends(&self, fingerprint: RequestFingerprint) {
+    /// Discards the terminations counted for a request that received a response.
+    pub(crate) fn clear_terminations(&self, fingerprint: RequestFingerprint) {
         lock(&self.ledger).answered(fingerprint);
     }
 
-    /// Every quarantined request that is known here.
+    /// Returns every quarantined request that is known here.
     fn quarantined(&self) -> Vec<QuarantineReport> {
         lock(&self.table).quarantined(self.now())
     }
 
-    /// The answer to a sidecar that asks for the quarantined requests and knows of those with `digest`.
+    /// Returns the reply to a sidecar that requests the quarantined requests. It contains none if
+    /// `digest` matches the local state.
     pub(crate) fn reply(&self, digest: u64) -> Reply {
         let now = self.now();
         let table = lock(&self.table);
@@ -253,24 +261,24 @@
         }
         Reply::Quarantined {
             reports,
-            is_settled: self.is_settled(),
+            is_initialized: self.is_initialized(),
         }
     }
 
-    fn is_settled(&self) -> bool {
-        self.is_settled.load(Ordering::Relaxed)
+    fn is_initialized(&self) -> bool {
+        self.is_initialized.load(Ordering::Relaxed)
     }
 
-    /// What was quarantined before this process started is known from now on.
-    fn set_settled(&self) {
-        self.is_settled.store(true, Ordering::Relaxed);
+    /// Records that the requests quarantined before this process started are known.
+    fn set_initialized(&self) {
+        self.is_initialized.store(true, Ordering::Relaxed);
     }
 
     fn digest(&self) -> u64 {
         lock(&self.table).digest(self.now())
     }
 
-    /// Numbers of suspects and of quarantined requests that are known here.
+    /// Returns the numbers of suspects and of quarantined requests that are known here.
     pub(crate) fn counts(&self) -> (usize, usize) {
         lock(&self.table).counts(self.now())
     }
--- a/crates/sidecar/src/quota/mod.rs
+++ b/crates/sidecar/src/quota/mod.rs
@@ -1,8 +1,8 @@
-//! Rate limits of tenants, kept over all sidecars together.
+//! Rate limits of tenants, enforced over all sidecars together.
 //!
-//! Each tenant has a few owners among the sidecars, chosen by rendezvous hashing. A sidecar that is about to serve a
-//! request asks one of them for a token; [`wharfquay_core::quota`] says why no schedule of cuts, kills and restarts
-//! lets more requests through than the limit.
+//! Each tenant has a few owners among the sidecars, chosen by rendezvous hashing. A sidecar that is
+//! about to serve a request asks one of them for a token. [`wharfquay_core::quota`] explains why no
+//! sequence of partitions, kills and restarts admits more requests than the limit.
 
 mod client;
 mod owner;
@@ -14,6 +14,7 @@
 pub(crate) use owner::QuotaOwner;
 pub(crate) use ring::OwnerRing;
 
-/// Owners of a tenant. A lost one takes a quarter of the limit along, which a tenant within six tenths of its limit
-/// does not notice; more owners mean more sidecars to ask before a request is refused.
+/// Number of owners of a tenant. Losing one removes a quarter of the limit, which does not affect a
+/// tenant below six tenths of its limit. With more owners, more sidecars would have to be asked
+/// before a request is refused.
 const OWNERS: usize = 4;
--- a/crates/sidecar/src/quota/owner.rs
+++ b/crates/sidecar/src/quota/owner.rs
@@ -1,4 +1,4 @@
-//! Granting tokens: this sidecar's share of the limits of the tenants that it owns.
+//! Grants tokens from this sidecar's share of the limits of the tenants that it owns.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -15,14 +15,14 @@
 use crate::exchange::Reply;
 use crate::tenant::Quota;
 
-/// Least tokens that an owner keeps: a share below one would never give a whole token.
-const LEAST_CAPACITY: f64 = 1.0;
+/// Minimum bucket capacity. A share below one could never provide a whole token.
+const MIN_CAPACITY: f64 = 1.0;
 
-/// The buckets of this sidecar.
+/// Token buckets of the tenants that this sidecar owns.
 #[derive(Debug)]
 pub(crate) struct QuotaOwner {
     clock: Clock,
-    /// Whether no earlier process can have granted tokens: else buckets begin empty.
+    /// True if no earlier process can have granted tokens. Otherwise buckets start empty.
     is_first_start: bool,
     configuration: watch::Receiver<Arc<RouteIndex>>,
     ring: Arc<OwnerRing>,
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Grants tokens of a tenant, as many as there are, up to `wanted`.
+    /// Grants the available tokens of a tenant, up to `wanted`.
     pub(crate) fn grant(&self, tenant: &str, wanted: u32) -> Reply {
         let now = self.clock.now();
-        if !self.ring.is_settled(now) || !self.ring.owns(now, tenant) {
+        if !self.ring.is_initialized(now) || !self.ring.owns(now, tenant) {
             return Reply::Unknown;
         }
         let index = Arc::clone(&self.configuration.borrow());
@@ -66,7 +66,8 @@
         };
         let mut buckets = lock(&self.buckets);
         if !buckets.contains_key(tenant) {
-            // Tenants that are gone leave no bucket behind: their number is that of the configuration.
+            // Buckets of removed tenants are dropped, which bounds their number by that of the
+            // configured tenants.
             buckets.retain(|name, _| index.tenant_named(name).is_some());
             buckets.insert(tenant.to_owned(), self.new_share(now, quota));
         }
@@ -91,12 +92,12 @@
     }
 }
 
-/// One owner's share of a limit.
+/// Returns one owner's share of a limit.
 fn rate_of(quota: Quota) -> TokenRate {
     let owners = OWNERS as f64;
     TokenRate {
         per_second: quota.rate_per_s / owners,
-        capacity: (quota.burst / owners).max(LEAST_CAPACITY),
+        capacity: (quota.burst / owners).max(MIN_CAPACITY),
     }
 }
 
--- a/crates/sidecar/src/quota/ring.rs
+++ b/crates/sidecar/src/quota/ring.rs
@@ -1,4 +1,4 @@
-//! Which sidecars own the tokens of a tenant.
+//! Selection of the sidecars that own the tokens of a tenant.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -15,24 +15,27 @@
 use crate::exchange::Peer;
 use crate::platform::DirectoryEntry;
 
-/// Time for which a sidecar that seems dead stays an owner. It may only be cut off, and grant tokens on its side of
-/// the cut: a successor would grant them a second time. Cuts that last longer may exceed a limit.
-const GONE_HOLD: Duration = Duration::from_secs(20);
+/// Time for which a sidecar that appears dead remains an owner. It may only be partitioned and
+/// grant tokens on its side; a successor would grant them a second time. Partitions that last
+/// longer may exceed a limit.
+const DEAD_OWNER_HOLD: Duration = Duration::from_secs(20);
 
-/// Time after which a starting sidecar has met the others even where the platform's directory can't be read.
-const MEETING_TIME: Duration = Duration::from_millis(1_500);
+/// Time after which a starting sidecar is assumed to have discovered the others even if the
+/// platform's directory can't be read.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 
 /// The sidecars among which owners are chosen.
 ///
-/// A sidecar that has just started knows nobody and would take itself for the owner of everything; when many start at
-/// once, each would grant a share of each limit. So the entries of the platform's directory count as sidecars that may
-/// be alive, and until they are known no sidecar grants. An entry that nobody stands behind any more does no harm: the
-/// live owners are the same with and without it.
+/// A sidecar that has just started knows no other one and would consider itself the owner of
+/// everything; if many start together, each would grant a share of each limit. Entries of the
+/// platform's directory therefore count as sidecars that may be alive, and no sidecar grants tokens
+/// until the directory is known. An entry of a sidecar that no longer exists is harmless: the live
+/// owners are the same with and without it.
 #[derive(Debug)]
 pub(crate) struct OwnerRing {
     own: Peer,
-    /// Whether the whole deployment starts for the first time: nothing was granted before, and all meet before the
-    /// first request.
+    /// True at the first start of the whole deployment: nothing was granted before, and all
+    /// sidecars discover each other before the first request.
     is_first_start: bool,
     state: Mutex<State>,
 }
@@ -40,20 +43,20 @@
 #[derive(Debug, Default)]
 struct State {
     candidates: HashMap<MemberId, Candidate>,
-    /// Whether the directory was read, and showed every sidecar.
-    knows_directory: bool,
+    /// True if the directory was read and contained every sidecar.
+    has_complete_directory: bool,
     owners: HashMap<String, Arc<[Peer]>>,
 }
 
 #[derive(Debug)]
 struct Candidate {
     peer: Peer,
-    /// Since when it is not known to be alive.
-    gone_since: Option<Timestamp>,
+    /// Time since which the sidecar is not known to be alive; `None` while it is.
+    not_alive_since: Option<Timestamp>,
 }
 
 impl OwnerRing {
-    /// A ring of this sidecar alone.
+    /// Creates a ring that contains this sidecar alone.
     pub(crate) fn new(own: Peer, is_first_start: bool) -> Self {
         Self {
             own,
@@ -62,28 +65,28 @@
         }
     }
 
-    /// Takes over the members that are known.
+    /// Applies the current member table.
     pub(crate) fn update(&self, now: Timestamp, table: &MemberTable) {
         let mut state = lock(&self.state);
         for candidate in state.candidates.values_mut() {
-            candidate.gone_since.get_or_insert(now);
+            candidate.not_alive_since.get_or_insert(now);
         }
         for member in table.members().filter(|member| member.is_live()) {
             let candidate = Candidate {
                 peer: peer_of(member),
-                gone_since: None,
+                not_alive_since: None,
             };
             state
                 .candidates
                 .insert(member.profile.id.clone(), candidate);
         }
-        state.drop_gone(now);
+        state.remove_expired(now);
         state.owners.clear();
     }
 
-    /// Takes over the entries of the platform's directory: sidecars that are not known from gossip yet. A directory that
-    /// is full does not show all.
-    pub(crate) fn note_directory(&self, now: Timestamp, entries: &[DirectoryEntry]) {
+    /// Adds the entries of the platform's directory, which are sidecars that gossip may not have
+    /// discovered yet. A full directory does not contain all sidecars.
+    pub(crate) fn add_directory_entries(&self, now: Timestamp, entries: &[DirectoryEntry]) {
         let mut state = lock(&self.state);
         for entry in entries {
             let id = MemberId::from(entry.id.as_str());
@@ -92,38 +95,38 @@
                     id: entry.id.clone(),
                     address: entry.control_address,
                 },
-                gone_since: Some(now),
+                not_alive_since: Some(now),
             });
         }
-        state.knows_directory = entries.len() < ENTRIES;
+        state.has_complete_directory = entries.len() < ENTRIES;
         state.owners.clear();
     }
 
-    /// Whether enough is known to tell owners: `now` counts from the start of the process.
-    pub(crate) fn is_settled(&self, now: Timestamp) -> bool {
+    /// True if enough is known to determine owners. `now` counts from the start of the process.
+    pub(crate) fn is_initialized(&self, now: Timestamp) -> bool {
         self.is_first_start
-            || lock(&self.state).knows_directory
-            || now >= Timestamp::ZERO + MEETING_TIME
+            || lock(&self.state).has_complete_directory
+            || now >= Timestamp::ZERO + DISCOVERY_TIME
     }
 
-    /// The owners of a tenant, best first.
+    /// Returns the owners of a tenant, in descending order of their score.
     pub(crate) fn owners(&self, now: Timestamp, tenant: &str) -> Arc<[Peer]> {
         let mut state = lock(&self.state);
-        state.drop_gone(now);
+        state.remove_expired(now);
         if let Some(owners) = state.owners.get(tenant) {
             return Arc::clone(owners);
         }
-        let owners = self.choose(&state, tenant);
+        let owners = self.select_owners(&state, tenant);
         state.owners.insert(tenant.to_owned(), Arc::clone(&owners));
         owners
     }
 
-    /// Whether this sidecar owns a part of a tenant's limit.
+    /// True if this sidecar owns a share of a tenant's limit.
     pub(crate) fn owns(&self, now: Timestamp, tenant: &str) -> bool {
         self.owners(now, tenant).contains(&self.own)
     }
 
-    fn choose(&self, state: &State, tenant: &str) -> Arc<[Peer]> {
+    fn select_owners(&self, state: &State, tenant: &str) -> Arc<[Peer]> {
         let others = state.candidates.values().map(|candidate| &candidate.peer);
         let others = others.filter(|peer| **peer != self.own);
         let mut scored: Vec<(u64, &Peer)> = others
@@ -140,11 +143,11 @@
 }
 
 impl State {
-    fn drop_gone(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         let before = self.candidates.len();
         self.candidates.retain(|_, candidate| {
-            let gone_since = candidate.gone_since;
-            gone_since.is_none_or(|since| now < since + GONE_HOLD)
+            let not_alive_since = candidate.not_alive_since;
+            not_alive_since.is_none_or(|since| now < since + DEAD_OWNER_HOLD)
         });
         if self.candidates.len() < before {
             self.owners.clear();
--- a/crates/sidecar/src/quota/tests.rs
+++ b/crates/sidecar/src/quota/tests.rs
@@ -1,4 +1,5 @@
-//! Sidecars with different views of the members never make more owners of a tenant that grant.
+//! Tests that sidecars with different views of the membership never produce additional owners of a
+//! tenant that grant tokens.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -41,7 +42,7 @@
     }
 }
 
-/// A table of so many members, of which some are dead.
+/// Returns a table of this many members, of which the listed ones are dead.
 fn table(members: usize, dead: &[usize]) -> MemberTable {
     let mut table = MemberTable::new(1);
     table.extend((0..members).map(|number| {
@@ -79,7 +80,7 @@
 const TENANTS: usize = 100;
 
 #[test]
-fn every_sidecar_knows_the_same_owners() {
+fn every_sidecar_selects_the_same_owners() {
     let rings: Vec<OwnerRing> = (0..MEMBERS).map(ring).collect();
     for ring in &rings {
         ring.update(Timestamp::ZERO, &table(MEMBERS, &[]));
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_dead_owner_has_no_successor_until_its_hold_is_over() {
+fn dead_owner_is_replaced_only_after_its_hold() {
     let ring = ring(0);
     let start = Timestamp::from_millis(1_000);
     ring.update(start, &table(MEMBERS, &[]));
@@ -125,8 +126,8 @@
     }
 }
 
-/// A process that was restarted knows nothing of the dead; the live owners in its view are no others than the best of
-/// the live members, which the rest knows as owners too.
+/// A restarted process does not know the dead members. The live owners in its view must be among
+/// the best live members, which the other sidecars know as owners too.
 #[test]
 fn live_owners_are_the_same_with_and_without_the_dead() {
     let dead = [3, 7, 8, 21];
@@ -147,16 +148,16 @@
     }
 }
 
-/// When every process is killed at once, each knows itself only at first: the directory tells it of the others before
-/// it may grant anything.
+/// After all processes are killed together, each one initially knows only itself. It must receive
+/// the others from the directory before it grants tokens.
 #[test]
-fn a_sidecar_that_knows_nobody_is_no_owner_of_everything() {
+fn sidecars_restarted_together_agree_on_owners_after_reading_the_directory() {
     let rings: Vec<OwnerRing> = (0..MEMBERS).map(ring).collect();
     let start = Timestamp::from_millis(100);
     for ring in &rings {
-        assert!(!ring.is_settled(start));
-        ring.note_directory(start, &directory(MEMBERS));
-        assert!(ring.is_settled(start));
+        assert!(!ring.is_initialized(start));
+        ring.add_directory_entries(start, &directory(MEMBERS));
+        assert!(ring.is_initialized(start));
     }
     for tenant in 0..TENANTS {
         let tenant = format!("tenant-{tenant}");
@@ -166,10 +167,10 @@
 }
 
 #[test]
-fn an_entry_of_the_directory_that_nobody_stands_behind_is_forgotten() {
+fn directory_entry_of_a_missing_sidecar_expires() {
     let ring = ring(0);
     let start = Timestamp::from_millis(100);
-    ring.note_directory(start, &directory(MEMBERS + 10));
+    ring.add_directory_entries(start, &directory(MEMBERS + 10));
     ring.update(start, &table(MEMBERS, &[]));
     let later = start + Duration::from_secs(20);
     for tenant in 0..TENANTS {
@@ -179,8 +180,8 @@
 }
 
 #[test]
-fn without_the_directory_a_sidecar_grants_once_it_has_had_time_to_meet_others() {
+fn ring_is_initialized_after_the_discovery_time_without_a_directory() {
     let ring = ring(0);
-    assert!(!ring.is_settled(Timestamp::from_millis(1_499)));
-    assert!(ring.is_settled(Timestamp::from_millis(1_500)));
+    assert!(!ring.is_initialized(Timestamp::from_millis(1_499)));
+    assert!(ring.is_initialized(Timestamp::from_millis(1_500)));
 }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -17,13 +17,13 @@
 use wharfquay_membership::member::MemberState;
 use wharfquay_membership::table::MemberTable;
 
-use crate::answerer::Answerer;
 use crate::configuration::{Configuration, ConnectionLimits, RouteIndex};
-use crate::confirmation::{Confirmation, keep_confirmed};
+use crate::confirmation::{Confirmation, renew_confirmation};
 use crate::control::{ControlChannels, ControlTask};
 use crate::dialect::Dialect;
 use crate::events::Event;
 use crate::exchange::{Exchange, Peer};
+use crate::exchange_handler::LocalExchangeHandler;
 use crate::inbound::backend::LocalBackend;
 use crate::inbound::{InboundHandler, LocalExecutor};
 use crate::instance::{
@@ -38,7 +38,7 @@
 use crate::outbound::routing::Routing;
 use crate::outbound::{Forwarder, OutboundHandler};
 use crate::platform::Platform;
-use crate::quarantine::{Keeper, Quarantine, Spreader};
+use crate::quarantine::{Disseminator, Quarantine, RecordStore};
 use crate::quota::{OwnerRing, QuotaClient, QuotaOwner};
 use crate::scopes::ScopeTable;
 use crate::settings::Settings;
@@ -146,7 +146,7 @@
         let ring = Arc::new(OwnerRing::new(own, settings.is_first_start));
         let (quarantine, outgoing) = Quarantine::new(clock, settings.is_first_start);
         let departures = DepartureIndex::new(clock);
-        let answerer = Answerer {
+        let exchange_handler = LocalExchangeHandler {
             departures: Arc::clone(&departures),
             confirmation: Arc::clone(&confirmation),
             quarantine: Arc::clone(&quarantine),
@@ -162,7 +162,7 @@
         let exchange = Exchange::new(
             Arc::clone(&datagrams),
             &settings.id,
-            Arc::new(answerer),
+            Arc::new(exchange_handler),
             Arc::clone(&eras),
         );
         let exchange = Arc::new(exchange);
@@ -180,7 +180,7 @@
             let millis = length.as_millis();
             log_event!(Event::MachineSuspended, "length_ms={millis}");
         }));
-        let keeping = keep_confirmed(
+        let keeping = renew_confirmation(
             Arc::clone(&confirmation),
             Arc::clone(&exchange),
             members.clone(),
@@ -193,10 +193,10 @@
         let spreading = store_era::spread(eras, Arc::clone(&exchange), members.clone());
         tokio::spawn(spreading);
 
-        let spreader = Arc::new(Spreader {
+        let disseminator = Arc::new(Disseminator {
             clock,
             quarantine: Arc::clone(&quarantine),
-            keeper: Arc::new(Keeper {
+            record_store: Arc::new(RecordStore {
                 platform: Arc::clone(&platform),
                 quarantine: Arc::clone(&quarantine),
             }),
@@ -204,8 +204,8 @@
             ring: Arc::clone(&ring),
             members: members.clone(),
         });
-        tokio::spawn(Arc::clone(&spreader).keep_records());
-        tokio::spawn(spreader.run(outgoing));
+        tokio::spawn(Arc::clone(&disseminator).rewrite_records());
+        tokio::spawn(disseminator.run(outgoing));
 
         let backend = LocalBackend::new(
             &settings.service,
--- a/crates/sidecar/src/store_era.rs
+++ b/crates/sidecar/src/store_era.rs
@@ -28,7 +28,7 @@
 /// Sidecars that are told of a new era in each round.
 const FANOUT: usize = 4;
 /// Pauses before the rounds.
-const ROUNDS: [Duration; 3] = [
+const ROUND_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(50),
     Duration::from_millis(200),
@@ -186,10 +186,10 @@
     let mut changes = eras.subscribe();
     while changes.changed().await.is_ok() {
         changes.mark_unchanged();
-        for pause in ROUNDS {
+        for pause in ROUND_DELAYS {
             tokio::time::sleep(pause).await;
             for peer in some_peers(&members.borrow(), exchange.own_id()) {
-                exchange.tell(&peer, Notice::StoreRestored);
+                exchange.notify(&peer, Notice::StoreRestored);
             }
         }
     }
