--- a/crates/sidecar/src/control/directory.rs
+++ b/crates/sidecar/src/control/directory.rs
@@ -1,4 +1,5 @@
-//! Meeting other sidecars through the platform's directory: carries out what [`Enrolment`] decides.
+//! Discovery of other sidecars through the platform's directory: carries out the decisions of
+//! [`Enrolment`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,25 +14,26 @@
 
 use crate::platform::{DirectoryEntry, Freshness, Platform};
 
-/// Longest wait for the directory's answer.
+/// Timeout of a call to the directory.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// This sidecar's part in the directory.
+/// Task that reads the directory and keeps this sidecar's entry in it.
 pub(super) struct DirectoryTask<P> {
     pub(super) clock: Clock,
     pub(super) platform: Arc<P>,
     pub(super) entry: DirectoryEntry,
-    /// Whether the whole deployment starts for the first time.
+    /// True at the first start of the whole deployment.
     pub(super) is_first_start: bool,
     pub(super) members: watch::Receiver<MemberTable>,
-    /// Where listed entries go.
+    /// Receives the entries of each listing.
     pub(super) seeds: mpsc::Sender<Vec<DirectoryEntry>>,
 }
 
 impl<P: Platform> DirectoryTask<P> {
-    /// Looks for others until gossip has found some, and keeps the own entry; runs for ever.
+    /// Reads the directory until gossip has discovered other sidecars, and maintains this sidecar's
+    /// entry. Runs until the process terminates.
     pub(super) async fn run(self) {
-        let mut enrolment = Enrolment::new(
+        let mut registration = Enrolment::new(
             DirectorySettings::default(),
             MemberId::from(self.entry.id.as_str()),
             self.is_first_start,
@@ -40,32 +42,32 @@
         );
         let mut eras = self.platform.eras().subscribe();
         loop {
-            let step = enrolment.next(self.clock.now(), &self.members.borrow());
+            let step = registration.next(self.clock.now(), &self.members.borrow());
             match step {
                 DirectoryStep::WaitUntil(time) => tokio::select! {
                     () = self.clock.sleep_until(Some(time)) => {}
                     Ok(()) = eras.changed() => {
-                        enrolment.store_restored(self.clock.now(), &mut rand::rng());
+                        registration.store_restored(self.clock.now(), &mut rand::rng());
                     }
                 },
                 DirectoryStep::Look(age) => match self.list(age).await {
                     Some(entries) => {
-                        self.note(&mut enrolment, &entries);
+                        self.record_listing(&mut registration, &entries);
                         if self.seeds.send(entries).await.is_err() {
                             return;
                         }
                     }
-                    None => enrolment.look_failed(self.clock.now(), &mut rand::rng()),
+                    None => registration.look_failed(self.clock.now(), &mut rand::rng()),
                 },
                 DirectoryStep::Enter => {
-                    let is_written = self.enter().await;
-                    enrolment.entered(self.clock.now(), is_written, &mut rand::rng());
+                    let is_written = self.register().await;
+                    registration.entered(self.clock.now(), is_written, &mut rand::rng());
                 }
             }
         }
     }
 
-    fn note(&self, enrolment: &mut Enrolment, entries: &[DirectoryEntry]) {
+    fn record_listing(&self, registration: &mut Enrolment, entries: &[DirectoryEntry]) {
         let is_own = |entry: &&DirectoryEntry| entry.id == self.entry.id;
         let own = match entries.iter().find(is_own) {
             None => OwnEntry::Missing,
@@ -73,10 +75,10 @@
             Some(_) => OwnEntry::Different,
         };
         let others = entries.iter().filter(|entry| !is_own(entry)).count();
-        enrolment.listed(self.clock.now(), own, others, &mut rand::rng());
+        registration.listed(self.clock.now(), own, others, &mut rand::rng());
     }
 
-    /// The entries of the directory, if it answers in time.
+    /// Returns the entries of the directory; `None` if the call fails or times out.
     async fn list(&self, age: ListingAge) -> Option<Vec<DirectoryEntry>> {
         let freshness = match age {
             ListingAge::MayBeStale => Freshness::MayBeStale,
@@ -87,8 +89,8 @@
         listed.ok()?.ok()
     }
 
-    /// Whether the own entry stands in the directory now.
-    async fn enter(&self) -> bool {
+    /// Writes this sidecar's entry. Returns true if the directory contains it now.
+    async fn register(&self) -> bool {
         let registering = self.platform.register(&self.entry);
         let registered = tokio::time::timeout(REPLY_TIMEOUT, registering).await;
         matches!(registered, Ok(Ok(())))
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control plane of a sidecar: membership by gossip, and the configuration, which a few sidecars
-//! read from the platform and all pass on.
+//! The control plane of a sidecar: gossip membership, and the configuration, which a few sidecars
+//! read from the platform and all forward.
 
 mod directory;
 mod reader;
@@ -16,17 +16,17 @@
 /// Encodes a configuration for other sidecars.
 ///
 /// # Errors
-/// A text that says what CBOR can't express.
+/// A description of the value that CBOR can't represent.
 fn encode(configuration: &Configuration) -> Result<Payload, String> {
     let mut bytes = Vec::new();
     ciborium::into_writer(configuration, &mut bytes).map_err(|error| error.to_string())?;
     Ok(Payload::from(bytes))
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes the output of [`encode`].
 ///
 /// # Errors
-/// A text that says what does not fit.
+/// A description of the value that can't be decoded.
 fn decode(payload: &Payload) -> Result<Configuration, String> {
     ciborium::from_reader(payload.as_bytes()).map_err(|error| error.to_string())
 }
--- a/crates/sidecar/src/control/reader.rs
+++ b/crates/sidecar/src/control/reader.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the platform while this sidecar is one of the readers.
+//! Reads the configuration from the platform while this sidecar is one of the readers.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,39 +15,41 @@
 use crate::log_event;
 use crate::platform::{ConfigurationReading, Freshness, Platform, PlatformError, Position};
 
-/// First pause after a failure.
+/// First pause after a failure. It doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest pause after a failure.
+/// Maximum pause after a failure.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Longest wait for the answer to one reading.
-const READ_LIMIT: Duration = Duration::from_millis(1_500);
-/// Longest wait of one watch where its answers need not confirm the configuration; the platform's history is far
-/// longer.
-const LONGEST_WATCH: Duration = Duration::from_millis(3_000);
-/// Time that the answer to a watch may take beyond its wait.
-const WATCH_SLACK: Duration = Duration::from_millis(1_000);
-/// Longest pause between two searches for a first configuration.
-const SEARCH_PAUSE: Duration = Duration::from_millis(300);
-/// Events that wait for the control task.
-const WAITING_EVENTS: usize = 8;
+/// Timeout of one read.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum duration of a watch whose replies need not confirm the configuration. The platform's
+/// history is far longer.
+const MAX_WATCH_TIME: Duration = Duration::from_millis(3_000);
+/// Time by which the reply to a watch may exceed the requested wait.
+const WATCH_GRACE: Duration = Duration::from_millis(1_000);
+/// Maximum pause between two reads while there is no configuration yet.
+const MAX_SEARCH_PAUSE: Duration = Duration::from_millis(300);
+/// Maximum number of events queued for the control task.
+const EVENT_CAPACITY: usize = 8;
 
-/// What a reader learnt. Times are those at which the platform was asked, none where its answer may be stale.
+/// Result of a read. Times are those at which the request was sent, or `None` if the reply may be
+/// stale.
 #[derive(Debug)]
 pub(super) enum ReaderEvent {
     /// The platform holds this configuration.
     Configuration(Box<Configuration>, Option<Timestamp>),
-    /// The platform answered that nothing is new since the last configuration.
+    /// The configuration has not changed since the last read.
     Unchanged(Timestamp),
     /// The platform can't be read.
-    NoContact,
+    Unreachable,
 }
 
-/// How the platform is read.
+/// Mode in which the platform is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadingMode {
-    /// Until there is a configuration, which may be seconds old: for a sidecar that has just started.
+    /// Read until there is a configuration, which may be seconds old. Used by a sidecar that has
+    /// just started.
     Once,
-    /// The newest configuration and all that follow.
+    /// Read the newest configuration and follow its changes.
     Follow,
 }
 
@@ -60,7 +62,7 @@
     }
 }
 
-/// A running reader; dropping it ends it.
+/// A running reader. Dropping it stops the reads.
 #[derive(Debug)]
 pub(super) struct Reader {
     mode: ReadingMode,
@@ -69,16 +71,20 @@
 }
 
 impl Reader {
-    /// Starts to read.
+    /// Starts a reader.
     pub(super) fn start<P: Platform>(
         platform: Arc<P>,
         mode: ReadingMode,
         confirmation: Arc<Confirmation>,
     ) -> Self {
-        let (sender, events) = mpsc::channel(WAITING_EVENTS);
+        let (sender, events) = mpsc::channel(EVENT_CAPACITY);
         let task = match mode {
-            ReadingMode::Once => tokio::spawn(read_until_found(platform, sender, confirmation)),
-            ReadingMode::Follow => tokio::spawn(read_for_ever(platform, sender, confirmation)),
+            ReadingMode::Once => {
+                tokio::spawn(read_until_configured(platform, sender, confirmation))
+            }
+            ReadingMode::Follow => {
+                tokio::spawn(follow_configuration(platform, sender, confirmation))
+            }
         };
         Self {
             mode,
@@ -87,19 +93,19 @@
         }
     }
 
-    /// How it reads.
+    /// Returns the mode of the reader.
     pub(super) const fn mode(&self) -> ReadingMode {
         self.mode
     }
 
-    /// The next event. Cancel safe.
+    /// Returns the next event. Cancel safe.
     pub(super) async fn next(&mut self) -> Option<ReaderEvent> {
         self.events.recv().await
     }
 }
 
-/// Asks for the configuration until there is one, then waits to be ended.
-async fn read_until_found<P: Platform>(
+/// Reads until there is a configuration, then waits until the reader is dropped.
+async fn read_until_configured<P: Platform>(
     platform: Arc<P>,
     events: mpsc::Sender<ReaderEvent>,
     confirmation: Arc<Confirmation>,
@@ -112,11 +118,11 @@
     loop {
         let requested_at = needs_confirmation.then(|| confirmation.now());
         let reading = platform.read_configuration(freshness);
-        let event = match tokio::time::timeout(READ_LIMIT, reading).await {
+        let event = match tokio::time::timeout(READ_TIMEOUT, reading).await {
             Ok(Ok(reading)) => reading
                 .configuration
                 .map(|found| ReaderEvent::Configuration(Box::new(found), requested_at)),
-            Ok(Err(_)) | Err(_) => Some(ReaderEvent::NoContact),
+            Ok(Err(_)) | Err(_) => Some(ReaderEvent::Unreachable),
         };
         let is_found = matches!(event, Some(ReaderEvent::Configuration(..)));
         if let Some(event) = event
@@ -128,16 +134,16 @@
             return events.closed().await;
         }
         let jitter = rand::random_range(0.5..=1.0);
-        tokio::time::sleep(SEARCH_PAUSE.mul_f64(jitter)).await;
+        tokio::time::sleep(MAX_SEARCH_PAUSE.mul_f64(jitter)).await;
     }
 }
 
-async fn read_for_ever<P: Platform>(
+async fn follow_configuration<P: Platform>(
     platform: Arc<P>,
     events: mpsc::Sender<ReaderEvent>,
     confirmation: Arc<Confirmation>,
 ) {
-    let watch = confirmation.watch_limit().unwrap_or(LONGEST_WATCH);
+    let watch = confirmation.watch_limit().unwrap_or(MAX_WATCH_TIME);
     let mut position = None;
     let mut pause = INITIAL_BACKOFF;
     let mut lost_at: Option<Instant> = None;
@@ -167,7 +173,7 @@
                     log_event!(Event::StoreLost, "error=\"{error}\"");
                 }
                 let jitter = rand::random_range(0.5..=1.0);
-                if events.send(ReaderEvent::NoContact).await.is_err() {
+                if events.send(ReaderEvent::Unreachable).await.is_err() {
                     return;
                 }
                 tokio::time::sleep(pause.mul_f64(jitter)).await;
@@ -190,12 +196,12 @@
     match position {
         Some(position) => {
             let watching = platform.watch_configuration(position, wait);
-            let read = tokio::time::timeout(wait + WATCH_SLACK, watching).await;
+            let read = tokio::time::timeout(wait + WATCH_GRACE, watching).await;
             read.map_err(timed_out)?
         }
         None => {
             let reading = platform.read_configuration(Freshness::Latest);
-            let read = tokio::time::timeout(READ_LIMIT, reading).await;
+            let read = tokio::time::timeout(READ_TIMEOUT, reading).await;
             read.map_err(timed_out)?
         }
     }
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -1,4 +1,4 @@
-//! The task that drives this sidecar's part in gossip membership and the configuration relay.
+//! The task that drives gossip membership and the configuration relay of this sidecar.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 use super::directory::DirectoryTask;
 use super::reader::{Reader, ReaderEvent, ReadingMode};
-use super::transport::{Datagrams, Received, StreamInbox, inbox, send_stream};
+use super::transport::{Datagrams, ReceivedMessage, StreamInbox, inbox, send_stream};
 use super::{decode, encode};
 use crate::configuration::RouteIndex;
 use crate::confirmation::Confirmation;
@@ -30,68 +30,71 @@
 use crate::quota::OwnerRing;
 use crate::settings::Settings;
 
-/// Revision from which on a delta may be applied: it holds the whole configuration, so any.
+/// Lowest revision to which a delta applies. Each delta contains the whole configuration and
+/// therefore applies to any revision.
 const ANY_REVISION: u64 = 1;
-/// Silence of all other sidecars after which one reads the platform for itself.
+/// Time without a message of any other sidecar after which this one reads the platform itself.
 const ISOLATED_AFTER: Duration = Duration::from_millis(1_200);
-/// As [`ISOLATED_AFTER`], for a sidecar without another one in its zone: zones exchange messages once a second.
-const ISOLATED_ALONE_AFTER: Duration = Duration::from_secs(3);
-/// Time in which a starting sidecar may not have met all others yet.
+/// The same for a sidecar without another one in its zone: zones exchange messages once a second.
+const ISOLATED_WITHOUT_NEIGHBOURS_AFTER: Duration = Duration::from_secs(3);
+/// Uptime during which a starting sidecar may not have discovered all others yet.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// The same at the first start of the whole deployment, when nobody is listed yet.
-const FIRST_MEETING_TIME: Duration = Duration::from_millis(2_500);
-/// As [`DISCOVERY_TIME`], at the first start of the whole deployment: hundreds take longer to meet, and their requests begin
+/// The same at the first start of the whole deployment, when the directory is still empty.
+const FIRST_START_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
+/// Uptime during which a sidecar reads the configuration only once, at the first start of the whole
+/// deployment. Hundreds of sidecars take longer to discover each other, and their requests begin
 /// later still.
-const FIRST_READING_TIME: Duration = Duration::from_secs(6);
-/// How often it is decided anew whether to read the platform.
-const READING_REVIEW: Duration = Duration::from_millis(300);
-/// Entries of the directory that are used as seeds.
+const FIRST_START_READ_ONCE_TIME: Duration = Duration::from_secs(6);
+/// Interval at which the task decides whether to read the platform.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(300);
+/// Maximum number of directory entries that are used as seeds.
 const MAX_SEEDS: usize = 64;
 
-/// What the task publishes and listens to.
+/// Channels through which the task publishes its state and receives the stop signal.
 pub(crate) struct ControlChannels {
     /// The configuration in force.
     pub(crate) configuration: watch::Sender<Arc<RouteIndex>>,
-    /// The members.
+    /// The member table.
     pub(crate) members: watch::Sender<MemberTable>,
-    /// The entries of the platform's directory, as they were read last; none before.
+    /// The entries of the platform's directory as last read; `None` before the first read.
     pub(crate) listed: watch::Sender<Option<Vec<DirectoryEntry>>>,
-    /// Whether no other sidecar is heard of, though others are known.
+    /// True if no other sidecar is heard from although others are known.
     pub(crate) isolated: watch::Sender<bool>,
-    /// Whether this sidecar was told to stop.
+    /// True once this sidecar is stopping.
     pub(crate) stopping: watch::Receiver<bool>,
 }
 
-/// The control plane's task.
+/// The task of the control plane.
 pub(crate) struct ControlTask<P> {
     clock: Clock,
     own_address: SocketAddr,
     node: Node,
     datagrams: Datagrams,
-    inbox: mpsc::Receiver<Received>,
+    inbox: mpsc::Receiver<ReceivedMessage>,
     seeds: mpsc::Receiver<Vec<DirectoryEntry>>,
     own_id: String,
     platform: Arc<P>,
     reader: Option<Reader>,
     confirmation: Arc<Confirmation>,
     ring: Arc<OwnerRing>,
-    /// Version that the platform held when it was read last; zero when it held none.
+    /// Version that the platform held at the last read; zero if it held none.
     read_version: u64,
-    /// Whether the next configuration that is read goes to the node as a snapshot: the platform's store went back, so
-    /// what follows it can't be told as a change.
-    is_snapshot_wanted: bool,
-    /// Whether the node counts this sidecar among the readers of the deployment.
+    /// True if the next configuration that is read is passed to the node as a snapshot. This is
+    /// needed after the platform's store was reset to an earlier revision, from which the following
+    /// configuration can't be expressed as a change.
+    needs_snapshot: bool,
+    /// True if the node counts this sidecar among the readers of the deployment.
     chosen_to_read: bool,
     is_first_start: bool,
     started_at: Timestamp,
-    heard_at: Timestamp,
+    last_received_at: Timestamp,
     review_at: Timestamp,
     channels: ControlChannels,
 }
 
-/// What the task goes on with.
-enum Next {
-    Message(Received),
+/// Event that the task handles next.
+enum TaskEvent {
+    Message(ReceivedMessage),
     Reader(Option<ReaderEvent>),
     Seeds(Vec<DirectoryEntry>),
     Stopping,
@@ -99,7 +102,7 @@
 }
 
 impl<P: Platform> ControlTask<P> {
-    /// A task and the inbox for messages that arrive over streams.
+    /// Creates a task and the inbox for messages that arrive over streams.
     pub(crate) fn new(
         settings: &Settings,
         clock: Clock,
@@ -150,7 +153,7 @@
             confirmation,
             ring,
             read_version: 0,
-            is_snapshot_wanted: false,
+            needs_snapshot: false,
             inbox,
             seeds,
             own_id: settings.id.clone(),
@@ -159,59 +162,59 @@
             chosen_to_read: false,
             is_first_start: settings.is_first_start,
             started_at: now,
-            heard_at: now,
+            last_received_at: now,
             review_at: now,
             channels,
         };
         (task, sender)
     }
 
-    /// Runs for ever.
+    /// Runs until the process terminates.
     pub(crate) async fn run(mut self) {
         loop {
-            let next = self.next().await;
-            let effects = self.take(next);
-            self.carry_out(effects);
+            let event = self.next_event().await;
+            let effects = self.handle_event(event);
+            self.apply_effects(effects);
         }
     }
 
-    async fn next(&mut self) -> Next {
+    async fn next_event(&mut self) -> TaskEvent {
         let wakeup = self.node.next_wakeup().min(self.review_at);
         tokio::select! {
-            received = self.datagrams.receive() => Next::Message(received),
-            Some(received) = self.inbox.recv() => Next::Message(received),
-            event = next_of(&mut self.reader) => Next::Reader(event),
-            Some(entries) = self.seeds.recv() => Next::Seeds(entries),
-            Ok(()) = self.channels.stopping.changed() => Next::Stopping,
-            () = self.clock.sleep_until(Some(wakeup)) => Next::Timer,
+            received = self.datagrams.receive() => TaskEvent::Message(received),
+            Some(received) = self.inbox.recv() => TaskEvent::Message(received),
+            event = next_reader_event(&mut self.reader) => TaskEvent::Reader(event),
+            Some(entries) = self.seeds.recv() => TaskEvent::Seeds(entries),
+            Ok(()) = self.channels.stopping.changed() => TaskEvent::Stopping,
+            () = self.clock.sleep_until(Some(wakeup)) => TaskEvent::Timer,
         }
     }
 
-    fn take(&mut self, next: Next) -> Vec<Effect> {
+    fn handle_event(&mut self, event: TaskEvent) -> Vec<Effect> {
         let now = self.clock.now();
         let random = &mut rand::rng();
-        match next {
-            Next::Message(received) => {
-                self.heard_at = now;
+        match event {
+            TaskEvent::Message(received) => {
+                self.last_received_at = now;
                 if *self.channels.isolated.borrow() {
                     self.set_isolated(false, self.count_others().0);
                 }
                 self.node
                     .receive(now, received.source, &received.bytes, random)
             }
-            Next::Timer => {
-                self.review_contact(now);
+            TaskEvent::Timer => {
+                self.check_isolation(now);
                 self.node.advance(now, random)
             }
-            Next::Stopping => self.node.leave(now, random),
-            Next::Seeds(entries) => {
+            TaskEvent::Stopping => self.node.leave(now, random),
+            TaskEvent::Seeds(entries) => {
                 self.ring.add_directory_entries(now, &entries);
                 self.channels.listed.send_replace(Some(entries.clone()));
                 self.set_seeds(&entries);
                 Vec::new()
             }
-            Next::Reader(Some(event)) => self.take_reading(event),
-            Next::Reader(None) => {
+            TaskEvent::Reader(Some(event)) => self.handle_reader_event(event),
+            TaskEvent::Reader(None) => {
                 self.reader = None;
                 Vec::new()
             }
@@ -230,7 +233,7 @@
         self.node.set_seeds(seeds);
     }
 
-    fn take_reading(&mut self, event: ReaderEvent) -> Vec<Effect> {
+    fn handle_reader_event(&mut self, event: ReaderEvent) -> Vec<Effect> {
         let (configuration, requested_at) = match event {
             ReaderEvent::Configuration(configuration, requested_at) => {
                 (*configuration, requested_at)
@@ -241,7 +244,7 @@
                 self.node.store_contact(true);
                 return Vec::new();
             }
-            ReaderEvent::NoContact => {
+            ReaderEvent::Unreachable => {
                 self.node.store_contact(false);
                 return Vec::new();
             }
@@ -252,7 +255,7 @@
                 Event::ConfigurationRejected,
                 "version={version} error=\"{error}\""
             );
-            // The last good version stays in force, so that is the one to confirm.
+            // The last valid version stays in force and is therefore the one to confirm.
             self.read_version = self.node.revision();
             return Vec::new();
         }
@@ -269,7 +272,7 @@
                 return Vec::new();
             }
         };
-        let is_snapshot = std::mem::take(&mut self.is_snapshot_wanted);
+        let is_snapshot = std::mem::take(&mut self.needs_snapshot);
         let report = if is_snapshot || self.node.revision() == 0 {
             StoreReport::Snapshot(Snapshot { revision, payload })
         } else {
@@ -283,7 +286,7 @@
         self.node.on_store(now, &report, &mut rand::rng())
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, channel, bytes } => match channel {
@@ -305,7 +308,7 @@
                     self.review_at = self.clock.now();
                 }
                 Effect::ReadSnapshot => {
-                    self.is_snapshot_wanted = true;
+                    self.needs_snapshot = true;
                     self.reader = None;
                 }
                 Effect::StoreOlder { store, held } => {
@@ -314,7 +317,7 @@
                         "found={store} in_force={held}"
                     );
                 }
-                // Each adoption hands in a snapshot.
+                // Each adoption already passes a snapshot to the node.
                 Effect::Compact(_) => {}
                 Effect::Dropped { source, reason } => {
                     log_event!(
@@ -326,23 +329,23 @@
         }
     }
 
-    /// Looks whether other sidecars are still heard of.
-    fn review_contact(&mut self, now: Timestamp) {
+    /// Checks whether messages of other sidecars still arrive.
+    fn check_isolation(&mut self, now: Timestamp) {
         if now < self.review_at {
             return;
         }
-        self.review_at = now + READING_REVIEW;
-        let silence = now.saturating_since(self.heard_at);
-        self.review_reading(now, silence >= ISOLATED_AFTER);
+        self.review_at = now + REVIEW_INTERVAL;
+        let silence = now.saturating_since(self.last_received_at);
+        self.update_reader(now, silence >= ISOLATED_AFTER);
         let (others, neighbours) = self.count_others();
         let limit = match neighbours {
-            0 => ISOLATED_ALONE_AFTER,
+            0 => ISOLATED_WITHOUT_NEIGHBOURS_AFTER,
             _ => ISOLATED_AFTER,
         };
         self.set_isolated(others > 0 && silence >= limit, others);
     }
 
-    /// Numbers of other sidecars that are known, whatever their state: all, and those of the own zone.
+    /// Returns the numbers of other known sidecars in any state: all, and those in the local zone.
     fn count_others(&self) -> (usize, usize) {
         let zone = &self.node.me().profile.zone;
         let others = self.node.table().members();
@@ -364,10 +367,10 @@
         }
     }
 
-    /// Reads the platform while chosen to, and while no other sidecar is heard of that could pass a
-    /// configuration on.
-    fn review_reading(&mut self, now: Timestamp, is_isolated: bool) {
-        let wanted = self.wanted_reading(now, is_isolated);
+    /// Starts or stops reading the platform: while this sidecar is chosen to read, and while no
+    /// other sidecar that could forward a configuration is heard from.
+    fn update_reader(&mut self, now: Timestamp, is_isolated: bool) {
+        let wanted = self.reading_mode(now, is_isolated);
         if wanted == self.reader.as_ref().map(Reader::mode) {
             return;
         }
@@ -379,20 +382,21 @@
         });
     }
 
-    /// A starting sidecar may be one of hundreds that start together: each takes itself for a reader of its zone
-    /// until it has met the others.
-    fn wanted_reading(&self, now: Timestamp, is_isolated: bool) -> Option<ReadingMode> {
+    /// Returns the mode in which the platform is to be read. A starting sidecar may be one of
+    /// hundreds that start together, each of which considers itself a reader of its zone until it
+    /// has discovered the others.
+    fn reading_mode(&self, now: Timestamp, is_isolated: bool) -> Option<ReadingMode> {
         if !self.chosen_to_read && !is_isolated {
             return None;
         }
-        if self.is_first_start && self.is_alone_at_start(now) {
+        if self.is_first_start && self.is_undiscovered_at_start(now) {
             return None;
         }
-        let meeting_time = match self.is_first_start {
-            true => FIRST_READING_TIME,
+        let discovery_time = match self.is_first_start {
+            true => FIRST_START_READ_ONCE_TIME,
             false => DISCOVERY_TIME,
         };
-        let is_meeting = now.saturating_since(self.started_at) < meeting_time;
+        let is_meeting = now.saturating_since(self.started_at) < discovery_time;
         Some(if is_meeting {
             ReadingMode::Once
         } else {
@@ -400,10 +404,10 @@
         })
     }
 
-    /// Whether this sidecar has met nobody yet, and may still: at the first start of hundreds, each would read for itself
-    /// what a few read for all.
-    fn is_alone_at_start(&self, now: Timestamp) -> bool {
-        let is_starting = now.saturating_since(self.started_at) < FIRST_MEETING_TIME;
+    /// True if this sidecar has not discovered any other one and may still do so. At the first
+    /// start of hundreds of sidecars, each would otherwise read what a few read for all.
+    fn is_undiscovered_at_start(&self, now: Timestamp) -> bool {
+        let is_starting = now.saturating_since(self.started_at) < FIRST_START_DISCOVERY_TIME;
         is_starting && self.count_others().0 == 0
     }
 
@@ -419,7 +423,7 @@
             }
         };
         configuration.version = revision;
-        // Every payload is a whole configuration: one that starts needs this one only.
+        // Every payload is a whole configuration, so a starting sidecar needs this one only.
         self.node.compacted(revision, payload.clone());
         let routes = configuration.routes.len();
         let previous = self.channels.configuration.borrow().configuration.version;
@@ -438,8 +442,8 @@
     }
 }
 
-/// The next event of the reader; never when this sidecar does not read.
-async fn next_of(reader: &mut Option<Reader>) -> Option<ReaderEvent> {
+/// Returns the next event of the reader. Never completes if this sidecar does not read.
+async fn next_reader_event(reader: &mut Option<Reader>) -> Option<ReaderEvent> {
     match reader {
         Some(reader) => reader.next().await,
         None => std::future::pending().await,
--- a/crates/sidecar/src/control/transport.rs
+++ b/crates/sidecar/src/control/transport.rs
@@ -1,4 +1,4 @@
-//! Control messages on the network: datagrams, and streams for what is too large for one.
+//! Transport of control messages: datagrams, and streams for messages that are too large for one.
 
 use crate::events::Event;
 use crate::exchange::Exchange;
@@ -19,55 +19,56 @@
 use wharfquay_daemon::body::{AnswerBody, RequestBody};
 use wharfquay_protocol::envelope::MAX_STREAM_MESSAGE;
 
-/// Path that takes gossip and configuration messages.
+/// Path for gossip and configuration messages.
 const PATH: &str = "/wharfquay/control";
-/// Control address of the sender of a streamed message.
+/// Header with the control address of the sender of a streamed message.
 const SENDER: HeaderName = HeaderName::from_static("wharfquay-control-address");
-/// Messages over streams that wait for the task; more are refused and come again by anti-entropy.
+/// Maximum number of streamed messages that wait for the task. Further ones are refused;
+/// anti-entropy sends their content again.
 const INBOX_CAPACITY: usize = 256;
-/// Longest time for one message over a stream.
+/// Timeout of one streamed message.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time to open a connection for one.
+/// Timeout for opening the connection of a streamed message.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest datagram that is read; larger ones are cut and fail to decode.
+/// Size of the receive buffer. Larger datagrams are truncated and fail to decode.
 const DATAGRAM_BUFFER: usize = 2_048;
-/// Pause after an error of the socket, so that it does not keep a core busy.
+/// Pause after a socket error, which prevents a persistent error from occupying a core.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// A message that arrived.
+/// A received control message.
 #[derive(Debug)]
-pub(super) struct Received {
-    /// The sender's control address.
+pub(super) struct ReceivedMessage {
+    /// Control address of the sender.
     pub(super) source: SocketAddr,
     /// The encoded message.
     pub(super) bytes: Bytes,
 }
 
-/// Takes streamed messages that arrive on the control listener.
+/// Receives streamed messages on the control listener.
 #[derive(Clone, Debug)]
 pub(crate) struct StreamInbox {
-    sender: mpsc::Sender<Received>,
+    sender: mpsc::Sender<ReceivedMessage>,
 }
 
-/// An inbox and the end at which the task reads it.
-pub(super) fn inbox() -> (StreamInbox, mpsc::Receiver<Received>) {
+/// Creates an inbox and the receiver that the task reads.
+pub(super) fn inbox() -> (StreamInbox, mpsc::Receiver<ReceivedMessage>) {
     let (sender, receiver) = mpsc::channel(INBOX_CAPACITY);
     (StreamInbox { sender }, receiver)
 }
 
 impl StreamInbox {
-    /// Takes the message that a request carries.
+    /// Accepts the message in a request.
     pub(crate) async fn serve(
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<AnswerBody>, Infallible> {
-        let status = self.take(request).await;
+        let status = self.accept(request).await;
         let mut response = Response::new(AnswerBody::own(Bytes::new()));
         *response.status_mut() = status;
         Ok(response)
     }
 
-    async fn take(&self, request: Request<Incoming>) -> StatusCode {
+    async fn accept(&self, request: Request<Incoming>) -> StatusCode {
         if request.uri().path() != PATH {
             return StatusCode::NOT_FOUND;
         }
@@ -81,14 +82,14 @@
             return StatusCode::PAYLOAD_TOO_LARGE;
         };
         let bytes = body.to_bytes();
-        match self.sender.try_send(Received { source, bytes }) {
+        match self.sender.try_send(ReceivedMessage { source, bytes }) {
             Ok(()) => StatusCode::NO_CONTENT,
             Err(_) => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 }
 
-/// The socket for datagrams, which gossip shares with the exchange.
+/// The datagram socket, which gossip shares with the exchange.
 #[derive(Debug)]
 pub(super) struct Datagrams {
     socket: Arc<UdpSocket>,
@@ -105,8 +106,8 @@
         }
     }
 
-    /// The next datagram of gossip; hands those of the exchange over. Cancel safe.
-    pub(super) async fn receive(&mut self) -> Received {
+    /// Returns the next gossip datagram. Passes datagrams of the exchange on to it. Cancel safe.
+    pub(super) async fn receive(&mut self) -> ReceivedMessage {
         loop {
             match self.socket.recv_from(&mut self.buffer).await {
                 Ok((length, source)) if Exchange::is_exchange(&self.buffer[..length]) => {
@@ -114,14 +115,14 @@
                 }
                 Ok((length, source)) => {
                     let bytes = Bytes::copy_from_slice(&self.buffer[..length]);
-                    return Received { source, bytes };
+                    return ReceivedMessage { source, bytes };
                 }
                 Err(_) => tokio::time::sleep(SOCKET_ERROR_PAUSE).await,
             }
         }
     }
 
-    /// Sends a datagram; one that can't be sent counts as lost.
+    /// Sends a datagram. One that can't be sent is treated as lost.
     pub(super) fn send(&self, to: SocketAddr, bytes: &[u8]) {
         match self.socket.try_send_to(bytes, to) {
             Ok(_) => {}
@@ -131,7 +132,7 @@
     }
 }
 
-/// Sends a message over a stream of its own; one that does not arrive counts as lost.
+/// Sends a message over a new connection. One that does not arrive is treated as lost.
 pub(super) fn send_stream(own_address: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
     let request = Request::post(PATH)
         .header(http::header::HOST, to.to_string())
--- a/crates/sidecar/src/exchange_handler.rs
+++ b/crates/sidecar/src/exchange_handler.rs
@@ -48,8 +48,8 @@
                 read_records,
             } => {
                 let instance = InstanceId::new(name, started_at_ms.map(UnixMillis::new));
-                let lived = Duration::from_millis(*uptime_ms);
-                self.departures.reply(&instance, lived, *read_records)
+                let uptime = Duration::from_millis(*uptime_ms);
+                self.departures.reply(&instance, uptime, *read_records)
             }
         }
     }
@@ -62,7 +62,7 @@
                 started_at_ms,
             } => {
                 let instance = InstanceId::new(name, started_at_ms.map(UnixMillis::new));
-                self.departures.told(&instance);
+                self.departures.record_announcement(&instance);
             }
             // The exchange has already recorded the era of the datagram.
             Notice::StoreRestored => {}
--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -1,10 +1,12 @@
-//! Who knows of acknowledged leavings beside the store and the sidecar that acknowledged them.
+//! Knowledge of acknowledged departures outside the store and the sidecar that acknowledged them.
 //!
-//! A sidecar that starts again gives its back end no work before it knows that no earlier process acknowledged its
-//! leaving. After an end of all of a large deployment, each asking the store for itself would make as many calls as there
-//! are sidecars. So a few, the first by rendezvous, read all marks at once for all who ask; in a small one they do it
-//! for those that the store refuses. Whoever acknowledges a leaving tells them, so that they know it also where a
-//! restored store does not.
+//! A restarted sidecar sends its backend no work until it knows that no earlier process
+//! acknowledged its departure. After all sidecars of a large deployment terminated together, one
+//! store lookup each would cause as many calls as there are sidecars. A few sidecars, the first by
+//! rendezvous score, therefore read all departure records on behalf of those that ask. In a small
+//! deployment they do so for sidecars that the store refuses. A sidecar that acknowledges a
+//! departure also announces it to these readers, which makes it known even if a restored store
+//! lacks its record.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -24,47 +26,52 @@
 use crate::platform::{DirectoryEntry, Platform};
 use crate::store_era::StoreEra;
 
-/// Sidecars that read the marks for all.
-const READERS: usize = 8;
-/// Questions to one reader before the next is asked: it may have to read first, and another would read as well.
-pub(super) const QUESTIONS_TO_ONE: usize = 4;
-/// Key of the rendezvous by which readers are chosen.
-const KEY: &str = "departures";
-/// Longest wait for a reader's answer.
+/// Number of sidecars that read the departure records for all others.
+const READER_COUNT: usize = 8;
+/// Number of requests to one reader before the next one is asked. The reader may have to read the
+/// records first, and another one would read them as well.
+pub(super) const REQUESTS_PER_READER: usize = 4;
+/// Rendezvous key by which the readers are chosen.
+const RENDEZVOUS_KEY: &str = "departures";
+/// Timeout of a request to a reader.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest wait for a listing of the marks.
-const LIST_LIMIT: Duration = Duration::from_millis(800);
-/// Wait between the first question that needs a listing and the listing: it then serves all that started until then.
-const GATHERING_TIME: Duration = Duration::from_millis(40);
-/// Pause after a listing: questions come anew every 50 ms, and each listing has its price.
+/// Timeout of a listing of the departure records.
+const LISTING_TIMEOUT: Duration = Duration::from_millis(800);
+/// Delay between the first request that needs a listing and the listing, which then serves all
+/// sidecars that started by that time.
+const LISTING_DELAY: Duration = Duration::from_millis(40);
+/// Pause after a listing. Requests are repeated every 50 ms, and each listing is a charged call to
+/// the platform.
 const LISTING_PAUSE: Duration = Duration::from_millis(60);
-/// Time after its start for which a sidecar chooses readers among the entries of the directory: all that start together
-/// read the same ones there, while each has met others.
+/// Uptime up to which a sidecar chooses readers among the entries of the directory. Sidecars that
+/// start together read the same entries, and thus choose the same readers while gossip still
+/// discovers the others.
 const DISCOVERY_TIME: Duration = Duration::from_secs(10);
-/// The same for one that the directory refuses: nearly all know nearly all others then.
-const UNLISTED_MEETING_TIME: Duration = Duration::from_millis(1_500);
-/// Leavings that are remembered from what others told; beyond it the oldest are forgotten. Back ends end some seconds
-/// after their leaving was acknowledged.
-const REMEMBERED: usize = 1_024;
+/// The same for a sidecar that the directory refuses. By then nearly all sidecars have discovered
+/// nearly all others.
+const UNLISTED_DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
+/// Maximum number of announced departures that are remembered; beyond it the oldest is dropped.
+/// Backends terminate some seconds after the acknowledgement of their departure.
+const MAX_ANNOUNCED: usize = 1_024;
 
-/// What this sidecar knows as a reader.
+/// Departures that this sidecar knows as a reader.
 #[derive(Debug)]
 pub(crate) struct DepartureIndex {
     clock: Clock,
     state: Mutex<State>,
-    wanted: Notify,
+    listing_needed: Notify,
 }
 
 #[derive(Debug, Default)]
 struct State {
     listed: Option<Listing>,
-    told: HashMap<String, (InstanceId, Timestamp)>,
+    announced: HashMap<String, (InstanceId, Timestamp)>,
 }
 
-/// All marks as the store held them.
+/// All departure records as the store held them.
 #[derive(Debug)]
 struct Listing {
-    /// When the store was asked.
+    /// Time at which the store was queried.
     requested_at: Timestamp,
     departed: HashMap<String, InstanceId>,
 }
@@ -74,61 +81,63 @@
         Arc::new(Self {
             clock,
             state: Mutex::default(),
-            wanted: Notify::new(),
+            listing_needed: Notify::new(),
         })
     }
 
-    /// The answer to a sidecar that has lived so long and asks whether an earlier process acknowledged the leaving of
-    /// an instance. Only a listing that was asked for after that process ended can say that none did.
-    /// `read_records`: whether to read one for that.
+    /// Returns the reply to a sidecar with this uptime that asks whether an earlier process
+    /// acknowledged the departure of an instance. Only a listing that was requested after that
+    /// process terminated can prove that none did. If there is none yet and `read_records` is true,
+    /// one is requested.
     pub(crate) fn reply(
         &self,
         instance: &InstanceId,
-        lived: Duration,
+        uptime: Duration,
         read_records: bool,
     ) -> Reply {
         let state = lock(&self.state);
-        let told = state.told.get(instance.name());
-        if told.is_some_and(|(told, _)| !told.is_before(instance)) {
+        let announced = state.announced.get(instance.name());
+        if announced.is_some_and(|(announced, _)| !announced.is_before(instance)) {
             return Reply::Departed(true);
         }
-        let started_at = self.clock.now() - lived;
+        let started_at = self.clock.now() - uptime;
         match &state.listed {
             Some(listing) if listing.requested_at >= started_at => {
-                let mark = listing.departed.get(instance.name());
-                Reply::Departed(mark.is_some_and(|mark| !mark.is_before(instance)))
+                let record = listing.departed.get(instance.name());
+                Reply::Departed(record.is_some_and(|record| !record.is_before(instance)))
             }
             _ => {
                 if read_records {
-                    self.wanted.notify_one();
+                    self.listing_needed.notify_one();
                 }
                 Reply::Unknown
             }
         }
     }
 
-    /// Another sidecar acknowledged the leaving of an instance.
-    pub(crate) fn told(&self, instance: &InstanceId) {
+    /// Records that another sidecar acknowledged the departure of an instance.
+    pub(crate) fn record_announcement(&self, instance: &InstanceId) {
         let now = self.clock.now();
         let mut state = lock(&self.state);
-        if state.told.len() >= REMEMBERED {
-            let oldest = state.told.iter().min_by_key(|(_, (_, at))| *at);
+        if state.announced.len() >= MAX_ANNOUNCED {
+            let oldest = state.announced.iter().min_by_key(|(_, (_, at))| *at);
             if let Some(oldest) = oldest.map(|(name, _)| name.clone()) {
-                state.told.remove(&oldest);
+                state.announced.remove(&oldest);
             }
         }
         let known = (instance.clone(), now);
-        state.told.insert(instance.name().to_owned(), known);
+        state.announced.insert(instance.name().to_owned(), known);
     }
 
-    /// Reads the marks whenever an answer needs them; runs for ever.
-    pub(crate) async fn read_when_wanted<P: Platform>(self: Arc<Self>, platform: Arc<P>) {
+    /// Lists the departure records whenever a reply needs them. Runs until the process terminates.
+    pub(crate) async fn list_on_demand<P: Platform>(self: Arc<Self>, platform: Arc<P>) {
         loop {
-            self.wanted.notified().await;
-            tokio::time::sleep(GATHERING_TIME).await;
+            self.listing_needed.notified().await;
+            tokio::time::sleep(LISTING_DELAY).await;
             let requested_at = self.clock.now();
-            let listing = tokio::time::timeout(LIST_LIMIT, platform.departures());
-            // After a failure whoever asks asks again.
+            let listing = tokio::time::timeout(LISTING_TIMEOUT, platform.departures());
+            // After a failure the requesters repeat their requests, which triggers the next
+            // listing.
             if let Ok(Ok(departed)) = listing.await {
                 let departed = departed.into_iter();
                 let departed = departed.map(|instance| (instance.name().to_owned(), instance));
@@ -141,9 +150,10 @@
         }
     }
 
-    /// Writes what others told again whenever the store was restored, where this sidecar is the first of the readers:
-    /// those who acknowledged it may be gone. Runs for ever.
-    pub(crate) async fn keep<P: Platform>(
+    /// Writes the announced departures again after each restore of the store, if this sidecar is
+    /// the first reader: the sidecars that acknowledged them may no longer exist. Runs until the
+    /// process terminates.
+    pub(crate) async fn rewrite_announced<P: Platform>(
         self: Arc<Self>,
         platform: Arc<P>,
         readers: Arc<DepartureReaders>,
@@ -151,40 +161,47 @@
     ) {
         while eras.changed().await.is_ok() {
             lock(&self.state).listed = None;
-            if !readers.is_own_first() {
+            if !readers.is_first_reader() {
                 continue;
             }
-            let told = lock(&self.state).told.values().cloned().collect::<Vec<_>>();
-            for (instance, _) in told {
+            let announced = lock(&self.state)
+                .announced
+                .values()
+                .cloned()
+                .collect::<Vec<_>>();
+            for (instance, _) in announced {
                 let writing = platform.record_departure(&instance);
-                // Who acknowledged it writes it again as well, and goes on until it is written.
-                let _ = tokio::time::timeout(LIST_LIMIT, writing).await;
+                // The sidecar that acknowledged the departure also writes it again, until it
+                // succeeds.
+                let _ = tokio::time::timeout(LISTING_TIMEOUT, writing).await;
             }
         }
     }
 }
 
-/// The way to the readers.
+/// Client of the readers.
 #[derive(Debug)]
 pub(crate) struct DepartureReaders {
     pub(crate) clock: Clock,
     pub(crate) exchange: Arc<Exchange>,
     pub(crate) members: watch::Receiver<MemberTable>,
-    /// What this process has read in the platform's directory; none before it was read.
+    /// Entries of the platform's directory as this process last read them; `None` before the first
+    /// read.
     pub(crate) listed: watch::Receiver<Option<Vec<DirectoryEntry>>>,
 }
 
 impl DepartureReaders {
-    /// Asks a reader whether the leaving of an instance was acknowledged; none where it does not know yet.
-    /// `questions` were asked before; `read_records`: whether the reader is to read the marks for this sidecar.
-    pub(crate) async fn ask(
+    /// Asks a reader whether the departure of an instance was acknowledged; `None` if it does not
+    /// know yet. `requests_sent` is the number of earlier requests; `read_records` asks the reader
+    /// to list the departure records for this sidecar.
+    pub(crate) async fn query(
         &self,
         instance: &InstanceId,
-        questions: usize,
+        requests_sent: usize,
         read_records: bool,
     ) -> Option<bool> {
-        let lived = self.clock.now().saturating_since(Timestamp::ZERO);
-        let uptime_ms = u64::try_from(lived.as_millis()).unwrap_or(u64::MAX);
+        let uptime = self.clock.now().saturating_since(Timestamp::ZERO);
+        let uptime_ms = u64::try_from(uptime.as_millis()).unwrap_or(u64::MAX);
         let request = ExchangeRequest::Departed {
             name: instance.name().to_owned(),
             started_at_ms: instance.born().map(|born| born.as_millis()),
@@ -192,40 +209,42 @@
             read_records,
         };
         let readers = self.readers();
-        if !self.has_others(&readers) {
-            // Asked alone, this sidecar would read all marks for itself.
+        if !self.has_other_readers(&readers) {
+            // If this sidecar were the only reader, it would list all records for itself.
             return None;
         }
-        let turn = self.first_turn() + questions / QUESTIONS_TO_ONE;
-        let reader = readers.get(turn % readers.len())?;
+        let index = self.first_reader_index() + requests_sent / REQUESTS_PER_READER;
+        let reader = readers.get(index % readers.len())?;
         match self.exchange.request(reader, request, REPLY_TIMEOUT).await {
-            Some(Reply::Departed(is_departed)) => Some(is_departed),
+            Some(Reply::Departed(has_departed)) => Some(has_departed),
             _ => None,
         }
     }
 
-    /// Where this sidecar begins in the row of readers, so that each is asked by as many.
-    fn first_turn(&self) -> usize {
+    /// Index of the first reader that this sidecar asks. It differs between sidecars, which
+    /// distributes the requests evenly.
+    fn first_reader_index(&self) -> usize {
         let own_id = MemberId::from(self.exchange.own_id());
-        rendezvous_score_for(&own_id, KEY) as usize % READERS
+        rendezvous_score_for(&own_id, RENDEZVOUS_KEY) as usize % READER_COUNT
     }
 
-    /// Whether so many sidecars stand in the directory that each reading marks for itself would be too many.
-    pub(crate) fn read_for_all(&self) -> bool {
+    /// True if the directory lists so many sidecars that separate lookups would cause too many
+    /// calls.
+    pub(crate) fn is_large_deployment(&self) -> bool {
         let listed = self.listed.borrow();
         listed
             .as_ref()
             .is_some_and(|listed| listed.len() >= ENTRIES)
     }
 
-    fn has_others(&self, readers: &[Peer]) -> bool {
+    fn has_other_readers(&self, readers: &[Peer]) -> bool {
         readers
             .iter()
             .any(|reader| reader.id != self.exchange.own_id())
     }
 
-    /// Tells the readers that a leaving was acknowledged.
-    pub(crate) fn tell(&self, instance: &InstanceId) {
+    /// Announces to the readers that a departure was acknowledged.
+    pub(crate) fn announce(&self, instance: &InstanceId) {
         for reader in self.all_readers() {
             let notice = Notice::Departed {
                 name: instance.name().to_owned(),
@@ -235,38 +254,38 @@
         }
     }
 
-    /// The readers that any other sidecar may choose, as far as this one knows: those of the directory's entries and those
-    /// of the members, itself among them.
+    /// Returns the readers that any other sidecar may choose, as far as this one knows: those of
+    /// the directory's entries and those of the members, which may include itself.
     fn all_readers(&self) -> Vec<Peer> {
-        let mut readers = self.listed_readers();
+        let mut readers = self.directory_readers();
         readers.extend(self.member_readers());
         readers.sort_unstable_by(|one, other| one.id.cmp(&other.id));
         readers.dedup_by(|one, other| one.id == other.id);
         readers
     }
 
-    fn is_own_first(&self) -> bool {
+    fn is_first_reader(&self) -> bool {
         let readers = self.readers();
         let first = readers.first();
         first.is_some_and(|reader| reader.id == self.exchange.own_id())
     }
 
-    /// The first sidecars by rendezvous.
+    /// Returns the readers, in descending order of their rendezvous score.
     fn readers(&self) -> Vec<Peer> {
-        let lived = self.clock.now().saturating_since(Timestamp::ZERO);
-        let meeting_time = match *self.listed.borrow() {
+        let uptime = self.clock.now().saturating_since(Timestamp::ZERO);
+        let discovery_time = match *self.listed.borrow() {
             Some(_) => DISCOVERY_TIME,
-            None => UNLISTED_MEETING_TIME,
+            None => UNLISTED_DISCOVERY_TIME,
         };
-        match lived < meeting_time {
-            true => self.listed_readers(),
+        match uptime < discovery_time {
+            true => self.directory_readers(),
             false => self.member_readers(),
         }
     }
 
-    fn listed_readers(&self) -> Vec<Peer> {
+    fn directory_readers(&self) -> Vec<Peer> {
         let listed = self.listed.borrow();
-        first_by_rendezvous(listed.iter().flatten().map(|entry| Peer {
+        highest_by_rendezvous(listed.iter().flatten().map(|entry| Peer {
             id: entry.id.clone(),
             address: entry.control_address,
         }))
@@ -277,21 +296,21 @@
         let serving = table
             .members()
             .filter(|member| member.state() == MemberState::Alive);
-        first_by_rendezvous(serving.map(|member| Peer {
+        highest_by_rendezvous(serving.map(|member| Peer {
             id: member.profile.id.as_str().to_owned(),
             address: member.profile.control_address,
         }))
     }
 }
 
-fn first_by_rendezvous(peers: impl Iterator<Item = Peer>) -> Vec<Peer> {
+fn highest_by_rendezvous(peers: impl Iterator<Item = Peer>) -> Vec<Peer> {
     let mut scored: Vec<_> = peers
         .map(|peer| {
             let id = MemberId::from(peer.id.as_str());
-            (rendezvous_score_for(&id, KEY), peer)
+            (rendezvous_score_for(&id, RENDEZVOUS_KEY), peer)
         })
         .collect();
     scored.sort_unstable_by_key(|(score, _)| Reverse(*score));
-    let first = scored.into_iter().take(READERS);
+    let first = scored.into_iter().take(READER_COUNT);
     first.map(|(_, peer)| peer).collect()
 }
--- a/crates/sidecar/src/instance/mod.rs
+++ b/crates/sidecar/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! The back end beside this sidecar: which instance it is and whether it may get new work.
+//! The backend beside this sidecar: its current instance and whether it may receive new work.
 
 mod departures;
 mod registry;
@@ -12,53 +12,57 @@
 
 pub(crate) use departures::{DepartureIndex, DepartureReaders};
 pub use registry::{Acknowledgement, Registry};
-pub use tracker::{InstanceTracker, Standing, TrackerDecision};
+pub use tracker::{InstanceStatus, InstanceTracker, TrackerDecision};
 
-/// Time by which the clock of a back end may be ahead of this machine's.
-const MOST_AHEAD: Duration = Duration::from_secs(3_600);
+/// Maximum time by which the clock of a backend may be ahead of this machine's.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(3_600);
 
-/// Identity of one start of a back end. A back end may start again under its name; the time of its start tells the two
-/// apart.
+/// Identity of one start of a backend. A backend may start again under the same name; the start
+/// time distinguishes the two instances.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct InstanceId {
     name: Arc<str>,
-    /// When it started, by its own clock; none where that is not known.
+    /// Start time by the backend's own clock; `None` if it is not known.
     born: Option<UnixMillis>,
 }
 
 impl InstanceId {
-    /// The instance of this name that started at this time.
+    /// Creates the identity of the instance with this name and start time.
     #[must_use]
     pub fn new(name: &str, born: Option<UnixMillis>) -> Self {
         let name = Arc::from(name);
         Self { name, born }
     }
 
-    /// The instance of this name that says it started so many milliseconds after the Unix epoch.
+    /// Creates the identity of an instance that reports its start time in milliseconds since the
+    /// Unix epoch.
     ///
     /// # Errors
-    /// Why no instance can say so: it would start in the future.
+    /// The reason why the start time is rejected: it is in the future.
     pub fn of_start(name: &str, born: Option<u64>, now: UnixMillis) -> Result<Self, String> {
         let born = born.map(UnixMillis::new);
         match born {
-            Some(born) if born > now.plus(MOST_AHEAD) => Err("it starts in the future".to_owned()),
+            Some(born) if born > now.plus(MAX_CLOCK_SKEW) => {
+                Err("it starts in the future".to_owned())
+            }
             _ => Ok(Self::new(name, born)),
         }
     }
 
-    /// Its name.
+    /// Returns the name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// When it started, where that is known.
+    /// Returns the start time; `None` if it is not known.
     #[must_use]
     pub const fn born(&self) -> Option<UnixMillis> {
         self.born
     }
 
-    /// Whether it ended before `other` started. Only known where both tell their start.
+    /// True if this instance terminated before `other` started. This is known only if both have a
+    /// start time.
     #[must_use]
     pub fn is_before(&self, other: &Self) -> bool {
         self.born
@@ -66,7 +70,7 @@
             .is_some_and(|(own, other)| own < other)
     }
 
-    /// Whether both may be the same start.
+    /// True if both may be the same instance.
     #[must_use]
     pub fn may_be(&self, other: &Self) -> bool {
         let differs = self
@@ -93,26 +97,26 @@
     }
 }
 
-/// What an instance says about itself.
+/// State that an instance reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
-    /// It takes new work.
+    /// The instance accepts new work.
     Ready,
-    /// It ends what it has and will go.
+    /// The instance completes the requests in execution and will then terminate.
     Draining,
 }
 
 /// One heartbeat of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The instance.
+    /// The instance that sent it.
     pub instance: InstanceId,
-    /// What it says about itself.
+    /// State that the instance reports.
     pub state: ReportedState,
-    /// Grows with each heartbeat of the instance, so that a late one can be told.
+    /// Increases with each heartbeat of the instance, which identifies heartbeats that arrive late.
     pub sequence: u64,
-    /// Requests that it executes at a time.
+    /// Number of requests that the instance executes concurrently.
     pub slots: u32,
-    /// How long it stays slow after its start.
+    /// Remaining time for which the instance is slow after its start.
     pub cold_left: Duration,
 }
--- a/crates/sidecar/src/instance/registry.rs
+++ b/crates/sidecar/src/instance/registry.rs
@@ -1,4 +1,5 @@
-//! Carries out what the tracker decides: durable marks, verification, and the gate of the back end.
+//! Carries out the tracker's decisions: durable departure records, verification, and the admission
+//! gate of the backend.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -7,57 +8,62 @@
 use wharfquay_daemon::clock::Clock;
 use wharfquay_daemon::sync::lock;
 
-use super::departures::QUESTIONS_TO_ONE;
-use super::{DepartureReaders, Heartbeat, InstanceId, InstanceTracker, Standing, TrackerDecision};
+use super::departures::REQUESTS_PER_READER;
+use super::{
+    DepartureReaders, Heartbeat, InstanceId, InstanceStatus, InstanceTracker, TrackerDecision,
+};
 use crate::events::Event;
 use crate::inbound::backend::LocalBackend;
 use crate::log_event;
 use crate::platform::{Platform, PlatformError};
 
-/// Longest wait for a durable mark; the instance waits a second for its acknowledgement.
-const RECORD_LIMIT: Duration = Duration::from_millis(850);
-/// Longest wait for one answer about the durable marks.
-const LOOKUP_LIMIT: Duration = Duration::from_millis(800);
-/// Pauses between two tries to verify an instance.
-const VERIFY_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause between two tries to verify an instance.
-const LONGEST_VERIFY_PAUSE: Duration = Duration::from_millis(1_000);
-/// Pause between two questions to those who read the marks for all: about the time of a call to the platform for them.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
-/// Questions before a sidecar looks for itself: time to meet the others.
-const QUESTIONS_BEFORE_LOOKUP: usize = 12;
-/// Questions after the platform has said that there is no mark.
-const QUESTIONS_AFTERWARDS: usize = 4;
-/// Tries with the durable marks before heartbeats and health may stand in for them.
+/// Timeout of writing a departure record. The instance waits one second for its acknowledgement.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(850);
+/// Timeout of one lookup of a departure record.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(800);
+/// First pause between two attempts to verify an instance or to write a record. It doubles with
+/// each failure.
+const VERIFY_BACKOFF: Duration = Duration::from_millis(150);
+/// Maximum pause between these attempts.
+const MAX_VERIFY_BACKOFF: Duration = Duration::from_millis(1_000);
+/// Pause between two requests to the readers of the departure records. It is about the duration of
+/// a platform call that they may have to make.
+const READER_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of requests to the readers before a sidecar looks up the record itself. It leaves time to
+/// discover other sidecars.
+const READER_REQUESTS_BEFORE_LOOKUP: usize = 12;
+/// Number of requests to the readers after a lookup found no departure record.
+const READER_REQUESTS_AFTER_LOOKUP: usize = 4;
+/// Number of failed lookups after which heartbeats and health may replace the departure records.
 const LOOKUPS_BEFORE_FALLBACK: usize = 2;
-/// Longest wait for a health answer.
-const HEALTH_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of a health check.
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Whether a message of an instance is acknowledged.
+/// Acknowledgement of a message of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acknowledgement {
-    /// It is, and what it says holds from now on.
+    /// The message is acknowledged and takes effect now.
     Given,
-    /// Not now; the instance should try again.
+    /// The message is not acknowledged; the instance should send it again.
     Refused,
 }
 
-/// Keeps the local back end's gate in step with what its instances say.
+/// Keeps the local backend's gate consistent with the messages of its instances.
 #[derive(Debug)]
 pub struct Registry<P> {
     platform: Arc<P>,
-    /// Those who know of leavings beside the platform.
+    /// Other sidecars that know departures, in addition to the platform.
     readers: Arc<DepartureReaders>,
     backend: Arc<LocalBackend>,
     clock: Clock,
-    /// Whether no earlier process can have acknowledged that an instance leaves.
+    /// True if no earlier process can have acknowledged the departure of an instance.
     is_first_start: bool,
     tracker: Mutex<InstanceTracker>,
     verifying: Mutex<Option<InstanceId>>,
 }
 
 impl<P: Platform> Registry<P> {
-    /// A registry that has heard of nothing.
+    /// Creates a registry without instances.
     pub(crate) fn new(
         platform: Arc<P>,
         backend: Arc<LocalBackend>,
@@ -76,28 +82,29 @@
         })
     }
 
-    /// Takes a heartbeat.
-    pub async fn heartbeat(self: &Arc<Self>, beat: &Heartbeat) -> Acknowledgement {
+    /// Handles a heartbeat.
+    pub async fn heartbeat(self: &Arc<Self>, heartbeat: &Heartbeat) -> Acknowledgement {
         let now = self.clock.now();
-        self.end_earlier(now, &beat.instance);
-        let decision = lock(&self.tracker).heartbeat(now, beat);
+        self.terminate_earlier(now, &heartbeat.instance);
+        let decision = lock(&self.tracker).heartbeat(now, heartbeat);
         match decision {
             TrackerDecision::Acknowledge => {
-                self.backend.update_slots(&beat.instance, beat.slots);
+                self.backend
+                    .update_slots(&heartbeat.instance, heartbeat.slots);
                 Acknowledgement::Given
             }
             TrackerDecision::Verify => {
-                self.spawn_verification(beat.instance.clone());
+                self.spawn_verification(heartbeat.instance.clone());
                 Acknowledgement::Given
             }
-            TrackerDecision::RecordDeparture => self.record(&beat.instance).await,
+            TrackerDecision::RecordDeparture => self.record_departure(&heartbeat.instance).await,
             TrackerDecision::Refuse => Acknowledgement::Refused,
         }
     }
 
-    /// Ends the earlier start of an instance that lives again under its name.
-    fn end_earlier(&self, now: Timestamp, instance: &InstanceId) {
-        if let Some(earlier) = lock(&self.tracker).take_over(now, instance) {
+    /// Terminates the earlier instance if the backend started again under the same name.
+    fn terminate_earlier(&self, now: Timestamp, instance: &InstanceId) {
+        if let Some(earlier) = lock(&self.tracker).replace_earlier(now, instance) {
             log_event!(
                 Event::InstanceRestarted,
                 "instance={instance} earlier={earlier}"
@@ -106,46 +113,46 @@
         }
     }
 
-    /// Takes the message of an instance that goes.
+    /// Handles the message of an instance that is departing.
     pub async fn departure(self: &Arc<Self>, instance: &InstanceId) -> Acknowledgement {
         let now = self.clock.now();
-        self.end_earlier(now, instance);
+        self.terminate_earlier(now, instance);
         let decision = lock(&self.tracker).departure(now, instance);
         match decision {
-            TrackerDecision::RecordDeparture => self.record(instance).await,
+            TrackerDecision::RecordDeparture => self.record_departure(instance).await,
             _ => Acknowledgement::Given,
         }
     }
 
-    /// Looks for an instance at the back end's address until one gets work; a sidecar that was
-    /// restarted alone need not wait for a heartbeat.
+    /// Checks the backend's address for a healthy instance until one receives work. A sidecar that
+    /// was restarted alone therefore does not depend on the next heartbeat.
     pub async fn discover(self: &Arc<Self>) {
         while lock(&self.tracker).current().is_none() {
             if let Some(instance) = self.healthy_instance().await {
                 let now = self.clock.now();
-                if lock(&self.tracker).seen_healthy(now, &instance) {
+                if lock(&self.tracker).observe_healthy(now, &instance) {
                     self.spawn_verification(instance);
                 }
                 return;
             }
-            tokio::time::sleep(VERIFY_PAUSE).await;
+            tokio::time::sleep(VERIFY_BACKOFF).await;
             if lock(&self.verifying).is_some() {
                 return;
             }
         }
     }
 
-    /// Another back end than the one that was meant has the address.
+    /// Closes the gate of an instance whose address now belongs to another instance.
     pub fn misdirected(self: &Arc<Self>, instance: &InstanceId) {
-        lock(&self.tracker).replaced(instance);
+        lock(&self.tracker).mark_replaced(instance);
         self.backend.close(instance);
         log_event!(Event::InstanceReplaced, "instance={instance}");
     }
 
-    async fn record(&self, instance: &InstanceId) -> Acknowledgement {
+    async fn record_departure(&self, instance: &InstanceId) -> Acknowledgement {
         self.backend.close(instance);
-        let recording = self.record_in_one_era(instance);
-        let recorded = tokio::time::timeout(RECORD_LIMIT, recording).await;
+        let recording = self.record_within_one_era(instance);
+        let recorded = tokio::time::timeout(RECORD_TIMEOUT, recording).await;
         match recorded {
             Ok(Ok(())) => {
                 log_event!(Event::DepartureAcknowledged, "instance={instance}");
@@ -168,30 +175,32 @@
         }
     }
 
-    /// Makes a leaving durable. A store that is restored while it is written may have lost it.
-    async fn record_in_one_era(&self, instance: &InstanceId) -> Result<(), PlatformError> {
+    /// Makes a departure durable. If the store is restored meanwhile, the write may be lost and is
+    /// repeated.
+    async fn record_within_one_era(&self, instance: &InstanceId) -> Result<(), PlatformError> {
         let eras = self.platform.eras();
         loop {
             let era = eras.newest();
             self.platform.record_departure(instance).await?;
             let now = self.clock.now();
-            lock(&self.tracker).departure_recorded(now, instance);
-            self.readers.tell(instance);
-            // From here on a new era finds the leaving among those to be written again.
+            lock(&self.tracker).mark_departure_recorded(now, instance);
+            self.readers.announce(instance);
+            // From here on a new era finds the departure among those to be written again.
             if eras.newest().changes == era.changes {
                 return Ok(());
             }
         }
     }
 
-    /// Writes the marks of acknowledged leavings again whenever the store was restored; runs for ever.
-    pub async fn keep_marks(self: Arc<Self>) {
+    /// Writes the records of acknowledged departures again after each restore of the store. Runs
+    /// until the process terminates.
+    pub async fn rewrite_departure_records(self: Arc<Self>) {
         let mut eras = self.platform.eras().subscribe();
         while eras.changed().await.is_ok() {
             eras.mark_unchanged();
             let departed = lock(&self.tracker).recorded_departures();
             for instance in &departed {
-                self.write_again(instance).await;
+                self.write_until_durable(instance).await;
             }
             if !departed.is_empty() {
                 let count = departed.len();
@@ -200,12 +209,12 @@
         }
     }
 
-    /// Tries until the mark is durable.
-    async fn write_again(&self, instance: &InstanceId) {
-        let mut pause = VERIFY_PAUSE;
+    /// Writes a departure record. Retries until it is durable.
+    async fn write_until_durable(&self, instance: &InstanceId) {
+        let mut pause = VERIFY_BACKOFF;
         loop {
             let recording = self.platform.record_departure(instance);
-            match tokio::time::timeout(RECORD_LIMIT, recording).await {
+            match tokio::time::timeout(RECORD_TIMEOUT, recording).await {
                 Ok(Ok(())) => return,
                 Ok(Err(error)) => log_event!(
                     Event::DepartureNotDurable,
@@ -218,7 +227,7 @@
             }
             let jitter = rand::random_range(0.5..=1.0);
             tokio::time::sleep(pause.mul_f64(jitter)).await;
-            pause = (pause * 2).min(LONGEST_VERIFY_PAUSE);
+            pause = (pause * 2).min(MAX_VERIFY_BACKOFF);
         }
     }
 
@@ -239,69 +248,70 @@
         });
     }
 
-    /// Tries until it is known whether the instance may get work. What this process acknowledged itself the
-    /// tracker knows; the durable marks are those of earlier processes.
+    /// Retries until it is known whether the instance may receive work. The tracker knows the
+    /// departures that this process acknowledged; the durable records are those of earlier
+    /// processes.
     async fn verify(&self, instance: &InstanceId) {
         if self.is_first_start {
             self.conclude(instance, false);
             return;
         }
-        if self.readers.read_for_all() {
-            for questions in 0..QUESTIONS_BEFORE_LOOKUP {
-                if let Some(departed) = self.readers.ask(instance, questions, true).await {
+        if self.readers.is_large_deployment() {
+            for requests in 0..READER_REQUESTS_BEFORE_LOOKUP {
+                if let Some(departed) = self.readers.query(instance, requests, true).await {
                     self.conclude(instance, departed);
                     return;
                 }
-                tokio::time::sleep(QUESTION_PAUSE).await;
+                tokio::time::sleep(READER_REQUEST_INTERVAL).await;
             }
         }
-        let mut pause = VERIFY_PAUSE;
+        let mut pause = VERIFY_BACKOFF;
         let mut failures = 0;
         loop {
-            if lock(&self.tracker).standing(instance) == Standing::Leaving {
+            if lock(&self.tracker).status(instance) == InstanceStatus::Leaving {
                 return;
             }
             if let Some(departed) = self.look_up(instance, failures).await {
                 self.conclude(instance, departed);
                 if !departed {
-                    self.ask_afterwards(instance).await;
+                    self.request_after_lookup(instance).await;
                 }
                 return;
             }
             failures += 1;
             if failures >= LOOKUPS_BEFORE_FALLBACK
-                && self.is_confirmed_without_marks(instance).await
+                && self.is_confirmed_without_records(instance).await
             {
                 log_event!(Event::InstanceConfirmed, "instance={instance}");
                 self.conclude(instance, false);
                 return;
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_VERIFY_PAUSE);
+            pause = (pause * 2).min(MAX_VERIFY_BACKOFF);
         }
     }
 
-    /// Asks a few times more whether others were told of a leaving of which the platform has no mark: a sidecar that has
-    /// just started may not know yet whom to ask.
-    async fn ask_afterwards(&self, instance: &InstanceId) {
-        for questions in 0..QUESTIONS_AFTERWARDS {
-            tokio::time::sleep(QUESTION_PAUSE * 2).await;
-            let next_reader = questions * QUESTIONS_TO_ONE;
-            if self.readers.ask(instance, next_reader, false).await == Some(true) {
+    /// Asks the readers a few more times for a departure that has no record at the platform. A
+    /// sidecar that has just started may not know the readers yet.
+    async fn request_after_lookup(&self, instance: &InstanceId) {
+        for requests in 0..READER_REQUESTS_AFTER_LOOKUP {
+            tokio::time::sleep(READER_REQUEST_INTERVAL * 2).await;
+            let next_reader = requests * REQUESTS_PER_READER;
+            if self.readers.query(instance, next_reader, false).await == Some(true) {
                 self.conclude(instance, true);
                 return;
             }
         }
     }
 
-    /// Looks for the mark of an instance, and asks one who may have been told of its leaving; after failures of the
-    /// platform that one reads for this sidecar.
+    /// Looks up the departure record of an instance, and concurrently asks a reader that may know
+    /// its departure. After failures of the platform the reader lists the records for this sidecar.
     async fn look_up(&self, instance: &InstanceId, failures: usize) -> Option<bool> {
-        let asking = self.readers.ask(instance, failures, failures > 0);
-        let looking = self.platform.has_departed(instance);
-        let looking = tokio::time::timeout(LOOKUP_LIMIT, looking);
-        let (known, looked) = tokio::join!(asking, looking);
-        match (known, looked) {
+        let query = self.readers.query(instance, failures, failures > 0);
+        let lookup = self.platform.has_departed(instance);
+        let lookup = tokio::time::timeout(LOOKUP_TIMEOUT, lookup);
+        let (known, found_record) = tokio::join!(query, lookup);
+        match (known, found_record) {
             (Some(true), _) => Some(true),
             (_, Ok(Ok(departed))) => Some(departed),
             (known, _) => known,
@@ -311,18 +321,19 @@
     fn conclude(&self, instance: &InstanceId, departed: bool) {
         let now = self.clock.now();
         let mut tracker = lock(&self.tracker);
-        if tracker.lacks_start(instance) {
-            // It has told its start meanwhile, which is looked up for itself.
+        if tracker.lacks_start_time(instance) {
+            // The instance has reported its start time meanwhile. That identity is verified
+            // separately.
             return;
         }
         if departed {
-            tracker.departure_recorded(now, instance);
+            tracker.mark_departure_recorded(now, instance);
             drop(tracker);
             self.backend.close(instance);
             log_event!(Event::InstanceDeparted, "instance={instance}");
             return;
         }
-        if tracker.verified(now, instance) {
+        if tracker.mark_verified(now, instance) {
             let slots = tracker.slots(instance);
             drop(tracker);
             self.backend.open(instance, slots);
@@ -333,7 +344,7 @@
         }
     }
 
-    async fn is_confirmed_without_marks(&self, instance: &InstanceId) -> bool {
+    async fn is_confirmed_without_records(&self, instance: &InstanceId) -> bool {
         if !lock(&self.tracker).is_confirmed(instance) {
             return false;
         }
@@ -341,8 +352,8 @@
     }
 
     async fn healthy_instance(&self) -> Option<InstanceId> {
-        let asking = self.backend.healthy_instance();
-        tokio::time::timeout(HEALTH_LIMIT, asking)
+        let query = self.backend.healthy_instance();
+        tokio::time::timeout(HEALTH_TIMEOUT, query)
             .await
             .ok()
             .flatten()
--- a/crates/sidecar/src/instance/tracker.rs
+++ b/crates/sidecar/src/instance/tracker.rs
@@ -1,12 +1,13 @@
-//! The rule by which an instance gets new work, and by which its leaving is acknowledged.
+//! Decides which instance receives new work and when its departure is acknowledged.
 //!
-//! Leaving is final for an instance. It is acknowledged only once it is durable, and a sidecar that
-//! has just started gives an instance no work before it knows that no earlier process acknowledged its
-//! leaving: from the durable marks, or, while these can't be read, from two heartbeats of growing
-//! sequence together with the instance's own health answer.
+//! Departure is final for an instance. It is acknowledged only once it is durable. A sidecar that
+//! has just started sends an instance no work until it knows that no earlier process acknowledged
+//! its departure. It learns that from the durable departure records or, while these can't be read,
+//! from two heartbeats with increasing sequence numbers together with the instance's own health
+//! response.
 //!
-//! A back end may start again under its name. What was known of the earlier start then holds no more, and what still
-//! arrives from it changes nothing.
+//! A backend may start again under the same name. The state of the earlier instance then no longer
+//! applies, and messages that still arrive from it have no effect.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,224 +16,233 @@
 
 use super::{Heartbeat, InstanceId, ReportedState};
 
-/// Instances that are remembered; beyond that the one heard of longest ago is forgotten.
-const REMEMBERED_INSTANCES: usize = 64;
-/// Shortest time between two heartbeats that confirm an instance without the durable marks.
-const CONFIRMATION_GAP: Duration = Duration::from_millis(500);
+/// Maximum number of tracked instances. Beyond it, the one with the oldest last message is dropped.
+const MAX_TRACKED_INSTANCES: usize = 64;
+/// Minimum time between two heartbeats that confirm an instance without the departure records.
+const MIN_CONFIRMATION_GAP: Duration = Duration::from_millis(500);
 
-/// What an instance may get.
+/// Status of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It is not known yet whether its leaving was acknowledged.
+pub enum InstanceStatus {
+    /// It is not known yet whether the departure of the instance was acknowledged.
     Unverified,
-    /// New work.
+    /// The instance receives new work.
     Serving,
-    /// Nothing new, ever.
+    /// The instance never receives new work again.
     Leaving,
 }
 
-/// What the driver has to do about a message of an instance.
+/// Action that the driver has to take for a message of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrackerDecision {
-    /// Acknowledge at once.
+    /// Acknowledge the message immediately.
     Acknowledge,
-    /// Acknowledge, and find out whether the instance may get work.
+    /// Acknowledge the message and verify whether the instance may receive work.
     Verify,
-    /// Close the gate, make the leaving durable, then acknowledge.
+    /// Close the gate, make the departure durable, then acknowledge the message.
     RecordDeparture,
-    /// Refuse: instances of this name tell when they started, and this message does not, so it is another writer's.
+    /// Do not acknowledge the message. It lacks a start time, although instances of this name
+    /// report one, and therefore comes from another sender.
     Refuse,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct TrackedInstance {
     instance: InstanceId,
-    standing: Standing,
-    departure_recorded: bool,
+    status: InstanceStatus,
+    is_departure_recorded: bool,
     last_sequence: Option<u64>,
-    first_ready: Option<Timestamp>,
+    first_ready_at: Option<Timestamp>,
     is_confirmed: bool,
-    heard_at: Timestamp,
+    last_message_at: Timestamp,
     slots: Option<u32>,
-    cold_until: Timestamp,
+    warm_up_until: Timestamp,
 }
 
-impl Known {
+impl TrackedInstance {
     const fn new(instance: InstanceId, now: Timestamp) -> Self {
         Self {
             instance,
-            standing: Standing::Unverified,
-            departure_recorded: false,
+            status: InstanceStatus::Unverified,
+            is_departure_recorded: false,
             last_sequence: None,
-            first_ready: None,
+            first_ready_at: None,
             is_confirmed: false,
-            heard_at: now,
+            last_message_at: now,
             slots: None,
-            cold_until: Timestamp::ZERO,
+            warm_up_until: Timestamp::ZERO,
         }
     }
 
-    /// Takes in a heartbeat that says ready.
+    /// Records a heartbeat with the state ready.
     fn confirm(&mut self, now: Timestamp) {
-        let first = *self.first_ready.get_or_insert(now);
-        if now.saturating_since(first) >= CONFIRMATION_GAP {
+        let first = *self.first_ready_at.get_or_insert(now);
+        if now.saturating_since(first) >= MIN_CONFIRMATION_GAP {
             self.is_confirmed = true;
         }
     }
 }
 
-/// The instances that were beside this sidecar.
+/// The instances that have run beside this sidecar.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceTracker {
-    /// The latest start of each name.
-    known: HashMap<String, Known>,
+    /// The latest instance of each name.
+    instances: HashMap<String, TrackedInstance>,
     current: Option<InstanceId>,
 }
 
 impl InstanceTracker {
-    /// Takes notice that an instance lives, before its message is taken in. Gives the earlier start under its name that
-    /// is over because of it.
-    pub fn take_over(&mut self, now: Timestamp, instance: &InstanceId) -> Option<InstanceId> {
-        let known = self.known.get_mut(instance.name())?;
-        let has_spoken = known.last_sequence.is_some() || known.departure_recorded;
-        let tells_start_now = known.instance.born().is_none() && instance.born().is_some();
-        if known.instance.is_before(instance) || (tells_start_now && has_spoken) {
-            let earlier = std::mem::replace(known, Known::new(instance.clone(), now)).instance;
+    /// Records that an instance is running, before its message is handled. Returns the earlier
+    /// instance of the same name that it replaces.
+    pub fn replace_earlier(&mut self, now: Timestamp, instance: &InstanceId) -> Option<InstanceId> {
+        let tracked = self.instances.get_mut(instance.name())?;
+        let has_sent_messages = tracked.last_sequence.is_some() || tracked.is_departure_recorded;
+        let reports_start_now = tracked.instance.born().is_none() && instance.born().is_some();
+        if tracked.instance.is_before(instance) || (reports_start_now && has_sent_messages) {
+            let earlier =
+                std::mem::replace(tracked, TrackedInstance::new(instance.clone(), now)).instance;
             self.current.take_if(|current| *current == earlier);
             return Some(earlier);
         }
-        if tells_start_now {
-            if let Some(current) = self.current.as_mut().filter(|id| **id == known.instance) {
+        if reports_start_now {
+            if let Some(current) = self.current.as_mut().filter(|id| **id == tracked.instance) {
                 *current = instance.clone();
             }
-            known.instance = instance.clone();
+            tracked.instance = instance.clone();
         }
         None
     }
 
-    /// Takes a heartbeat.
-    pub fn heartbeat(&mut self, now: Timestamp, beat: &Heartbeat) -> TrackerDecision {
-        self.take_over(now, &beat.instance);
-        if self.lacks_start(&beat.instance) {
+    /// Handles a heartbeat.
+    pub fn heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> TrackerDecision {
+        self.replace_earlier(now, &heartbeat.instance);
+        if self.lacks_start_time(&heartbeat.instance) {
             return TrackerDecision::Refuse;
         }
-        let is_current = self.is_current(&beat.instance);
-        let is_over = self.is_over(&beat.instance);
-        let Some(known) = self.entry(now, &beat.instance) else {
+        let is_current = self.is_current(&heartbeat.instance);
+        let is_superseded = self.is_superseded(&heartbeat.instance);
+        let Some(tracked) = self.entry_mut(now, &heartbeat.instance) else {
             return TrackerDecision::Acknowledge;
         };
-        known.heard_at = now;
-        if beat.state == ReportedState::Draining {
-            return Self::leave(known);
+        tracked.last_message_at = now;
+        if heartbeat.state == ReportedState::Draining {
+            return Self::begin_departure(tracked);
         }
-        let is_late = known
+        let is_out_of_order = tracked
             .last_sequence
-            .is_some_and(|last| beat.sequence <= last);
-        if is_late || is_over || known.standing == Standing::Leaving {
+            .is_some_and(|last| heartbeat.sequence <= last);
+        if is_out_of_order || is_superseded || tracked.status == InstanceStatus::Leaving {
             return TrackerDecision::Acknowledge;
         }
-        known.last_sequence = Some(beat.sequence);
-        known.slots = Some(beat.slots);
-        known.cold_until = now + beat.cold_left;
-        known.confirm(now);
-        if is_current && known.standing == Standing::Serving {
+        tracked.last_sequence = Some(heartbeat.sequence);
+        tracked.slots = Some(heartbeat.slots);
+        tracked.warm_up_until = now + heartbeat.cold_left;
+        tracked.confirm(now);
+        if is_current && tracked.status == InstanceStatus::Serving {
             TrackerDecision::Acknowledge
         } else {
             TrackerDecision::Verify
         }
     }
 
-    /// Takes the message of an instance that goes.
+    /// Handles the message of an instance that is departing.
     pub fn departure(&mut self, now: Timestamp, instance: &InstanceId) -> TrackerDecision {
-        self.take_over(now, instance);
-        match self.entry(now, instance) {
-            Some(known) => Self::leave(known),
+        self.replace_earlier(now, instance);
+        match self.entry_mut(now, instance) {
+            Some(tracked) => Self::begin_departure(tracked),
             None => TrackerDecision::Acknowledge,
         }
     }
 
-    const fn leave(known: &mut Known) -> TrackerDecision {
-        known.standing = Standing::Leaving;
-        if known.departure_recorded {
+    const fn begin_departure(tracked: &mut TrackedInstance) -> TrackerDecision {
+        tracked.status = InstanceStatus::Leaving;
+        if tracked.is_departure_recorded {
             TrackerDecision::Acknowledge
         } else {
             TrackerDecision::RecordDeparture
         }
     }
 
-    /// Takes notice of an instance that answered a health check; true when it needs verifying.
-    pub fn seen_healthy(&mut self, now: Timestamp, instance: &InstanceId) -> bool {
-        let known = self.entry(now, instance);
-        known.is_some_and(|known| known.standing == Standing::Unverified)
+    /// Records an instance that responded to a health check. Returns true if it needs verification.
+    pub fn observe_healthy(&mut self, now: Timestamp, instance: &InstanceId) -> bool {
+        let tracked = self.entry_mut(now, instance);
+        tracked.is_some_and(|tracked| tracked.status == InstanceStatus::Unverified)
     }
 
-    /// The leaving of an instance is durable.
-    pub fn departure_recorded(&mut self, now: Timestamp, instance: &InstanceId) {
-        if let Some(known) = self.entry(now, instance) {
-            known.standing = Standing::Leaving;
-            known.departure_recorded = true;
+    /// Records that the departure of an instance is durable.
+    pub fn mark_departure_recorded(&mut self, now: Timestamp, instance: &InstanceId) {
+        if let Some(tracked) = self.entry_mut(now, instance) {
+            tracked.status = InstanceStatus::Leaving;
+            tracked.is_departure_recorded = true;
         }
     }
 
-    /// The instances whose leaving was made durable.
+    /// Returns the instances whose departure is durable.
     #[must_use]
     pub fn recorded_departures(&self) -> Vec<InstanceId> {
-        let recorded = self.known.values().filter(|known| known.departure_recorded);
-        recorded.map(|known| known.instance.clone()).collect()
+        let recorded = self
+            .instances
+            .values()
+            .filter(|tracked| tracked.is_departure_recorded);
+        recorded.map(|tracked| tracked.instance.clone()).collect()
     }
 
-    /// The instance has no durable mark and may get work, unless it said meanwhile that it leaves.
-    /// Returns whether it is the one that gets work now.
-    pub fn verified(&mut self, now: Timestamp, instance: &InstanceId) -> bool {
-        let is_over = self.is_over(instance);
-        let Some(known) = self.entry(now, instance) else {
+    /// Records that the instance has no departure record and may receive work, unless it has
+    /// announced its departure meanwhile. Returns true if it now receives work.
+    pub fn mark_verified(&mut self, now: Timestamp, instance: &InstanceId) -> bool {
+        let is_superseded = self.is_superseded(instance);
+        let Some(tracked) = self.entry_mut(now, instance) else {
             return false;
         };
-        if is_over || known.standing == Standing::Leaving {
+        if is_superseded || tracked.status == InstanceStatus::Leaving {
             return false;
         }
-        known.standing = Standing::Serving;
-        self.current = Some(known.instance.clone());
+        tracked.status = InstanceStatus::Serving;
+        self.current = Some(tracked.instance.clone());
         true
     }
 
-    /// Another instance answers at the back end's address: this one is gone.
-    pub fn replaced(&mut self, instance: &InstanceId) {
+    /// Records that another instance responds at the backend's address: this one has terminated.
+    pub fn mark_replaced(&mut self, instance: &InstanceId) {
         if self.is_current(instance) {
             self.current = None;
         }
-        if let Some(known) = self.found_mut(instance) {
-            known.standing = Standing::Leaving;
+        if let Some(tracked) = self.get_mut(instance) {
+            tracked.status = InstanceStatus::Leaving;
         }
     }
 
-    /// Whether heartbeats alone, with the instance's health, show that it does not leave.
+    /// True if heartbeats alone, together with the instance's health, show that it is not
+    /// departing.
     #[must_use]
     pub fn is_confirmed(&self, instance: &InstanceId) -> bool {
-        let known = self.found(instance);
-        known.is_some_and(|known| known.is_confirmed && known.standing != Standing::Leaving)
+        let tracked = self.get(instance);
+        tracked.is_some_and(|tracked| {
+            tracked.is_confirmed && tracked.status != InstanceStatus::Leaving
+        })
     }
 
-    /// What an instance may get.
+    /// Returns the status of an instance.
     #[must_use]
-    pub fn standing(&self, instance: &InstanceId) -> Standing {
-        match self.known.get(instance.name()) {
-            Some(known) if instance.is_before(&known.instance) => Standing::Leaving,
-            Some(known) if known.instance.may_be(instance) => known.standing,
-            _ => Standing::Unverified,
+    pub fn status(&self, instance: &InstanceId) -> InstanceStatus {
+        match self.instances.get(instance.name()) {
+            Some(tracked) if instance.is_before(&tracked.instance) => InstanceStatus::Leaving,
+            Some(tracked) if tracked.instance.may_be(instance) => tracked.status,
+            _ => InstanceStatus::Unverified,
         }
     }
 
-    /// The instance that gets work.
+    /// Returns the instance that receives work.
     #[must_use]
     pub const fn current(&self) -> Option<&InstanceId> {
         self.current.as_ref()
     }
 
-    /// Requests that an instance executes at a time, once it said so.
+    /// Returns the number of requests that an instance executes concurrently; `None` until it
+    /// reports it.
     #[must_use]
     pub fn slots(&self, instance: &InstanceId) -> Option<u32> {
-        self.found(instance)?.slots
+        self.get(instance)?.slots
     }
 
     fn is_current(&self, instance: &InstanceId) -> bool {
@@ -240,51 +250,53 @@
         current.is_some_and(|current| current.may_be(instance))
     }
 
-    /// Whether the instance that gets work started later at the same address.
-    fn is_over(&self, instance: &InstanceId) -> bool {
+    /// True if the instance that receives work started later at the same address.
+    fn is_superseded(&self, instance: &InstanceId) -> bool {
         let current = self.current.as_ref();
         current.is_some_and(|current| instance.is_before(current))
     }
 
-    /// Whether this identity tells no start though the instance of its name has told one.
+    /// True if this identity has no start time although the instance of this name has reported one.
     #[must_use]
-    pub fn lacks_start(&self, instance: &InstanceId) -> bool {
-        let known = self.known.get(instance.name());
-        instance.born().is_none() && known.is_some_and(|known| known.instance.born().is_some())
+    pub fn lacks_start_time(&self, instance: &InstanceId) -> bool {
+        let tracked = self.instances.get(instance.name());
+        instance.born().is_none()
+            && tracked.is_some_and(|tracked| tracked.instance.born().is_some())
     }
 
-    fn found(&self, instance: &InstanceId) -> Option<&Known> {
-        let known = self.known.get(instance.name())?;
-        known.instance.may_be(instance).then_some(known)
+    fn get(&self, instance: &InstanceId) -> Option<&TrackedInstance> {
+        let tracked = self.instances.get(instance.name())?;
+        tracked.instance.may_be(instance).then_some(tracked)
     }
 
-    fn found_mut(&mut self, instance: &InstanceId) -> Option<&mut Known> {
-        let known = self.known.get_mut(instance.name())?;
-        known.instance.may_be(instance).then_some(known)
+    fn get_mut(&mut self, instance: &InstanceId) -> Option<&mut TrackedInstance> {
+        let tracked = self.instances.get_mut(instance.name())?;
+        tracked.instance.may_be(instance).then_some(tracked)
     }
 
-    /// What is known of an instance, new where nothing is; none where another start of its name is known.
-    fn entry(&mut self, now: Timestamp, instance: &InstanceId) -> Option<&mut Known> {
+    /// Returns the entry of an instance and creates it if necessary; `None` if another instance of
+    /// this name is tracked.
+    fn entry_mut(&mut self, now: Timestamp, instance: &InstanceId) -> Option<&mut TrackedInstance> {
         let name = instance.name();
-        if !self.known.contains_key(name) {
-            if self.known.len() >= REMEMBERED_INSTANCES {
-                self.forget_oldest();
+        if !self.instances.contains_key(name) {
+            if self.instances.len() >= MAX_TRACKED_INSTANCES {
+                self.remove_oldest();
             }
-            let known = Known::new(instance.clone(), now);
-            self.known.insert(name.to_owned(), known);
+            let tracked = TrackedInstance::new(instance.clone(), now);
+            self.instances.insert(name.to_owned(), tracked);
         }
-        self.found_mut(instance)
+        self.get_mut(instance)
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let current = self.current.as_ref().map(InstanceId::name);
-        let forgettable = self
-            .known
+        let removable = self
+            .instances
             .iter()
             .filter(|(name, _)| Some(name.as_str()) != current);
-        let oldest = forgettable.min_by_key(|(_, known)| known.heard_at);
+        let oldest = removable.min_by_key(|(_, tracked)| tracked.last_message_at);
         if let Some(oldest) = oldest.map(|(name, _)| name.clone()) {
-            self.known.remove(&oldest);
+            self.instances.remove(&oldest);
         }
     }
 }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -220,10 +220,11 @@
             members: members.clone(),
             listed,
         });
-        let reading = Arc::clone(&departures).read_when_wanted(Arc::clone(&platform));
+        let reading = Arc::clone(&departures).list_on_demand(Arc::clone(&platform));
         tokio::spawn(reading);
         let eras = platform.eras().subscribe();
-        let keeping = departures.keep(Arc::clone(&platform), Arc::clone(&readers), eras);
+        let keeping =
+            departures.rewrite_announced(Arc::clone(&platform), Arc::clone(&readers), eras);
         tokio::spawn(keeping);
         let registry = Registry::new(
             platform,
@@ -232,7 +233,7 @@
             settings.is_first_start,
             readers,
         );
-        tokio::spawn(Arc::clone(&registry).keep_marks());
+        tokio::spawn(Arc::clone(&registry).rewrite_departure_records());
         let routing = Routing::new(clock, &settings.zone);
         let scopes = Arc::new(ScopeTable::default());
         let stopping = Arc::new(AtomicBool::new(false));
@@ -314,8 +315,8 @@
     }
 
     /// Takes a heartbeat of the local back end.
-    pub async fn heartbeat(&self, beat: &Heartbeat) -> Acknowledgement {
-        self.registry.heartbeat(beat).await
+    pub async fn heartbeat(&self, heartbeat: &Heartbeat) -> Acknowledgement {
+        self.registry.heartbeat(heartbeat).await
     }
 
     /// Takes the message of an instance of the local back end that goes.
--- a/crates/sidecar/tests/instance_lives.rs
+++ b/crates/sidecar/tests/instance_lives.rs
@@ -11,7 +11,7 @@
 use wharfquay_core::idempotency::clock::UnixMillis;
 use wharfquay_core::time::Timestamp;
 use wharfquay_sidecar::instance::{
-    Acknowledgement, Heartbeat, InstanceId, InstanceTracker, ReportedState, Standing,
+    Acknowledgement, Heartbeat, InstanceId, InstanceStatus, InstanceTracker, ReportedState,
     TrackerDecision,
 };
 
@@ -21,7 +21,7 @@
     InstanceId::new("i-1", Some(UnixMillis::new(born)))
 }
 
-fn beat(instance: &InstanceId, state: ReportedState, sequence: u64) -> Heartbeat {
+fn heartbeat(instance: &InstanceId, state: ReportedState, sequence: u64) -> Heartbeat {
     Heartbeat {
         instance: instance.clone(),
         state,
@@ -32,7 +32,7 @@
 }
 
 fn ready(instance: &InstanceId, sequence: u64) -> Heartbeat {
-    beat(instance, ReportedState::Ready, sequence)
+    heartbeat(instance, ReportedState::Ready, sequence)
 }
 
 /// A tracker in which a start serves that has sent many heartbeats.
@@ -40,18 +40,21 @@
     let mut tracker = InstanceTracker::default();
     let decision = tracker.heartbeat(NOW, &ready(instance, 90));
     assert_eq!(decision, TrackerDecision::Verify);
-    assert!(tracker.verified(NOW, instance));
+    assert!(tracker.mark_verified(NOW, instance));
     tracker
 }
 
 #[test]
 fn a_later_start_takes_over_though_its_counts_begin_anew() {
     let mut tracker = serving(&start(1_000));
-    assert_eq!(tracker.take_over(NOW, &start(2_000)), Some(start(1_000)));
+    assert_eq!(
+        tracker.replace_earlier(NOW, &start(2_000)),
+        Some(start(1_000))
+    );
     let decision = tracker.heartbeat(NOW, &ready(&start(2_000), 1));
     assert_eq!(decision, TrackerDecision::Verify);
     assert_eq!(tracker.current(), None, "not before it is verified");
-    assert!(tracker.verified(NOW, &start(2_000)));
+    assert!(tracker.mark_verified(NOW, &start(2_000)));
     assert_eq!(tracker.current(), Some(&start(2_000)));
     let decision = tracker.heartbeat(NOW, &ready(&start(2_000), 2));
     assert_eq!(decision, TrackerDecision::Acknowledge);
@@ -60,16 +63,16 @@
 #[test]
 fn an_acknowledged_leaving_does_not_bind_a_later_start_nor_the_other_way_round() {
     let mut tracker = serving(&start(1_000));
-    let leaving = beat(&start(1_000), ReportedState::Draining, 91);
+    let leaving = heartbeat(&start(1_000), ReportedState::Draining, 91);
     assert_eq!(
         tracker.heartbeat(NOW, &leaving),
         TrackerDecision::RecordDeparture
     );
-    tracker.departure_recorded(NOW, &start(1_000));
+    tracker.mark_departure_recorded(NOW, &start(1_000));
     tracker.heartbeat(NOW, &ready(&start(2_000), 1));
-    assert!(tracker.verified(NOW, &start(2_000)));
-    assert_eq!(tracker.standing(&start(2_000)), Standing::Serving);
-    assert_eq!(tracker.standing(&start(1_000)), Standing::Leaving);
+    assert!(tracker.mark_verified(NOW, &start(2_000)));
+    assert_eq!(tracker.status(&start(2_000)), InstanceStatus::Serving);
+    assert_eq!(tracker.status(&start(1_000)), InstanceStatus::Leaving);
 }
 
 #[test]
@@ -78,17 +81,20 @@
     let before = format!("{tracker:?}");
     let late = [
         ready(&start(1_000), 500),
-        beat(&start(1_000), ReportedState::Draining, 501),
+        heartbeat(&start(1_000), ReportedState::Draining, 501),
     ];
-    for beat in &late {
-        assert_eq!(tracker.heartbeat(NOW, beat), TrackerDecision::Acknowledge);
+    for heartbeat in &late {
+        assert_eq!(
+            tracker.heartbeat(NOW, heartbeat),
+            TrackerDecision::Acknowledge
+        );
     }
     assert_eq!(
         tracker.departure(NOW, &start(1_000)),
         TrackerDecision::Acknowledge
     );
-    tracker.departure_recorded(NOW, &start(1_000));
-    assert!(!tracker.verified(NOW, &start(1_000)));
+    tracker.mark_departure_recorded(NOW, &start(1_000));
+    assert!(!tracker.mark_verified(NOW, &start(1_000)));
     assert_eq!(format!("{tracker:?}"), before);
 }
 
@@ -98,7 +104,7 @@
     let earlier = InstanceId::new("i-0", Some(UnixMillis::new(1_000)));
     let decision = tracker.heartbeat(NOW, &ready(&earlier, 7));
     assert_eq!(decision, TrackerDecision::Acknowledge);
-    assert!(!tracker.verified(NOW, &earlier));
+    assert!(!tracker.mark_verified(NOW, &earlier));
     assert_eq!(tracker.current(), Some(&start(2_000)));
 }
 
@@ -106,9 +112,9 @@
 fn a_start_that_was_only_seen_healthy_is_the_one_that_speaks_then() {
     let mut tracker = InstanceTracker::default();
     let seen = InstanceId::from("i-1");
-    assert!(tracker.seen_healthy(NOW, &seen));
-    assert!(tracker.verified(NOW, &seen));
-    assert_eq!(tracker.take_over(NOW, &start(1_000)), None);
+    assert!(tracker.observe_healthy(NOW, &seen));
+    assert!(tracker.mark_verified(NOW, &seen));
+    assert_eq!(tracker.replace_earlier(NOW, &start(1_000)), None);
     let decision = tracker.heartbeat(NOW, &ready(&start(1_000), 1));
     assert_eq!(decision, TrackerDecision::Acknowledge);
     assert_eq!(tracker.current(), Some(&start(1_000)));
@@ -127,11 +133,11 @@
 fn what_is_found_out_of_a_start_that_is_not_told_says_nothing_of_one_that_is() {
     let seen = InstanceId::from("i-1");
     let mut tracker = InstanceTracker::default();
-    assert!(tracker.seen_healthy(NOW, &seen));
-    assert!(!tracker.lacks_start(&seen));
+    assert!(tracker.observe_healthy(NOW, &seen));
+    assert!(!tracker.lacks_start_time(&seen));
     tracker.heartbeat(NOW, &ready(&start(2_000), 1));
-    assert!(tracker.lacks_start(&seen));
-    assert!(!tracker.lacks_start(&start(2_000)));
+    assert!(tracker.lacks_start_time(&seen));
+    assert!(!tracker.lacks_start_time(&start(2_000)));
 }
 
 #[tokio::test]
@@ -145,7 +151,7 @@
         sidecar.heartbeat(&ready(&id(1_000), sequence)).await;
     }
     machine.ready().await;
-    let leaving = beat(&id(1_000), ReportedState::Draining, 4);
+    let leaving = heartbeat(&id(1_000), ReportedState::Draining, 4);
     assert_eq!(sidecar.heartbeat(&leaving).await, Acknowledgement::Given);
     let refused = call(machine.outbound, &request("GET", "/reads/1", "id-1", "")).await;
     assert_eq!(refused.status, 503);
--- a/crates/sidecar/tests/instance_tracker.rs
+++ b/crates/sidecar/tests/instance_tracker.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use wharfquay_core::time::Timestamp;
 use wharfquay_sidecar::instance::{
-    Heartbeat, InstanceId, InstanceTracker, ReportedState, Standing, TrackerDecision,
+    Heartbeat, InstanceId, InstanceStatus, InstanceTracker, ReportedState, TrackerDecision,
 };
 
 const INSTANCES: usize = 3;
@@ -80,15 +80,15 @@
         }
     }
 
-    fn beat(&mut self, instance: usize, state: ReportedState, sequence: u64) {
-        let beat = Heartbeat {
+    fn heartbeat(&mut self, instance: usize, state: ReportedState, sequence: u64) {
+        let heartbeat = Heartbeat {
             instance: id(instance),
             state,
             sequence,
             slots: 4,
             cold_left: Duration::ZERO,
         };
-        let decision = self.tracker.heartbeat(self.now, &beat);
+        let decision = self.tracker.heartbeat(self.now, &heartbeat);
         self.follow(instance, decision, state == ReportedState::Draining);
     }
 
@@ -99,7 +99,8 @@
             }
             TrackerDecision::RecordDeparture if self.store_is_up => {
                 self.durable.insert(instance);
-                self.tracker.departure_recorded(self.now, &id(instance));
+                self.tracker
+                    .mark_departure_recorded(self.now, &id(instance));
                 self.acknowledged.insert(instance);
             }
             TrackerDecision::RecordDeparture | TrackerDecision::Refuse => {}
@@ -115,20 +116,20 @@
     fn verify(&mut self) {
         for instance in self.verifying.clone() {
             let id = id(instance);
-            if self.tracker.standing(&id) == Standing::Leaving {
+            if self.tracker.status(&id) == InstanceStatus::Leaving {
                 self.verifying.remove(&instance);
             } else if self.store_is_up {
                 self.verifying.remove(&instance);
                 if self.durable.contains(&instance) {
-                    self.tracker.departure_recorded(self.now, &id);
+                    self.tracker.mark_departure_recorded(self.now, &id);
                 } else {
-                    self.tracker.verified(self.now, &id);
+                    self.tracker.mark_verified(self.now, &id);
                 }
             } else {
                 let is_healthy = self.present == instance && !self.backends[instance].is_leaving;
                 if self.tracker.is_confirmed(&id) && is_healthy {
                     self.verifying.remove(&instance);
-                    self.tracker.verified(self.now, &id);
+                    self.tracker.mark_verified(self.now, &id);
                 }
             }
         }
@@ -142,15 +143,15 @@
                 backend.sequence += 1;
                 let (sequence, is_leaving) = (backend.sequence, backend.is_leaving);
                 if is_leaving {
-                    self.beat(instance, ReportedState::Draining, sequence);
+                    self.heartbeat(instance, ReportedState::Draining, sequence);
                 } else {
                     self.backends[instance].last_ready = sequence;
-                    self.beat(instance, ReportedState::Ready, sequence);
+                    self.heartbeat(instance, ReportedState::Ready, sequence);
                 }
             }
             Step::LateBeat(instance) => {
                 let sequence = self.backends[instance].last_ready;
-                self.beat(instance, ReportedState::Ready, sequence);
+                self.heartbeat(instance, ReportedState::Ready, sequence);
             }
             Step::Leave { instance, abruptly } => {
                 let backend = &mut self.backends[instance];
@@ -161,7 +162,7 @@
                     let decision = self.tracker.departure(self.now, &id(instance));
                     self.follow(instance, decision, true);
                 } else {
-                    self.beat(instance, ReportedState::Draining, sequence);
+                    self.heartbeat(instance, ReportedState::Draining, sequence);
                 }
             }
             Step::Restart => {
@@ -179,7 +180,8 @@
     fn served(&self) -> Option<usize> {
         (0..INSTANCES).find(|&instance| {
             let id = id(instance);
-            self.tracker.current() == Some(&id) && self.tracker.standing(&id) == Standing::Serving
+            self.tracker.current() == Some(&id)
+                && self.tracker.status(&id) == InstanceStatus::Serving
         })
     }
 }
@@ -239,18 +241,18 @@
 #[test]
 fn a_leaving_that_is_told_during_the_lookup_wins_over_its_answer() {
     let mut tracker = InstanceTracker::default();
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         instance: id(0),
         state: ReportedState::Ready,
         sequence: 1,
         slots: 4,
         cold_left: Duration::ZERO,
     };
-    let asked = tracker.heartbeat(Timestamp::ZERO, &beat);
+    let asked = tracker.heartbeat(Timestamp::ZERO, &heartbeat);
     assert_eq!(asked, TrackerDecision::Verify);
     let left = tracker.departure(Timestamp::ZERO, &id(0));
     assert_eq!(left, TrackerDecision::RecordDeparture);
-    assert!(!tracker.verified(Timestamp::ZERO, &id(0)));
-    assert_eq!(tracker.standing(&id(0)), Standing::Leaving);
+    assert!(!tracker.mark_verified(Timestamp::ZERO, &id(0)));
+    assert_eq!(tracker.status(&id(0)), InstanceStatus::Leaving);
     assert_eq!(tracker.current(), None);
 }
