--- a/crates/sidecar/src/body.rs
+++ b/crates/sidecar/src/body.rs
@@ -1,4 +1,4 @@
-//! Collecting the body of an answer, so that a failure shows before its head is passed on.
+//! Buffers the body of a response, which reveals a failure before the response head is relayed.
 
 use bytes::{Bytes, BytesMut};
 use http::Method;
@@ -9,21 +9,21 @@
 use tokio::time::Instant;
 use wharfquay_daemon::body::AnswerBody;
 
-/// Largest body of an answer that is collected, in bytes; longer ones are passed on as they come.
+/// Maximum size of a response body that is buffered, in bytes. Longer bodies are streamed.
 const MAX_COLLECTED: u64 = 192 * 1024;
 
-/// The body of an answer, as far as it was read.
+/// Body of a response, as far as it was read.
 pub(crate) enum Collected {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Its first bytes, and the stream that brings the rest.
+    /// The first bytes, and the stream of the remaining ones.
     Partial(Bytes, Incoming),
 }
 
-/// Reads a body up to the largest size that is collected.
+/// Buffers a body up to [`MAX_COLLECTED`] bytes.
 ///
 /// # Errors
-/// What the connection reported when the body broke off.
+/// The error of the connection if the body is incomplete.
 pub(crate) async fn collect(mut incoming: Incoming) -> Result<Collected, hyper::Error> {
     if incoming.size_hint().lower() > MAX_COLLECTED {
         return Ok(Collected::Partial(Bytes::new(), incoming));
@@ -45,7 +45,7 @@
 }
 
 impl Collected {
-    /// The body to pass on, at most until `deadline`.
+    /// Returns the body to relay, which is cut off at `deadline` if it is streamed.
     pub(crate) fn into_body(self, deadline: Instant) -> AnswerBody {
         match self {
             Self::Whole(bytes) => AnswerBody::own(bytes),
@@ -57,8 +57,8 @@
     }
 }
 
-/// Removes the length of a body that is passed on in another form; the answer to a HEAD request keeps
-/// it, since it has no body to tell it from.
+/// Removes the length of a body that is relayed with another framing. The response to a HEAD
+/// request keeps it because there is no body from which it could be derived.
 pub(crate) fn remove_length(method: &Method, headers: &mut HeaderMap) {
     if *method != Method::HEAD {
         headers.remove(header::CONTENT_LENGTH);
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that the operator puts in force: routes, services and limits on connections.
+//! The configuration provided by the operator: routes, services, tenants and connection limits.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -13,74 +13,76 @@
 /// One version of the whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its number; versions rise, in uneven steps. Zero is none.
+    /// Version number. Versions increase, not necessarily by one; zero means that there is no
+    /// configuration.
     pub version: u64,
-    /// Where requests go.
+    /// Routes of requests.
     pub routes: Vec<Route>,
-    /// The services that routes name.
+    /// The services that routes refer to, by name.
     pub services: BTreeMap<String, Service>,
-    /// Bounds on what a caller may send.
+    /// Limits on the requests of callers.
     pub limits: ConnectionLimits,
-    /// Who may send requests on routes that are not public; where it is empty, callers are not asked who they are.
+    /// Tenants that may send requests on routes that are not public. If it is empty, no API keys
+    /// are required.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<Tenant>,
 }
 
-/// Requests of one host below one path.
+/// Requests of one host below one path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for logs and for levels of the path below.
+    /// Name, used in logs and as the request kind for admission levels.
     pub name: String,
-    /// The `Host` that requests name, without a port.
+    /// The `Host` of matching requests, without a port.
     pub host: String,
-    /// Beginning of their path; it begins and ends with a slash.
+    /// Prefix of the path of matching requests. It begins and ends with a slash.
     pub path_prefix: String,
-    /// The services that execute them, each with its share.
+    /// The services that execute the requests, each with its weight.
     pub destinations: Vec<Destination>,
-    /// Whether executing a request twice does no harm.
+    /// True if executing a request twice is harmless.
     pub repeatable: bool,
-    /// Longest time for which a request is held, in milliseconds; none where only the caller's
-    /// deadline counts.
+    /// Maximum time for which a request is held, in milliseconds; `None` if only the caller's
+    /// deadline applies.
     pub timeout_ms: Option<u64>,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Response time that the route aims at, in milliseconds.
     pub target_latency_ms: u64,
-    /// Importance, 0 is the highest.
+    /// Importance; 0 is the highest.
     pub priority: u8,
-    /// Most back ends that one attempt of a caller may reach.
+    /// Maximum number of backends that one request of a caller may reach.
     pub max_attempts: u32,
-    /// Whether callers need no API key.
+    /// True if callers need no API key.
     #[serde(default)]
     pub is_public: bool,
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that executes a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
     /// Name of the service.
     pub service: String,
-    /// Its share, relative to the sum over the route.
+    /// Weight of the service, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// What is configured of a service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Path that answers whether a back end is healthy.
+    /// Path of the health endpoint of its backends.
     pub health_path: String,
-    /// Connections that one back end accepts.
+    /// Number of connections that one backend accepts.
     pub connections: u32,
 }
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of a caller's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionLimits {
-    /// Longest request head, in bytes.
+    /// Maximum length of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest request body, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub body_bytes: u64,
-    /// Longest time from the first byte of a head to its last, in milliseconds.
+    /// Maximum time from the first to the last byte of a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest rest of a connection between two requests, in milliseconds.
+    /// Maximum idle time of a connection between two requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -95,7 +97,7 @@
     }
 }
 
-/// Why a configuration can't be put in force.
+/// Reason why a configuration can't take effect.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ConfigurationError {
     /// route {route}: it has no destination with a weight above zero
@@ -107,24 +109,24 @@
     UnknownService {
         /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the service.
         service: String,
     },
     /// route {route}: path prefix {prefix:?} must begin and end with a slash
     BadPrefix {
         /// Name of the route.
         route: String,
-        /// The prefix.
+        /// The invalid prefix.
         prefix: String,
     },
     /// tenant {tenant}: one of its API keys belongs to tenant {owner} too
     SharedKey {
         /// Name of the tenant.
         tenant: String,
-        /// Name of the other one.
+        /// Name of the other tenant.
         owner: String,
     },
-    /// tenant {tenant}: its name can't stand in a header
+    /// tenant {tenant}: its name is not a valid header value
     TenantName {
         /// Name of the tenant.
         tenant: String,
@@ -134,15 +136,16 @@
 impl std::error::Error for ConfigurationError {}
 
 impl Configuration {
-    /// Checks that every request has somewhere to go.
+    /// Checks that every route can be served and every tenant can be identified.
     ///
     /// # Errors
-    /// The first route that can't be served.
+    /// The first problem found.
     pub fn validate(&self) -> Result<(), ConfigurationError> {
         self.problems().next().map_or(Ok(()), Err)
     }
 
-    /// For each route that can't be served and each tenant that can't be told from others, why.
+    /// Returns the problems of all routes that can't be served and all tenants that can't be
+    /// identified.
     pub fn problems(&self) -> impl Iterator<Item = ConfigurationError> {
         let routes = self.routes.iter();
         let routes = routes.filter_map(|route| route.validate(&self.services).err());
@@ -174,15 +177,19 @@
 impl Route {
     fn validate(&self, services: &BTreeMap<String, Service>) -> Result<(), ConfigurationError> {
         let route = || self.name.clone();
-        let is_prefix = self.path_prefix.starts_with('/') && self.path_prefix.ends_with('/');
-        if !is_prefix {
+        let is_valid_prefix = self.path_prefix.starts_with('/') && self.path_prefix.ends_with('/');
+        if !is_valid_prefix {
             let prefix = self.path_prefix.clone();
             return Err(ConfigurationError::BadPrefix {
                 route: route(),
                 prefix,
             });
         }
-        if self.destinations.iter().all(|part| part.weight == 0) {
+        if self
+            .destinations
+            .iter()
+            .all(|destination| destination.weight == 0)
+        {
             return Err(ConfigurationError::NoDestination { route: route() });
         }
         for destination in &self.destinations {
@@ -196,43 +203,51 @@
         Ok(())
     }
 
-    /// The service for a request, from a number drawn uniformly from 0.0 to below 1.0.
+    /// Selects the service for a request; `draw` is a uniform random number of the range [0.0,
+    /// 1.0).
     #[must_use]
     pub fn destination(&self, draw: f64) -> Option<&str> {
         let total: u64 = self
             .destinations
             .iter()
-            .map(|part| u64::from(part.weight))
+            .map(|destination| u64::from(destination.weight))
             .sum();
         let mut left = draw * total as f64;
-        for part in self.destinations.iter().filter(|part| part.weight > 0) {
-            left -= f64::from(part.weight);
+        for destination in self
+            .destinations
+            .iter()
+            .filter(|destination| destination.weight > 0)
+        {
+            left -= f64::from(destination.weight);
             if left < 0.0 {
-                return Some(&part.service);
+                return Some(&destination.service);
             }
         }
-        let last = self.destinations.iter().rfind(|part| part.weight > 0);
-        last.map(|part| part.service.as_str())
+        let last = self
+            .destinations
+            .iter()
+            .rfind(|destination| destination.weight > 0);
+        last.map(|destination| destination.service.as_str())
     }
 
-    /// Longest time for which a request of a caller that waits for `client_timeout` is held.
+    /// Returns the maximum time for which a request is held whose caller waits for `client_timeout`.
     #[must_use]
-    pub fn lifetime(&self, client_timeout: Option<Duration>) -> Duration {
+    pub fn request_timeout(&self, client_timeout: Option<Duration>) -> Duration {
         let timeout = self.timeout_ms.map(Duration::from_millis);
         match (timeout, client_timeout) {
             (Some(timeout), Some(client_timeout)) => timeout.min(client_timeout),
-            (one, other) => one.or(other).unwrap_or(DEFAULT_LIFETIME),
+            (one, other) => one.or(other).unwrap_or(DEFAULT_TIMEOUT),
         }
     }
 }
 
-/// Time for which a request is held when neither its route nor its sender names one.
-const DEFAULT_LIFETIME: Duration = Duration::from_secs(5);
+/// Time for which a request is held if neither its route nor its sender specifies one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A configuration in force, with its routes by host and prefix and its tenants by API key.
+/// A configuration in force, indexed by host and prefix, by API key and by tenant.
 #[derive(Clone, Debug, Default)]
 pub struct RouteIndex {
-    /// The configuration.
+    /// The indexed configuration.
     pub configuration: Configuration,
     by_host: HashMap<String, HashMap<String, usize>>,
     by_key: HashMap<KeyDigest, usize>,
@@ -263,33 +278,33 @@
         }
     }
 
-    /// Importance of a request of a tenant on a route.
+    /// Returns the priority of a request of a tenant on a route.
     #[must_use]
     pub fn priority(&self, tenant: Option<&Tenant>, route: &Route) -> Priority {
         self.importance.priority(tenant, route)
     }
 
-    /// The tenant of this name.
+    /// Returns the tenant with this name.
     #[must_use]
     pub fn tenant_named(&self, name: &str) -> Option<&Tenant> {
         let position = self.by_tenant.get(name)?;
         self.configuration.tenants.get(*position)
     }
 
-    /// Whether requests on this route need the API key of a tenant.
+    /// True if requests on this route need the API key of a tenant.
     #[must_use]
     pub const fn requires_key(&self, route: &Route) -> bool {
         !self.configuration.tenants.is_empty() && !route.is_public
     }
 
-    /// The tenant that holds an API key.
+    /// Returns the tenant to which an API key belongs.
     #[must_use]
     pub fn tenant(&self, key: KeyDigest) -> Option<&Tenant> {
         let position = self.by_key.get(&key)?;
         self.configuration.tenants.get(*position)
     }
 
-    /// The route with the longest prefix of `path` among those of `host`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
--- a/crates/sidecar/src/confirmation.rs
+++ b/crates/sidecar/src/confirmation.rs
@@ -1,9 +1,10 @@
-//! The lease on the configuration: requests with API keys are served only while the configuration in force was
-//! confirmed to be the newest one a short time ago.
+//! The lease on the configuration: requests with API keys are served only if the configuration in
+//! force was recently confirmed to be the newest one.
 //!
-//! Nothing tells a sidecar that is cut off that a key was taken away. So it refuses requests with keys once the last
-//! confirmation is older than the time after which a key must no longer work. Readers of the platform confirm with
-//! each answer to a watch; the others ask sidecars whose confirmation is younger than their own.
+//! A sidecar that is cut off is not notified when a key is revoked. It therefore refuses requests
+//! with keys once its last confirmation is older than the time within which a revocation must take
+//! effect. Readers of the platform confirm the configuration with each reply to a watch; the other
+//! sidecars request confirmations that are younger than their own.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -22,73 +23,81 @@
 use crate::configuration::RouteIndex;
 use crate::exchange::{Exchange, ExchangeRequest, Peer, Reply};
 
-/// Part of the bound on revocation for which a confirmation holds. Times are those of one monotonic clock, so the
-/// rest covers only clocks that run unevenly.
+/// Share of the revocation time for which a confirmation is valid. All times are of one monotonic
+/// clock; the remainder only covers clocks that run at different speeds.
 const LEASE_SHARE: f64 = 0.9;
-/// Part of the bound up to which a key that is not in the configuration is answered as unknown. That answer is final
-/// for a caller, and the key may have been added a moment ago; later, the caller is told to come back.
+/// Share of the revocation time up to which a key that the configuration lacks is rejected as
+/// unknown. That response is final for a caller, although the key may just have been added. Beyond
+/// it, the caller is asked to retry.
 const UNKNOWN_KEY_SHARE: f64 = 0.4;
-/// Part of the bound after which a reader's watch ends and a new one confirms the configuration: 700 ms of 5 s. A
-/// call to the platform each 0.7 s and reader, against requests refused during an outage of the platform: a sidecar
-/// keeps serving through the first 2.5 to 3.5 s of one.
+/// Share of the revocation time after which a reader's watch ends and a new one confirms the
+/// configuration: 700 ms of 5 s. It trades one platform call per 0.7 s and reader against requests
+/// refused during an outage of the platform: a sidecar keeps serving through the first 2.5 to 3.5 s
+/// of one.
 const WATCH_SHARE: f64 = 0.14;
-/// Part of the bound from which on a confirmation is renewed by asking other sidecars.
-const ASK_SHARE: f64 = 0.2;
-/// Pause between two looks whether to ask.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest wait for the answer of another sidecar.
+/// Share of the revocation time after which a confirmation is renewed by requests to other
+/// sidecars.
+const RENEW_SHARE: f64 = 0.2;
+/// Interval at which the age of the confirmation is checked.
+const RENEW_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a request to another sidecar.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time after a restored store was noticed for which its answers confirm nothing: it may lack configurations that were
-/// acknowledged, which the operator is about to write again. Shorter than the rest of a lease that was just renewed.
-const RESTORED_HOLD: Duration = Duration::from_secs(2);
-/// Added to the process's clock, so that a process that has just started can hold a confirmation from before.
+/// Time after the detection of a restored store for which its replies confirm nothing. The store
+/// may lack acknowledged configurations, which the operator is about to write again. It is shorter
+/// than the remaining time of a lease that was just renewed.
+const RESTORED_STORE_HOLD: Duration = Duration::from_secs(2);
+/// Offset added to the process clock, which allows a process that has just started to represent
+/// confirmations from before its start.
 const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
-/// Retry-After while the configuration is not confirmed: about the time in which a lost confirmation is renewed.
+/// Retry-After while the configuration is not confirmed. A lost confirmation is renewed in about
+/// this time.
 const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How recently the configuration in force was confirmed.
+/// Time of the last confirmation of the configuration in force.
 #[derive(Debug)]
 pub(crate) struct Confirmation {
     clock: Clock,
-    /// Time after which a key that was taken away must not work; without one, the configuration in force decides.
-    revocation: Option<Duration>,
+    /// Time within which a key revocation must take effect; `None` if the configuration in force
+    /// alone decides.
+    revocation_time: Option<Duration>,
     configuration: watch::Receiver<Arc<RouteIndex>>,
     freshness: Mutex<Freshness>,
-    /// Until when answers of the platform confirm nothing.
+    /// Time until which replies of the platform confirm nothing.
     held_until: Mutex<Timestamp>,
 }
 
 impl Confirmation {
     pub(crate) fn new(
         clock: Clock,
-        revocation: Option<Duration>,
+        revocation_time: Option<Duration>,
         configuration: watch::Receiver<Arc<RouteIndex>>,
     ) -> Arc<Self> {
         Arc::new(Self {
             clock,
-            revocation,
+            revocation_time,
             configuration,
             freshness: Mutex::default(),
             held_until: Mutex::default(),
         })
     }
 
-    /// Longest wait of a watch at the platform, where its answers have to confirm the configuration.
+    /// Returns the maximum duration of a watch at the platform; `None` if its replies need not
+    /// confirm the configuration.
     pub(crate) fn watch_limit(&self) -> Option<Duration> {
-        self.revocation.map(|bound| bound.mul_f64(WATCH_SHARE))
+        self.revocation_time.map(|bound| bound.mul_f64(WATCH_SHARE))
     }
 
-    /// The time, as confirmations are dated.
+    /// Returns the current time on the clock used for confirmations.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now() + CLOCK_OFFSET
     }
 
-    /// The platform's store was restored from a copy.
+    /// Suspends confirmations by the platform after its store was restored from a backup.
     pub(crate) fn store_restored(&self) {
-        *lock(&self.held_until) = self.now() + RESTORED_HOLD;
+        *lock(&self.held_until) = self.now() + RESTORED_STORE_HOLD;
     }
 
-    /// Notes that the platform held `version` as the newest one at `at`, a time of [`Self::now`].
+    /// Records that `version` was the newest one at the platform at `at`, a time of [`Self::now`].
     pub(crate) fn confirm_by_platform(&self, version: u64, at: Timestamp) {
         let held_until = *lock(&self.held_until);
         if self.now() >= held_until {
@@ -96,21 +105,21 @@
         }
     }
 
-    /// Notes that `version` was the newest one at `at`, a time of [`Self::now`].
+    /// Records that `version` was the newest one at `at`, a time of [`Self::now`].
     pub(crate) fn confirm(&self, version: u64, at: Timestamp) {
         let in_force = self.in_force();
         lock(&self.freshness).confirm(version, at, in_force);
     }
 
-    /// Whether a request with a key that the configuration in force holds may be served now.
+    /// Checks whether a request may be served now whose key the configuration in force contains.
     ///
     /// # Errors
-    /// The refusal, when the key may have been taken away meanwhile.
+    /// The refusal if the key may have been revoked meanwhile.
     pub(crate) fn check_known_key(&self) -> Result<(), Failure> {
         self.check(LEASE_SHARE)
     }
 
-    /// The refusal of a request with a key that the configuration in force does not hold.
+    /// Returns the refusal of a request whose key the configuration in force lacks.
     pub(crate) fn refuse_unknown_key(&self) -> Failure {
         match self.check(UNKNOWN_KEY_SHARE) {
             Ok(()) => Failure::new(ResultCode::UnknownApiKey),
@@ -118,14 +127,14 @@
         }
     }
 
-    /// Time since the last confirmation; none where there was none.
+    /// Returns the time since the last confirmation; `None` if there was none.
     pub(crate) fn age(&self) -> Option<Duration> {
         let in_force = self.in_force();
         let confirmed_at = lock(&self.freshness).confirmed_at(in_force)?;
         Some(self.now().saturating_since(confirmed_at))
     }
 
-    /// The answer to a sidecar that asks for a confirmation.
+    /// Returns the reply to a sidecar that requests a confirmation.
     pub(crate) fn reply(&self) -> Reply {
         match self.age() {
             Some(age) => Reply::Confirmed {
@@ -141,7 +150,7 @@
     }
 
     fn check(&self, share: f64) -> Result<(), Failure> {
-        let Some(bound) = self.revocation else {
+        let Some(bound) = self.revocation_time else {
             return Ok(());
         };
         let limit = bound.mul_f64(share);
@@ -156,34 +165,36 @@
 
     fn needs_renewal(&self, bound: Duration) -> bool {
         let has_tenants = !self.configuration.borrow().configuration.tenants.is_empty();
-        let renew_after = bound.mul_f64(ASK_SHARE);
+        let renew_after = bound.mul_f64(RENEW_SHARE);
         has_tenants && self.age().is_none_or(|age| age > renew_after)
     }
 }
 
-/// Renews the confirmation by asking other sidecars; ends at once where no bound on revocation is set.
+/// Renews the confirmation by requests to other sidecars. Returns immediately if no revocation time
+/// is set.
 pub(crate) async fn renew_confirmation(
     confirmation: Arc<Confirmation>,
     exchange: Arc<Exchange>,
     members: watch::Receiver<MemberTable>,
 ) {
-    let Some(bound) = confirmation.revocation else {
+    let Some(bound) = confirmation.revocation_time else {
         return;
     };
     let mut source: Option<Peer> = None;
     loop {
         let jitter = rand::random_range(0.75..=1.25);
-        tokio::time::sleep(ASK_INTERVAL.mul_f64(jitter)).await;
+        tokio::time::sleep(RENEW_CHECK_INTERVAL.mul_f64(jitter)).await;
         if !confirmation.needs_renewal(bound) {
             continue;
         }
         let before = confirmation.age();
-        let other = pick(&members.borrow(), exchange.own_id());
+        let other = random_peer(&members.borrow(), exchange.own_id());
         let (first, second) = tokio::join!(
-            ask(&confirmation, &exchange, source.as_ref()),
-            ask(&confirmation, &exchange, other.as_ref()),
+            request_confirmation(&confirmation, &exchange, source.as_ref()),
+            request_confirmation(&confirmation, &exchange, other.as_ref()),
         );
-        // The next question goes to whoever was confirmed last; a source that has nothing newer is given up.
+        // The next request goes to the peer with the newest confirmation; one without newer data is
+        // dropped.
         source = match (first, second) {
             (Some(first), Some(second)) if first <= second => source,
             (Some(_), None) => source,
@@ -196,8 +207,8 @@
     }
 }
 
-/// Asks one sidecar and takes in what it confirms; gives the age of that.
-async fn ask(
+/// Requests a confirmation from one sidecar and applies it. Returns its age.
+async fn request_confirmation(
     confirmation: &Confirmation,
     exchange: &Exchange,
     peer: Option<&Peer>,
@@ -216,8 +227,8 @@
     Some(age)
 }
 
-/// Another sidecar that serves, by chance.
-fn pick(table: &MemberTable, own_id: &str) -> Option<Peer> {
+/// Returns a random other sidecar that is alive.
+fn random_peer(table: &MemberTable, own_id: &str) -> Option<Peer> {
     let others = table
         .members()
         .filter(|member| member.profile.id.as_str() != own_id);
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -58,7 +58,7 @@
     pub(crate) members: watch::Sender<MemberTable>,
     /// The entries of the platform's directory as last read; `None` before the first read.
     pub(crate) listed: watch::Sender<Option<Vec<DirectoryEntry>>>,
-    /// True if no other sidecar is heard from although others are known.
+    /// True if messages of other sidecars no longer arrive although others are known.
     pub(crate) isolated: watch::Sender<bool>,
     /// True once this sidecar is stopping.
     pub(crate) stopping: watch::Receiver<bool>,
@@ -368,7 +368,7 @@
     }
 
     /// Starts or stops reading the platform: while this sidecar is chosen to read, and while no
-    /// other sidecar that could forward a configuration is heard from.
+    /// other sidecar that could forward a configuration is in contact.
     fn update_reader(&mut self, now: Timestamp, is_isolated: bool) {
         let wanted = self.reading_mode(now, is_isolated);
         if wanted == self.reader.as_ref().map(Reader::mode) {
--- a/crates/sidecar/src/control/transport.rs
+++ b/crates/sidecar/src/control/transport.rs
@@ -149,7 +149,7 @@
         };
         let sent = tokio::time::timeout(STREAM_TIMEOUT, sending).await;
         if !matches!(sent, Ok(Some(_))) {
-            log_event!(Event::ControlSendFailed, "to={to} error=\"no answer\"");
+            log_event!(Event::ControlSendFailed, "to={to} error=\"no reply\"");
         }
     });
 }
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -167,7 +167,7 @@
     /// True if the departure of the instance was acknowledged.
     #[serde(rename = "d")]
     Departed(bool),
-    /// The receiver can't answer the request.
+    /// The receiver has no reply to the request.
     #[serde(rename = "u")]
     Unknown,
 }
@@ -305,7 +305,7 @@
             }
         };
         if let Some(store_era) = datagram.store_era {
-            self.eras.heard(store_era);
+            self.eras.observe_peer_era(store_era);
         }
         let number = datagram.number;
         match datagram.content {
@@ -318,7 +318,7 @@
             }
             Content::Request { to, .. } | Content::Notice { to, .. } => log_event!(
                 Event::ControlMessageDropped,
-                "source={source} reason=\"meant for {to}\""
+                "source={source} reason=\"addressed to {to}\""
             ),
             Content::Reply(reply) => {
                 if let Some(sender) = lock(&self.pending).remove(&number) {
--- a/crates/sidecar/src/fingerprint.rs
+++ b/crates/sidecar/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The fingerprint of a request: what it asks for, whoever sends it again under whichever id.
+//! The fingerprint of a request. It identifies the same request regardless of its sender and id.
 
 use bytes::Bytes;
 use http_body::Body;
@@ -9,12 +9,12 @@
 
 use crate::message::RequestHead;
 
-/// First bytes of a body that is too long to be held; stands among the extensions of its request.
+/// First bytes of a body that is too long to be held. Stored in the extensions of its request.
 #[derive(Clone, Debug)]
 pub(crate) struct BodyPrefix(pub(crate) Bytes);
 
-/// The fingerprint of a request: host, method, target, tenant and body. Of a body that is passed on as it comes, the
-/// first bytes count and the length, where it is known.
+/// Computes the fingerprint from host, method, target, tenant and body. Of a streamed body only the
+/// first bytes and, if known, the length are included.
 pub(crate) fn fingerprint(
     host: &str,
     head: &RequestHead,
@@ -37,7 +37,7 @@
     ];
     let mut hash = Sha256::new();
     for part in parts {
-        // The length of each part keeps two divisions of the same bytes apart.
+        // The length prefix distinguishes different divisions of the same bytes.
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
@@ -47,7 +47,7 @@
     RequestFingerprint::new(u64::from_be_bytes(first))
 }
 
-/// A call's fingerprint as logs show it.
+/// Returns a call's fingerprint as logs show it.
 pub(crate) fn fingerprint_text(context: &CallContext) -> String {
     context
         .fingerprint
--- a/crates/sidecar/src/importance.rs
+++ b/crates/sidecar/src/importance.rs
@@ -1,4 +1,4 @@
-//! The order of requests by the importance of their tenant and of their route.
+//! Priority of requests by the importance of their tenant and their route.
 
 use std::collections::BTreeSet;
 
@@ -7,18 +7,21 @@
 use crate::configuration::Route;
 use crate::tenant::Tenant;
 
-/// The order in which requests are refused last: first by their tenant's importance, among equals by their route's.
+/// Order in which requests are kept under overload: first by the importance of their tenant, then
+/// by that of their route.
 ///
-/// Most tenants share one importance. If it took the place of the route's, kinds of requests could no longer be told
-/// apart while capacity is short, and the more important ones would be refused as soon as the others.
+/// Most tenants share one importance. If it replaced the importance of the route, kinds of requests
+/// could not be distinguished under overload, and the more important ones would be refused as early
+/// as the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ImportanceOrder {
-    /// The importances that occur, of tenant and route, the highest first; empty where there are no tenants.
+    /// The occurring pairs of tenant and route importance, the highest first; empty if there are no
+    /// tenants.
     steps: Vec<(u8, u8)>,
 }
 
 impl ImportanceOrder {
-    /// The order of the requests that a configuration allows.
+    /// Creates the order of the requests that a configuration allows.
     pub(crate) fn new(routes: &[Route], tenants: &[Tenant]) -> Self {
         if tenants.is_empty() {
             return Self::default();
@@ -36,8 +39,8 @@
         }
     }
 
-    /// The place of a request in the order. Where more importances occur than there are priorities, neighbours
-    /// share one.
+    /// Returns the priority of a request. If more importances occur than there are priorities,
+    /// adjacent ones share a priority.
     pub(crate) fn priority(&self, tenant: Option<&Tenant>, route: &Route) -> Priority {
         let own = step(tenant.and_then(|tenant| tenant.priority), route.priority);
         let number = match self.steps.len() {
@@ -52,7 +55,8 @@
     }
 }
 
-/// A request without a tenant's importance stands where its route's puts it.
+/// Returns the position of a request in the order. Without a tenant's importance, that of the route
+/// is used for both.
 fn step(tenant: Option<u8>, route: u8) -> (u8, u8) {
     (tenant.unwrap_or(route), route)
 }
--- a/crates/sidecar/src/instance/mod.rs
+++ b/crates/sidecar/src/instance/mod.rs
@@ -43,7 +43,7 @@
         let born = born.map(UnixMillis::new);
         match born {
             Some(born) if born > now.plus(MAX_CLOCK_SKEW) => {
-                Err("it starts in the future".to_owned())
+                Err("its start time is in the future".to_owned())
             }
             _ => Ok(Self::new(name, born)),
         }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,10 +1,10 @@
 //! The sidecar: wharfquay's call path on a platform that keeps its own HTTP/1.1 dialect.
 //!
-//! One process stands beside each back end. Callers and the back end itself send requests to its
-//! [`outbound`] side; other sidecars send calls for the local back end to its [`inbound`] side. What
-//! the platform names and stores comes through the traits and types of [`platform`]; every decision
-//! (admission, routing, retries, drains, adoption of configurations) is taken by `wharfquay_core`,
-//! `wharfquay_membership` and [`instance`].
+//! One sidecar process runs beside each backend. Callers and the backend itself send requests to
+//! its [`outbound`] side; other sidecars send calls for the local backend to its [`inbound`] side.
+//! The traits and types of [`platform`] provide the names and the storage of the platform.
+//! `wharfquay_core`, `wharfquay_membership` and [`instance`] make all decisions (admission,
+//! routing, retries, drains, adoption of configurations).
 
 pub mod configuration;
 pub mod control;
@@ -32,7 +32,7 @@
 mod importance;
 mod listeners;
 mod message;
-mod metered;
+mod metered_platform;
 mod quarantine;
 mod quota;
 mod scopes;
--- a/crates/sidecar/src/listeners.rs
+++ b/crates/sidecar/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of a sidecar, and the loops that accept connections on them.
+//! The listeners of a sidecar and their accept loops.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -22,10 +22,10 @@
 use crate::settings::Settings;
 use crate::sidecar::StartError;
 
-/// Pause after a failed accept, so that a lack of file descriptors does not keep a core busy.
+/// Pause after a failed accept, which prevents a lack of file descriptors from occupying a core.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// The outbound handler, with the requests in progress counted.
+/// The outbound handler with a counter of the requests in progress.
 pub(crate) struct CountedHandler {
     pub(crate) handler: OutboundHandler,
     pub(crate) in_flight: Arc<AtomicUsize>,
@@ -50,7 +50,7 @@
     /// Binds every listener.
     ///
     /// # Errors
-    /// [`StartError::Bind`] names the address that can't be used.
+    /// [`StartError::Bind`] with the address that can't be bound.
     pub(crate) async fn bind(settings: &Settings) -> Result<Self, StartError> {
         let listen = async |side, address| {
             let bound = TcpListener::bind(address).await;
@@ -79,13 +79,14 @@
     }
 }
 
-/// Accepts connections for ever; failed accepts end nothing. Options other than the delay of small writes
-/// come from the listener: most connections carry one request, and each option is a system call.
+/// Accepts connections until the process terminates; failed accepts are logged. Options other than
+/// `TCP_NODELAY` are inherited from the listener: most connections carry one request, and each
+/// option costs a system call.
 async fn accept(listener: TcpListener, serve: impl Fn(TcpStream)) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Without it small writes are only slower.
+                // If this fails, small writes are only slower.
                 let _ = stream.set_nodelay(true);
                 serve(stream);
             }
@@ -101,7 +102,7 @@
     }
 }
 
-/// Serves callers on this machine and the local back end, for ever.
+/// Serves callers on this machine and the local backend.
 pub(crate) fn spawn_outbound(
     listener: TcpListener,
     handler: CountedHandler,
@@ -115,7 +116,7 @@
     }));
 }
 
-/// Serves the calls of other sidecars, for ever.
+/// Serves calls from other sidecars.
 pub(crate) fn spawn_inbound(listener: TcpListener, handler: InboundHandler) {
     tokio::spawn(accept(listener, move |stream| {
         let handler = handler.clone();
@@ -124,7 +125,8 @@
             async move { handler.handle(request).await }
         });
         tokio::spawn(async move {
-            // Its calls are told of one by one; what is left is how the peer closed the connection.
+            // Each call is reported separately. The result only shows how the peer closed the
+            // connection.
             let _ = server()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -132,7 +134,7 @@
     }));
 }
 
-/// Takes control messages that come over streams, for ever.
+/// Receives control messages over streams.
 pub(crate) fn spawn_control(listener: TcpListener, inbox: StreamInbox) {
     tokio::spawn(accept(listener, move |stream| {
         let inbox = inbox.clone();
@@ -141,7 +143,8 @@
             async move { inbox.serve(request).await }
         });
         tokio::spawn(async move {
-            // Its calls are told of one by one; what is left is how the peer closed the connection.
+            // Each message is handled separately. The result only shows how the peer closed the
+            // connection.
             let _ = server()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -152,7 +155,7 @@
 fn server() -> http1::Builder {
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(None);
-    // Answers cross zones with the back end's headers only.
+    // Responses sent to other zones carry the backend's headers only.
     builder.auto_date_header(false);
     builder
 }
--- a/crates/sidecar/src/log_output.rs
+++ b/crates/sidecar/src/log_output.rs
@@ -1,8 +1,9 @@
-//! Log lines on standard output: bounded in number and never blocking the process.
+//! Log lines on standard output, bounded in number and without blocking the process.
 //!
-//! Lines go through a bounded buffer to a thread of their own. Within each second a first part of the
-//! bound is open to all lines, the rest to warnings and errors, and a last part to errors only, so that
-//! under load the lines about ordinary requests are dropped first. What was dropped is counted and said.
+//! Lines pass through a bounded buffer to a dedicated thread. Within each second, the first part of
+//! the limit is available to all lines, the next to warnings and errors, and the last to errors
+//! only. Under load, lines about ordinary requests are therefore dropped first. Dropped lines are
+//! counted and reported.
 
 use std::io::Write;
 use std::sync::Mutex;
@@ -17,19 +18,19 @@
 
 use crate::events::Event;
 
-/// Lines that may be written in a second.
+/// Maximum number of lines per second.
 pub const LINES_PER_SECOND: u32 = 400;
-/// Lines of them that are open to every level.
-const OPEN_LINES: u32 = 300;
-/// Lines of them that are open to warnings and errors.
+/// Number of these lines that are available to every level.
+const UNRESERVED_LINES: u32 = 300;
+/// Number of these lines that are available to warnings and errors.
 const WARNING_LINES: u32 = 360;
-/// Longest line, in bytes; longer ones are cut.
+/// Maximum length of a line, in bytes. Longer ones are truncated.
 pub const MAX_LINE: usize = 1_024;
-/// Lines that wait for the writing thread.
-const WAITING_LINES: usize = 512;
+/// Maximum number of lines queued for the writing thread.
+const MAX_QUEUED_LINES: usize = 512;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Counts of the lines since the start.
+/// Counters of the lines since the start of the process.
 #[derive(Debug, Default)]
 pub struct LogCounters {
     written: AtomicU64,
@@ -37,44 +38,45 @@
 }
 
 impl LogCounters {
-    /// Lines that were handed to the writing thread.
+    /// Returns the number of lines passed to the writing thread.
     #[must_use]
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
-    /// Lines that were dropped.
+    /// Returns the number of dropped lines.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
-/// The counts of this process.
+/// The counters of this process.
 pub static COUNTERS: LogCounters = LogCounters {
     written: AtomicU64::new(0),
     dropped: AtomicU64::new(0),
 };
 
-/// Lines that were handed to the writing thread and are not written yet.
-static WAITING: AtomicU64 = AtomicU64::new(0);
-/// Pause between two looks whether the last line is written.
+/// Number of lines passed to the writing thread that are not written yet.
+static QUEUED_LINES: AtomicU64 = AtomicU64::new(0);
+/// Interval at which [`flush`] checks whether all lines are written.
 const FLUSH_POLL: Duration = Duration::from_millis(5);
 
-/// Waits until the lines so far are written, at most for `limit`; to be called before the process ends.
+/// Waits until all queued lines are written, for at most `limit`. Called before the process
+/// terminates.
 pub fn flush(limit: Duration) {
     let end = Instant::now() + limit;
-    while WAITING.load(Ordering::Relaxed) > 0 && Instant::now() < end {
+    while QUEUED_LINES.load(Ordering::Relaxed) > 0 && Instant::now() < end {
         std::thread::sleep(FLUSH_POLL);
     }
 }
 
-/// Starts logging to standard output. The handle must be kept while logging is wanted.
+/// Starts logging to standard output. The handle must be kept while logging is needed.
 ///
 /// # Errors
-/// When `level` is no log specification, or another logger is installed already.
+/// If `level` is not a valid log specification or another logger is already installed.
 pub fn start(level: &str) -> Result<LoggerHandle, FlexiLoggerError> {
-    let (sender, receiver) = sync_channel(WAITING_LINES);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     std::thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&receiver, std::io::stdout()))
@@ -88,21 +90,21 @@
     while let Ok(first) = lines.recv() {
         let mut batch = first;
         let mut count = 1;
-        for line in lines.try_iter().take(WAITING_LINES) {
+        for line in lines.try_iter().take(MAX_QUEUED_LINES) {
             batch.push_str(&line);
             count += 1;
         }
         let written = output
             .write_all(batch.as_bytes())
             .and_then(|()| output.flush());
-        WAITING.fetch_sub(count, Ordering::Relaxed);
+        QUEUED_LINES.fetch_sub(count, Ordering::Relaxed);
         if written.is_err() {
             return;
         }
     }
 }
 
-/// Decides how many lines of which level may be written in a second.
+/// Limits the number of lines per second by level.
 #[derive(Debug)]
 pub struct LineBudget {
     window: Instant,
@@ -111,7 +113,7 @@
 }
 
 impl LineBudget {
-    /// A budget whose first second begins now.
+    /// Creates a budget whose first second begins at `now`.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Whether a line of this level may be written; counts it either way.
+    /// Returns true if a line of this level may be written. Counts the line as written or dropped.
     pub fn allows(&mut self, now: Instant, level: Level) -> bool {
         if now.saturating_duration_since(self.window) >= SECOND {
             self.window = now;
@@ -130,7 +132,7 @@
         let bound = match level {
             Level::Error => LINES_PER_SECOND,
             Level::Warn => WARNING_LINES,
-            _ => OPEN_LINES,
+            _ => UNRESERVED_LINES,
         };
         if self.lines >= bound {
             self.dropped += 1;
@@ -140,7 +142,7 @@
         true
     }
 
-    /// Lines that were dropped since the last call.
+    /// Returns the number of lines dropped since the last call.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
@@ -160,13 +162,13 @@
     }
 
     fn send(&self, line: String) {
-        WAITING.fetch_add(1, Ordering::Relaxed);
+        QUEUED_LINES.fetch_add(1, Ordering::Relaxed);
         match self.lines.try_send(line) {
             Ok(()) => {
                 COUNTERS.written.fetch_add(1, Ordering::Relaxed);
             }
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
-                WAITING.fetch_sub(1, Ordering::Relaxed);
+                QUEUED_LINES.fetch_sub(1, Ordering::Relaxed);
                 self.count_dropped();
             }
         }
@@ -203,7 +205,7 @@
     }
 }
 
-/// One log line: the event, the time, the level, and the event's fields.
+/// Formats one log line: the event, the time, the level, and the event's fields.
 fn line(time: &str, record: &Record<'_>) -> String {
     let level = record.level();
     let message = record.args().to_string();
--- a/crates/sidecar/src/message.rs
+++ b/crates/sidecar/src/message.rs
@@ -1,4 +1,4 @@
-//! The head of a request on its way through the sidecar.
+//! Head of a request that passes through the sidecar.
 
 use http::header::{self, HeaderMap};
 use http::uri::PathAndQuery;
@@ -6,7 +6,7 @@
 use wharfquay_daemon::body::RequestBody;
 use wharfquay_daemon::headers::remove_hop_by_hop;
 
-/// The head of a request, without what ends at this hop. `Host` stays: back ends get it unchanged.
+/// Head of a request without hop-by-hop headers. `Host` is kept: backends receive it unchanged.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestHead {
     pub(crate) method: Method,
@@ -15,7 +15,8 @@
 }
 
 impl RequestHead {
-    /// Takes a request apart; `None` when its target is no path, such as that of a tunnel.
+    /// Separates head and body; `None` if the request target is not a path, for example in a
+    /// CONNECT request.
     pub(crate) fn split<B>(request: Request<B>) -> Option<(Self, B)> {
         let (parts, body) = request.into_parts();
         let mut headers = parts.headers;
@@ -34,7 +35,7 @@
         Some((head, body))
     }
 
-    /// The request for one attempt.
+    /// Builds the request for one attempt.
     pub(crate) fn to_request(&self, body: RequestBody) -> Request<RequestBody> {
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
--- a/crates/sidecar/src/metered.rs
+++ b/crates/sidecar/src/metered_platform.rs
@@ -1,4 +1,4 @@
-//! Counts the calls to the platform by operation and result.
+//! Counts platform calls by operation and result.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 };
 use crate::store_era::StoreEras;
 
-/// A platform whose calls are counted.
+/// A platform adapter that counts its calls.
 #[derive(Debug)]
-pub(crate) struct Metered<P> {
+pub(crate) struct MeteredPlatform<P> {
     inner: Arc<P>,
     metrics: Arc<Metrics>,
 }
 
-impl<P: Platform> Metered<P> {
+impl<P: Platform> MeteredPlatform<P> {
     pub(crate) fn new(inner: Arc<P>, metrics: Arc<Metrics>) -> Arc<Self> {
         Arc::new(Self { inner, metrics })
     }
@@ -39,7 +39,7 @@
     }
 }
 
-impl<P: Platform> Platform for Metered<P> {
+impl<P: Platform> Platform for MeteredPlatform<P> {
     fn eras(&self) -> &Arc<StoreEras> {
         self.inner.eras()
     }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and latency histograms of one sidecar, in the text format of Prometheus.
+//! Counters, gauges and latency histograms of one sidecar in the Prometheus text format.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -17,7 +17,7 @@
     0.001, 0.002, 0.005, 0.010, 0.025, 0.050, 0.100, 0.250, 0.500, 1.0, 2.5, 5.0,
 ];
 
-/// Every metric with its meaning; `docs/OPERATIONS.md` lists the same.
+/// Every metric with its help text. `docs/OPERATIONS.md` contains the same list.
 pub const CATALOGUE: [(&str, &str); 23] = [
     (
         "wharfquay_requests_total",
@@ -101,34 +101,34 @@
     ),
 ];
 
-/// Tenants that are counted under their own name, those first seen; the others are counted together. It bounds the
-/// page that a scraper reads.
-const NAMED_TENANTS: usize = 128;
-/// The label under which the other tenants are counted.
+/// Maximum number of tenants with their own label; the first ones seen get one, the others share a
+/// label. This bounds the size of the page that a scraper reads.
+const MAX_NAMED_TENANTS: usize = 128;
+/// Label of the tenants without their own label.
 const OTHER_TENANTS: &str = "other";
 
-/// What is read when the metrics are asked for.
+/// Values that are sampled when the metrics are rendered.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
-    /// Calls in execution, limit, and calls that wait.
+    /// Calls in execution, concurrency limit, and calls waiting for admission.
     pub load: (u32, u32, u32),
-    /// Admission level of the local back end.
+    /// Admission level of the local backend.
     pub level: u16,
-    /// Version of the configuration in force.
+    /// Version of the configuration in force; zero if there is none.
     pub version: u64,
-    /// Time since it came in force.
+    /// Time since the configuration came into force.
     pub configuration_age: Duration,
-    /// Numbers of sidecars, by the name of their state.
+    /// Numbers of sidecars by the name of their state.
     pub members: Vec<(&'static str, i64)>,
-    /// Whether callers may be sent here.
+    /// True if callers may be sent to this sidecar.
     pub is_ready: bool,
-    /// Lines written and dropped.
+    /// Numbers of log lines written and dropped.
     pub log_lines: (u64, u64),
-    /// Repeated calls that the local back end may still get.
+    /// Number of repeats that the local backend may still receive in the current window.
     pub repeats_left: u64,
-    /// Time since the configuration was confirmed.
+    /// Time since the last confirmation of the configuration; `None` if it was never confirmed.
     pub confirmed_age: Option<Duration>,
-    /// Suspects and quarantined requests.
+    /// Numbers of suspects and of quarantined requests.
     pub quarantine: (usize, usize),
 }
 
@@ -158,7 +158,7 @@
     quarantine: IntGaugeVec,
 }
 
-/// Registers metrics that the catalogue describes.
+/// Registers the metrics of the catalogue.
 struct Registrar(Registry);
 
 impl Registrar {
@@ -167,8 +167,8 @@
         Opts::new(name, entry.map_or("", |(_, help)| *help))
     }
 
-    /// A metric that can't be registered is only missing from the page.
-    fn keep<C: Collector + Clone + 'static>(&self, collector: C) -> C {
+    /// Registers a metric. One that can't be registered is only missing from the page.
+    fn register<C: Collector + Clone + 'static>(&self, collector: C) -> C {
         if let Err(error) = self.0.register(Box::new(collector.clone())) {
             log::error!("event=library_message message=\"{error}\"");
         }
@@ -176,19 +176,19 @@
     }
 
     fn counter(&self, name: &'static str) -> prometheus::Result<IntCounter> {
-        IntCounter::with_opts(Self::options(name)).map(|counter| self.keep(counter))
+        IntCounter::with_opts(Self::options(name)).map(|counter| self.register(counter))
     }
 
     fn counters(&self, name: &'static str, labels: &[&str]) -> prometheus::Result<IntCounterVec> {
-        IntCounterVec::new(Self::options(name), labels).map(|counters| self.keep(counters))
+        IntCounterVec::new(Self::options(name), labels).map(|counters| self.register(counters))
     }
 
     fn gauge(&self, name: &'static str) -> prometheus::Result<IntGauge> {
-        IntGauge::with_opts(Self::options(name)).map(|gauge| self.keep(gauge))
+        IntGauge::with_opts(Self::options(name)).map(|gauge| self.register(gauge))
     }
 
     fn gauges(&self, name: &'static str, labels: &[&str]) -> prometheus::Result<IntGaugeVec> {
-        IntGaugeVec::new(Self::options(name), labels).map(|gauges| self.keep(gauges))
+        IntGaugeVec::new(Self::options(name), labels).map(|gauges| self.register(gauges))
     }
 
     fn histogram_options(name: &'static str) -> HistogramOpts {
@@ -196,20 +196,22 @@
     }
 
     fn histogram(&self, name: &'static str) -> prometheus::Result<Histogram> {
-        Histogram::with_opts(Self::histogram_options(name)).map(|histogram| self.keep(histogram))
+        Histogram::with_opts(Self::histogram_options(name))
+            .map(|histogram| self.register(histogram))
     }
 
     fn histograms(&self, name: &'static str, labels: &[&str]) -> prometheus::Result<HistogramVec> {
         let histograms = HistogramVec::new(Self::histogram_options(name), labels);
-        histograms.map(|histograms| self.keep(histograms))
+        histograms.map(|histograms| self.register(histograms))
     }
 }
 
 impl Metrics {
-    /// Metrics that have counted nothing.
+    /// Creates metrics that are all zero.
     ///
     /// # Errors
-    /// When a name or a label is not allowed by the library, which no build of this crate has.
+    /// If the library rejects a name or label. All of them are constants of this crate that it
+    /// accepts.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registrar = Registrar(Registry::new());
         Ok(Self {
@@ -248,7 +250,7 @@
         })
     }
 
-    /// Counts a request that has its final answer.
+    /// Counts a request that received its final response.
     pub fn request_ended(&self, route: &str, result: ResultCode, took: Duration) {
         self.requests
             .with_label_values(&[route, result.name()])
@@ -257,18 +259,18 @@
         seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts a request of a tenant that has its final answer.
+    /// Counts a request of a tenant that received its final response.
     pub fn tenant_request_ended(&self, tenant: &str, result: ResultCode) {
         let mut named = lock(&self.named_tenants);
         let is_named = named.contains(tenant)
-            || (named.len() < NAMED_TENANTS && named.insert(tenant.to_owned()));
+            || (named.len() < MAX_NAMED_TENANTS && named.insert(tenant.to_owned()));
         let label = if is_named { tenant } else { OTHER_TENANTS };
         self.tenant_requests
             .with_label_values(&[label, result.name()])
             .inc();
     }
 
-    /// Counts an attempt that ended.
+    /// Counts a completed attempt.
     pub fn attempt_ended(&self, target: &str, result: ResultCode) {
         self.attempts
             .with_label_values(&[target, result.name()])
@@ -285,14 +287,14 @@
         self.given_up.with_label_values(&[service, reason]).inc();
     }
 
-    /// Counts a call for the local back end that ended.
+    /// Counts a completed call for the local backend.
     pub fn call_ended(&self, result: ResultCode, queued: Duration, took: Duration) {
         self.calls.with_label_values(&[result.name()]).inc();
         self.queue_seconds.observe(queued.as_secs_f64());
         self.call_seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts an instance of the local back end that ended without a word.
+    /// Counts an instance of the local backend that terminated without announcing it.
     pub fn instance_ended(&self) {
         self.instances_ended.inc();
     }
@@ -304,7 +306,7 @@
             .inc();
     }
 
-    /// The text that a scraper reads.
+    /// Returns the text for a scraper.
     #[must_use]
     pub fn render(&self, gauges: &Gauges) -> String {
         self.set(gauges);
@@ -336,7 +338,8 @@
         }
         self.repeats_left.set(signed(gauges.repeats_left));
         let confirmed_age = gauges.confirmed_age.map(|age| signed(age.as_secs()));
-        self.confirmed_age.set(confirmed_age.unwrap_or(NEVER));
+        self.confirmed_age
+            .set(confirmed_age.unwrap_or(NEVER_CONFIRMED));
         let (suspects, quarantined) = gauges.quarantine;
         for (standing, count) in [("suspect", suspects), ("quarantined", quarantined)] {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
@@ -345,8 +348,8 @@
     }
 }
 
-/// Age of a confirmation that never was.
-const NEVER: i64 = -1;
+/// Value of the confirmation age if there was no confirmation.
+const NEVER_CONFIRMED: i64 = -1;
 
 fn signed(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -275,7 +275,7 @@
         client_timeout: Option<Duration>,
         parent: Option<&Scope>,
     ) -> CallContext {
-        let deadline = self.clock.now() + route.lifetime(client_timeout);
+        let deadline = self.clock.now() + route.request_timeout(client_timeout);
         let repeatability = if route.repeatable {
             Repeatability::Repeatable
         } else {
@@ -351,7 +351,7 @@
     Failure::with_retry_after(ResultCode::DeadlineUnreachable, TIMEOUT_RETRY_AFTER)
 }
 
-/// Tells the admission gate for how long an execution waits for one of its own calls.
+/// Reports to the admission gate for how long an execution waits for one of its own calls.
 #[derive(Debug)]
 struct DownstreamWait {
     scope: Arc<Scope>,
--- a/crates/sidecar/src/platform.rs
+++ b/crates/sidecar/src/platform.rs
@@ -1,4 +1,5 @@
-//! The seams towards the platform: where configurations, other sidecars and durable marks come from.
+//! Interface to the platform, which stores configurations, the directory of sidecars, and durable
+//! records.
 
 use std::fmt;
 use std::future::Future;
@@ -14,39 +15,39 @@
 use crate::instance::InstanceId;
 use crate::store_era::{EarlierEra, StoreEra, StoreEras};
 
-/// A point in the platform's history of configurations. Revisions are given out again in each era, so two positions
-/// can be compared only within one.
+/// A position in the platform's history of configurations. Revisions are reused in each era; two
+/// positions can therefore be compared only within one era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// The era of the store.
+    /// Era of the store.
     pub era: StoreEra,
-    /// Its revision.
+    /// Revision within the era.
     pub revision: u64,
 }
 
-/// What the platform said about the configuration.
+/// Result of a read of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationReading {
-    /// The configuration, if there is one, or if it changed.
+    /// The configuration; `None` if there is none, or if a watch found no change.
     pub configuration: Option<Configuration>,
-    /// Where to go on.
+    /// Position from which to continue.
     pub position: Position,
 }
 
-/// Why the platform gave no usable answer.
+/// Reason why the platform provided no usable reply.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum PlatformError {
-    /// no answer: {0}
+    /// no reply: {0}
     Unreachable(String),
-    /// it asks to be called less often
+    /// too many calls; the platform requests fewer
     Throttled,
-    /// it refused with status {0}
+    /// refused with status {0}
     Refused(u16),
-    /// the history after this position is gone
+    /// the history after this position is no longer available
     HistoryGone,
-    /// it is of an earlier era of the store
+    /// the reply is of an earlier era of the store
     EarlierEra,
-    /// the answer can't be understood: {0}
+    /// malformed reply: {0}
     Malformed(String),
 }
 
@@ -58,37 +59,37 @@
     }
 }
 
-/// How new an answer of the platform has to be.
+/// Required freshness of a reply of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Everything that was acknowledged before the question.
+    /// Includes everything that was acknowledged before the request.
     Latest,
-    /// It may be seconds old, and costs the platform a fraction.
+    /// May be seconds old. Costs the platform a fraction of a latest read.
     MayBeStale,
 }
 
-/// How a starting sidecar finds another one.
+/// Directory entry by which other sidecars discover this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryEntry {
     /// Identity of the sidecar.
     pub id: String,
-    /// Its control address.
+    /// Control address of the sidecar.
     pub control_address: SocketAddr,
 }
 
-/// A quarantined request, as the platform keeps it for the case that all sidecars end at once.
+/// Record of a quarantined request. It survives a simultaneous termination of all sidecars.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineRecord {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// When it was quarantined.
+    /// Time at which it was quarantined.
     pub found_at: UnixMillis,
 }
 
-/// What a sidecar needs of its platform. Implementations translate and keep nothing: retries,
-/// backoff and timeouts of the whole belong to the caller.
+/// Operations that a sidecar needs from its platform. Implementations translate calls and hold no
+/// state of their own: retries, backoff and overall timeouts are the responsibility of the caller.
 pub trait Platform: fmt::Debug + Send + Sync + 'static {
-    /// The eras of its store, which each answer tells.
+    /// Returns the eras of the store. Each reply reports its era to them.
     fn eras(&self) -> &Arc<StoreEras>;
 
     /// Reads the configuration.
@@ -97,53 +98,54 @@
         freshness: Freshness,
     ) -> impl Future<Output = Result<ConfigurationReading, PlatformError>> + Send;
 
-    /// Waits for a configuration after `position`, for `wait` at most.
+    /// Waits for a configuration after `position`, for at most `wait`.
     fn watch_configuration(
         &self,
         position: Position,
         wait: Duration,
     ) -> impl Future<Output = Result<ConfigurationReading, PlatformError>> + Send;
 
-    /// Enters this sidecar in the directory, or changes its entry.
+    /// Writes this sidecar's directory entry, replacing an existing one.
     fn register(
         &self,
         entry: &DirectoryEntry,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// The entries of the directory; some may belong to sidecars that are gone.
+    /// Lists the entries of the directory. Some may belong to sidecars that no longer exist.
     fn directory(
         &self,
         freshness: Freshness,
     ) -> impl Future<Output = Result<Vec<DirectoryEntry>, PlatformError>> + Send;
 
-    /// Makes it durable that an instance leaves. Repeating it changes nothing.
+    /// Durably records the departure of an instance. Idempotent.
     fn record_departure(
         &self,
         instance: &InstanceId,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Whether an earlier [`Self::record_departure`] of this instance was acknowledged.
+    /// Returns true if an earlier [`Self::record_departure`] of this instance was acknowledged.
     fn has_departed(
         &self,
         instance: &InstanceId,
     ) -> impl Future<Output = Result<bool, PlatformError>> + Send;
 
-    /// The instances whose leaving was acknowledged, as far as marks of them are kept.
+    /// Lists the instances whose departure was acknowledged, as far as their records are still
+    /// kept.
     fn departures(&self) -> impl Future<Output = Result<Vec<InstanceId>, PlatformError>> + Send;
 
-    /// Keeps a quarantined request, in place of what was kept of it before.
+    /// Writes the record of a quarantined request, replacing an existing one.
     fn record_quarantine(
         &self,
         record: &QuarantineRecord,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Keeps a request no longer. Repeating it changes nothing.
+    /// Removes the record of a request. Idempotent.
     fn remove_quarantine(
         &self,
         fingerprint: RequestFingerprint,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// The quarantined requests that are kept.
+    /// Lists the records of quarantined requests.
     fn quarantined(
         &self,
     ) -> impl Future<Output = Result<Vec<QuarantineRecord>, PlatformError>> + Send;
--- a/crates/sidecar/src/scopes.rs
+++ b/crates/sidecar/src/scopes.rs
@@ -1,4 +1,4 @@
-//! The requests in execution at the local back end, as its own calls refer to them by request id.
+//! The requests in execution at the local backend, by the request id to which its own calls refer.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -9,16 +9,16 @@
 use wharfquay_daemon::inbound::gate::AdmissionGate;
 use wharfquay_daemon::sync::lock;
 
-/// One request in execution at the local back end.
+/// One request in execution at the local backend.
 #[derive(Debug)]
 pub(crate) struct Scope {
-    /// What the back end's own calls inherit.
+    /// Context that the backend's own calls inherit.
     pub(crate) context: CallContext,
-    /// The request, as admission knows it.
+    /// The admission ticket of the request.
     pub(crate) ticket: CallTicket,
-    /// The gate that admitted it.
+    /// The gate that admitted the request.
     pub(crate) gate: Arc<AdmissionGate>,
-    /// Retries that the back end's own calls may spend.
+    /// Retries that the backend's own calls may spend.
     pub(crate) ledger: Arc<Mutex<Ledger>>,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl ScopeTable {
-    /// Opens a scope for a request that is handed to the back end.
+    /// Opens a scope for a request that is sent to the backend.
     pub(crate) fn open(
         self: &Arc<Self>,
         request_id: &str,
@@ -51,18 +51,18 @@
         }
     }
 
-    /// The open scope of a request.
+    /// Returns the open scope of a request; `None` if there is none.
     pub(crate) fn get(&self, request_id: &str) -> Option<Arc<Scope>> {
         lock(&self.open).get(request_id).cloned()
     }
 
-    /// Number of open scopes.
+    /// Returns the number of open scopes.
     pub(crate) fn len(&self) -> usize {
         lock(&self.open).len()
     }
 }
 
-/// Keeps a scope open for as long as it lives.
+/// Keeps a scope open until it is dropped.
 #[derive(Debug)]
 pub(crate) struct OpenScope {
     table: Arc<ScopeTable>,
@@ -71,7 +71,7 @@
 }
 
 impl OpenScope {
-    /// Ends the account of the scope and gives what is left to hand back.
+    /// Closes the ledger of the scope and returns the unspent retries.
     pub(crate) fn close_ledger(&self) -> RetryAllowance {
         lock(&self.scope.ledger).close()
     }
@@ -80,10 +80,10 @@
 impl Drop for OpenScope {
     fn drop(&mut self) {
         let mut open = lock(&self.table.open);
-        let is_own = open
+        let is_same_scope = open
             .get(&self.request_id)
             .is_some_and(|scope| Arc::ptr_eq(scope, &self.scope));
-        if is_own {
+        if is_same_scope {
             open.remove(&self.request_id);
         }
     }
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is told when it starts.
+//! Settings of a sidecar at its start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,47 +10,47 @@
 pub struct Settings {
     /// Identity, unique in the deployment and kept across restarts.
     pub id: String,
-    /// Zone that it runs in.
+    /// Zone in which the sidecar runs.
     pub zone: String,
-    /// Service of the back end beside it.
+    /// Service of the backend beside it.
     pub service: String,
-    /// Address of that back end.
+    /// Address of the backend beside it.
     pub backend: SocketAddr,
-    /// Listener for callers and for the back end's own calls.
+    /// Listen address for callers and for the backend's own calls.
     pub outbound: SocketAddr,
-    /// Listener for calls of other sidecars.
+    /// Listen address for calls from other sidecars.
     pub inbound: SocketAddr,
-    /// Address for gossip and configuration messages, datagrams and streams.
+    /// Address for gossip and configuration messages, both datagrams and streams.
     pub control: SocketAddr,
-    /// Whether the whole deployment starts for the first time, so that no earlier process can have left anything
-    /// at the platform.
+    /// True if the whole deployment starts for the first time, which means that no earlier process
+    /// can have left data at the platform.
     pub is_first_start: bool,
-    /// Bounds that the deployment sets.
+    /// Limits specified for the deployment.
     pub bounds: Bounds,
-    /// Where time comes from.
+    /// Source of the monotonic time.
     pub time_source: TimeSource,
 }
 
-/// Bounds that the deployment sets.
+/// Limits specified for the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub stop_grace: Duration,
-    /// Repeated arrivals that a service has to bear.
+    /// Repeats that a service has to tolerate.
     pub retries: RetryBounds,
-    /// Time between two heartbeats of a back end.
+    /// Interval between two heartbeats of a backend.
     pub heartbeat_interval: Duration,
-    /// Time after which an API key that was taken away must not work at any sidecar, cut off or not; none where the
-    /// configuration in force at a sidecar decides.
+    /// Time within which a key revocation must take effect at every sidecar, including ones that
+    /// are cut off; `None` if the configuration in force at each sidecar alone decides.
     pub key_revocation: Option<Duration>,
 }
 
-/// Repeated arrivals that a service has to bear in any window, from all sidecars together.
+/// Repeats that a service has to tolerate in any window, from all sidecars together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBounds {
-    /// For each request to the service.
+    /// Repeats per request to the service.
     pub ratio: f64,
-    /// In addition, in each window.
+    /// Additional repeats in each window.
     pub extra: f64,
     /// Length of a window.
     pub window: Duration,
--- a/crates/sidecar/src/shared_records.rs
+++ b/crates/sidecar/src/shared_records.rs
@@ -1,5 +1,5 @@
-//! Reading what is kept at a place where others write too: each record is decoded by itself, and one that can't be
-//! decoded hides none of the others.
+//! Decoding of records at a location with several writers. Each record is decoded separately: one
+//! that can't be decoded does not hide the others.
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
@@ -7,16 +7,16 @@
 use crate::events::Event;
 use crate::log_event;
 
-/// Longest part of a name that is logged, in characters.
-const LOGGED_NAME: usize = 80;
+/// Maximum length of a logged name, in characters.
+const MAX_LOGGED_NAME: usize = 80;
 
-/// The text of a body, where bytes that are no text are replaced.
+/// Returns a body as text, with invalid UTF-8 replaced.
 #[must_use]
 pub fn text_of(body: &[u8]) -> std::borrow::Cow<'_, str> {
     String::from_utf8_lossy(body)
 }
 
-/// Decodes each part that can be decoded.
+/// Decodes the records that can be decoded and logs the others.
 #[must_use]
 pub fn decode_each<T: DeserializeOwned>(kind: &str, parts: &[Box<RawValue>]) -> Vec<T> {
     let decoded = parts.iter().filter_map(|part| {
@@ -27,9 +27,9 @@
     decoded.collect()
 }
 
-/// Tells operators that what another writer left is not used.
+/// Logs that a record of another writer is ignored.
 pub fn ignored(kind: &str, name: &str, reason: &str) {
-    let name: String = name.chars().take(LOGGED_NAME).collect();
+    let name: String = name.chars().take(MAX_LOGGED_NAME).collect();
     log_event!(
         Event::RecordIgnored,
         "kind={kind} name={name:?} reason={reason:?}"
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! Putting a sidecar together: listeners, control, and the orderly stop.
+//! Assembly of a sidecar: listeners, background tasks, and the orderly stop.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 use crate::listeners::{CountedHandler, Listeners, spawn_control, spawn_inbound, spawn_outbound};
 use crate::log_event;
 use crate::log_output;
-use crate::metered::Metered;
+use crate::metered_platform::MeteredPlatform;
 use crate::metrics::{Gauges, Metrics};
 use crate::outbound::connection::ConnectionSettings;
 use crate::outbound::routing::Routing;
@@ -44,36 +44,36 @@
 use crate::settings::Settings;
 use crate::store_era::{self, StoreEra};
 
-/// How often a stop looks whether the last call has ended.
+/// Interval at which a stop checks whether the last call has completed.
 const STOP_POLL: Duration = Duration::from_millis(20);
-/// Part of the grace in which a stopping sidecar still gives work to its back end: callers and other
-/// sidecars have not noticed yet, and a sibling may be short.
-const OPEN_SHARE: f64 = 0.25;
-/// Part of the grace in which it still takes requests of callers, so that those that have not noticed
-/// yet lose nothing.
-const NOTICE_SHARE: f64 = 0.43;
-/// Part of the grace that is kept back for the end of the process.
+/// Share of the stop grace period during which a stopping sidecar still sends work to its backend:
+/// callers and other sidecars have not noticed the stop yet, and no sibling may have free capacity.
+const ACCEPTING_SHARE: f64 = 0.25;
+/// Share of the stop grace period during which requests of callers are still accepted, which spares
+/// callers that have not noticed the stop yet any failure.
+const CALLER_NOTICE_SHARE: f64 = 0.43;
+/// Share of the stop grace period that is reserved for the termination of the process.
 const RESERVE_SHARE: f64 = 0.1;
-/// Longest wait of a starting sidecar for a sidecar of each service.
-const COMPANY_LIMIT: Duration = Duration::from_millis(2_000);
-/// Pause between two updates of the routers, so that changes which come together cost one update.
+/// Maximum time that a starting sidecar waits until it has discovered a sidecar of each service.
+const DISCOVERY_LIMIT: Duration = Duration::from_millis(2_000);
+/// Pause between two updates of the routers, which combines changes that arrive together.
 const MEMBER_UPDATE_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two searches for connections that have rested too long.
-const REST_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two searches for connections that exceeded their idle time.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a sidecar can't start.
+/// Reason why a sidecar can't start.
 #[derive(Debug, Display)]
 pub enum StartError {
-    /// {side}: {address} can't be used: {error}
+    /// {side}: {address} can't be bound: {error}
     Bind {
-        /// The listener.
+        /// Name of the listener.
         side: &'static str,
-        /// Its address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// What the operating system reported.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// service {0:?} can't stand in a header
+    /// service {0:?} is not a valid header value
     ServiceName(String),
     /// metrics: {0}
     Metrics(prometheus::Error),
@@ -81,11 +81,11 @@
 
 impl std::error::Error for StartError {}
 
-/// A sidecar that serves.
+/// A running sidecar.
 #[derive(Debug)]
 pub struct Sidecar<P> {
     settings: Settings,
-    registry: Arc<Registry<Metered<P>>>,
+    registry: Arc<Registry<MeteredPlatform<P>>>,
     metrics: Arc<Metrics>,
     clock: Clock,
     configured_at: Mutex<Timestamp>,
@@ -96,11 +96,11 @@
     members: watch::Receiver<MemberTable>,
     isolated: watch::Receiver<bool>,
     scopes: Arc<ScopeTable>,
-    /// Whether callers are sent away.
+    /// True if the sidecar reports that it is not ready, which directs callers elsewhere.
     leaving: AtomicBool,
-    /// Whether calls for the back end are refused.
+    /// True if calls for the backend are refused.
     stopping: Arc<AtomicBool>,
-    /// Whether requests of callers are refused.
+    /// True if requests of callers are refused.
     refusing: Arc<AtomicBool>,
     stop_sender: watch::Sender<bool>,
     closing_sender: watch::Sender<bool>,
@@ -112,7 +112,7 @@
     /// Binds the listeners and starts to serve.
     ///
     /// # Errors
-    /// [`StartError`] names what can't be used.
+    /// [`StartError`] with the reason.
     pub async fn start(
         settings: Settings,
         dialect: Dialect,
@@ -121,7 +121,7 @@
         let caller_service = HeaderValue::from_str(&settings.service)
             .map_err(|_| StartError::ServiceName(settings.service.clone()))?;
         let metrics = Arc::new(Metrics::new().map_err(StartError::Metrics)?);
-        let platform = Metered::new(platform, Arc::clone(&metrics));
+        let platform = MeteredPlatform::new(platform, Arc::clone(&metrics));
         let listeners = Listeners::bind(&settings).await?;
         let clock = Clock::from_source(settings.time_source);
         let (configuration_sender, configuration) = watch::channel(Arc::new(RouteIndex::default()));
@@ -180,18 +180,18 @@
             let millis = length.as_millis();
             log_event!(Event::MachineSuspended, "length_ms={millis}");
         }));
-        let keeping = renew_confirmation(
+        let renewing = renew_confirmation(
             Arc::clone(&confirmation),
             Arc::clone(&exchange),
             members.clone(),
         );
-        tokio::spawn(keeping);
-        tokio::spawn(hold_confirmations(
+        tokio::spawn(renewing);
+        tokio::spawn(suspend_confirmations(
             Arc::clone(&confirmation),
             eras.subscribe(),
         ));
-        let spreading = store_era::spread(eras, Arc::clone(&exchange), members.clone());
-        tokio::spawn(spreading);
+        let disseminating = store_era::disseminate(eras, Arc::clone(&exchange), members.clone());
+        tokio::spawn(disseminating);
 
         let disseminator = Arc::new(Disseminator {
             clock,
@@ -223,9 +223,9 @@
         let reading = Arc::clone(&departures).list_on_demand(Arc::clone(&platform));
         tokio::spawn(reading);
         let eras = platform.eras().subscribe();
-        let keeping =
+        let rewriting =
             departures.rewrite_announced(Arc::clone(&platform), Arc::clone(&readers), eras);
-        tokio::spawn(keeping);
+        tokio::spawn(rewriting);
         let registry = Registry::new(
             platform,
             Arc::clone(&backend),
@@ -308,43 +308,47 @@
         Ok(sidecar)
     }
 
-    /// Name of the local back end's service.
+    /// Returns the name of the local backend's service.
     #[must_use]
     pub fn service(&self) -> &str {
         &self.settings.service
     }
 
-    /// Takes a heartbeat of the local back end.
+    /// Handles a heartbeat of the local backend.
     pub async fn heartbeat(&self, heartbeat: &Heartbeat) -> Acknowledgement {
         self.registry.heartbeat(heartbeat).await
     }
 
-    /// Takes the message of an instance of the local back end that goes.
+    /// Handles the message of an instance of the local backend that is departing.
     pub async fn departure(&self, instance: &InstanceId) -> Acknowledgement {
         self.registry.departure(instance).await
     }
 
-    /// Whether clients may be sent here: the configuration is known, so is a sidecar of each service or
-    /// the wait for them is over, other sidecars are heard of, and no stop was asked for.
+    /// True if clients may be sent to this sidecar: it has a configuration, it has discovered a
+    /// sidecar of each service or the wait for them is over, it is not isolated from the other sidecars, and it
+    /// is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let index = self.configuration.borrow().clone();
         let is_configured = index.configuration.version > 0;
-        let has_company = self.clock.now() >= Timestamp::ZERO + COMPANY_LIMIT
+        let has_discovered_services = self.clock.now() >= Timestamp::ZERO + DISCOVERY_LIMIT
             || knows_services(&self.members.borrow(), &index.configuration);
         let is_isolated = *self.isolated.borrow();
-        is_configured && has_company && !is_isolated && !self.leaving.load(Ordering::Relaxed)
+        is_configured
+            && has_discovered_services
+            && !is_isolated
+            && !self.leaving.load(Ordering::Relaxed)
     }
 
-    /// The metrics, as a scraper reads them.
+    /// Returns the metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let report = self.backend.instance().map(|open| open.gate.report());
         let level = report.map_or(AdmissionLevel::OPEN, |report| report.level);
         let load = report.map(|report| report.load).unwrap_or_default();
         let lines = &log_output::COUNTERS;
-        // Each in a statement of its own: a reading that is held on to would block a change, and that the next
-        // reading of the same.
+        // Each value is read in a separate statement. A `watch` borrow that is still held would
+        // block a writer, and that writer would block the next borrow of the same channel.
         let version = self.configuration.borrow().configuration.version;
         let members = count_members(&self.members.borrow());
         let is_ready = self.is_ready();
@@ -363,8 +367,8 @@
         })
     }
 
-    /// Ends in order: first callers are sent away, then other sidecars; what is in progress is finished,
-    /// at most until the grace is over.
+    /// Stops in order: first callers are directed elsewhere, then other sidecars. Requests in
+    /// progress are completed, until the grace period is over at the latest.
     pub async fn stop(&self) {
         let started = self.clock.now();
         let grace = self.settings.bounds.stop_grace;
@@ -372,11 +376,12 @@
         log_event!(Event::Stopping, "calls_in_flight={in_flight}");
         self.leaving.store(true, Ordering::Relaxed);
         self.closing_sender.send_replace(true);
-        self.sleep_until(started + grace.mul_f64(OPEN_SHARE)).await;
+        self.sleep_until(started + grace.mul_f64(ACCEPTING_SHARE))
+            .await;
         self.stopping.store(true, Ordering::Relaxed);
         self.stop_sender.send_replace(true);
         let end = started + grace.mul_f64(1.0 - RESERVE_SHARE);
-        self.sleep_until(started + grace.mul_f64(NOTICE_SHARE))
+        self.sleep_until(started + grace.mul_f64(CALLER_NOTICE_SHARE))
             .await;
         self.refusing.store(true, Ordering::Relaxed);
         while self.is_busy() && self.clock.now() < end {
@@ -412,7 +417,8 @@
         );
     }
 
-    /// Keeps routers, limits and the back end in step with members and configuration.
+    /// Starts the tasks that apply changes of members and configuration to routers, limits and the
+    /// backend.
     fn spawn_updates(
         self: &Arc<Self>,
         routing: Arc<Routing>,
@@ -435,7 +441,7 @@
                 }
             }
         });
-        tokio::spawn(close_rested_connections(Arc::clone(&forwarder)));
+        tokio::spawn(close_idle_connections(Arc::clone(&forwarder)));
         let mut configuration = self.configuration.clone();
         let sidecar = Arc::clone(self);
         tokio::spawn(async move {
@@ -458,22 +464,26 @@
     }
 }
 
-/// Lets the platform confirm nothing for a while whenever its store was restored; runs for ever.
-async fn hold_confirmations(confirmation: Arc<Confirmation>, mut eras: watch::Receiver<StoreEra>) {
+/// Suspends confirmations by the platform after each restore of its store. Runs until the process
+/// terminates.
+async fn suspend_confirmations(
+    confirmation: Arc<Confirmation>,
+    mut eras: watch::Receiver<StoreEra>,
+) {
     while eras.changed().await.is_ok() {
         confirmation.store_restored();
     }
 }
 
-/// Closes connections to other sidecars that are not needed any more; never ends.
-async fn close_rested_connections(forwarder: Arc<Forwarder>) {
+/// Closes idle connections to other sidecars. Runs until the process terminates.
+async fn close_idle_connections(forwarder: Arc<Forwarder>) {
     loop {
-        tokio::time::sleep(REST_CHECK_INTERVAL).await;
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         forwarder.peers.close_idle();
     }
 }
 
-/// Whether a sidecar that takes work is known for each service that routes name.
+/// True if an available sidecar is known for each service that routes refer to.
 fn knows_services(table: &MemberTable, configuration: &Configuration) -> bool {
     let serving = table
         .members()
--- a/crates/sidecar/src/signals.rs
+++ b/crates/sidecar/src/signals.rs
@@ -1,35 +1,35 @@
-//! The signals by which a process is told to stop or to read its settings again.
+//! Signals that stop the process or make it reload its settings.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that the process listens to.
+/// The signals that the process handles.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
-    hang_up: Signal,
+    hangup: Signal,
 }
 
 impl Signals {
-    /// Begins to listen.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// What the operating system reported.
+    /// The error of the operating system.
     pub fn install() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
-            hang_up: signal(SignalKind::hangup())?,
+            hangup: signal(SignalKind::hangup())?,
         })
     }
 
-    /// Waits for a signal to stop; calls `reload` at each hang-up.
+    /// Waits for a signal to stop. Calls `reload` at each SIGHUP.
     pub async fn wait_for_stop(&mut self, reload: impl Fn()) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
                 _ = self.interrupt.recv() => return,
-                _ = self.hang_up.recv() => reload(),
+                _ = self.hangup.recv() => reload(),
             }
         }
     }
--- a/crates/sidecar/src/small_server.rs
+++ b/crates/sidecar/src/small_server.rs
@@ -1,4 +1,4 @@
-//! A server for the few short calls that are no requests of callers: readiness, heartbeats, metrics.
+//! HTTP server for short administrative calls: readiness, heartbeats, metrics.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 /// Pause after a failed accept.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// Binds an address and serves it in a task of its own.
+/// Binds an address and serves it in a new task.
 ///
 /// # Errors
-/// What the operating system reported when the address can't be used.
+/// The error of the operating system if the address can't be bound.
 pub async fn serve<H, F>(address: SocketAddr, handle: H) -> std::io::Result<()>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -32,7 +32,7 @@
                 tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
                 continue;
             };
-            // Without the option answers are a little later.
+            // If this fails, responses are only slightly delayed.
             let _ = stream.set_nodelay(true);
             let handle = handle.clone();
             let service = service_fn(move |request| {
@@ -42,7 +42,7 @@
             tokio::spawn(async move {
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-                // Who called will call again.
+                // The client repeats a call whose connection failed.
                 let _ = connection.await;
             });
         }
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// An answer with this status and JSON body.
+/// Builds a response with this status and JSON body.
 #[must_use]
 pub fn json_answer(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
--- a/crates/sidecar/src/store_era.rs
+++ b/crates/sidecar/src/store_era.rs
@@ -1,9 +1,9 @@
-//! The eras of the platform's store: each time it is restored from a copy, a new era begins.
+//! Eras of the platform's store. A new era begins each time the store is restored from a backup.
 //!
-//! What was acknowledged in an earlier era may be gone, and revisions are given out again. So a revision means something
-//! only together with its era, an answer of an earlier era tells nothing, and whoever keeps something at the store writes
-//! it again when a new era begins. Each answer of the store tells its era; sidecars pass the newest one on with every
-//! message of theirs.
+//! Data that was acknowledged in an earlier era may be lost, and revisions are reused. A revision
+//! is therefore meaningful only together with its era, replies of an earlier era are ignored, and
+//! every process that keeps data at the store writes it again when a new era begins. Each reply of
+//! the store reports its era; sidecars forward the newest one with every message to each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,13 @@
 use crate::exchange::{Exchange, Notice, Peer};
 use crate::log_event;
 
-/// Time for which answers of an earlier era are taken for late ones. If all answers since are of that era, the store's
-/// count has fallen, and is taken for that of a restored store.
-const LATE_ANSWER_TIME: Duration = Duration::from_secs(2);
-/// Shortest time between two new eras that are assumed since an answer did not tell its era.
-const UNTOLD_INTERVAL: Duration = Duration::from_secs(10);
-/// Sidecars that are told of a new era in each round.
+/// Time for which replies of an earlier era are treated as delayed ones. If all replies since then
+/// are of that era, the store's era number has decreased, which is treated as a restore of the
+/// store.
+const LATE_REPLY_TIME: Duration = Duration::from_secs(2);
+/// Minimum time between two new eras that are assumed because a reply lacked its era.
+const MISSING_ERA_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of sidecars that are notified of a new era in each round.
 const FANOUT: usize = 4;
 /// Pauses before the rounds.
 const ROUND_DELAYS: [Duration; 3] = [
@@ -37,91 +38,93 @@
 /// An era as this process knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreEra {
-    /// The number that the store tells; none before its first answer, and where it tells none.
+    /// The number that the store reports; `None` before its adopt_first reply, or if it reports none.
     pub number: Option<u64>,
-    /// New eras that began while this process ran: tells two eras apart whose numbers are the same.
+    /// Number of new eras that began while this process was running. It distinguishes eras with the
+    /// same number.
     pub changes: u64,
 }
 
-/// The answer is of an earlier era: the store was restored since, and may know nothing of it
+/// the reply is of an earlier era: the store was restored since and may lack its data
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub struct EarlierEra;
 
 impl std::error::Error for EarlierEra {}
 
-/// The newest era that this process knows of.
+/// The newest era that this process knows.
 #[derive(Debug)]
 pub struct StoreEras {
     clock: Clock,
     newest: watch::Sender<StoreEra>,
-    doubts: std::sync::Mutex<Doubts>,
+    uncertain: std::sync::Mutex<UncertainReplies>,
 }
 
 #[derive(Debug, Default)]
-struct Doubts {
-    /// Since when all answers are of an earlier era.
+struct UncertainReplies {
+    /// Time since which all replies were of an earlier era.
     earlier_since: Option<Timestamp>,
-    /// When an answer last told no era.
-    untold_at: Option<Timestamp>,
+    /// Time at which a reply last caused a new era because it lacked its era.
+    missing_era_at: Option<Timestamp>,
 }
 
 impl StoreEras {
-    /// Nothing is known yet.
+    /// Creates a state in which no era is known.
     #[must_use]
     pub fn new(clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             clock,
             newest: watch::channel(StoreEra::default()).0,
-            doubts: std::sync::Mutex::default(),
+            uncertain: std::sync::Mutex::default(),
         })
     }
 
-    /// The newest era.
+    /// Returns the newest era.
     #[must_use]
     pub fn newest(&self) -> StoreEra {
         *self.newest.borrow()
     }
 
-    /// Tells of each new era.
+    /// Returns a receiver that is notified of each new era.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<StoreEra> {
         self.newest.subscribe()
     }
 
-    /// Takes in the era that an answer of the store tells, none where it tells none that can be read, and gives the era
-    /// that the answer holds in.
+    /// Records the era of a reply of the store, `None` if it has none that can be read. Returns the
+    /// era to which the reply belongs.
     ///
     /// # Errors
-    /// [`EarlierEra`] when the answer tells nothing about the store as it is now.
-    pub fn answered(&self, told: Option<u64>) -> Result<StoreEra, EarlierEra> {
+    /// [`EarlierEra`] if the reply does not reflect the current state of the store.
+    pub fn answered(&self, reported: Option<u64>) -> Result<StoreEra, EarlierEra> {
         let newest = self.newest();
-        match (newest.number, told) {
-            (known, told) if known == told => {
-                self.doubts().earlier_since = None;
+        match (newest.number, reported) {
+            (known, reported) if known == reported => {
+                self.uncertain().earlier_since = None;
                 Ok(newest)
             }
-            (None, Some(number)) if newest.changes == 0 => Ok(self.first(number)),
-            (Some(known), Some(number)) if number < known => self.earlier(known, number),
-            (_, Some(number)) => Ok(self.begin(Some(number))),
-            (_, None) => Ok(self.untold(newest)),
+            (None, Some(number)) if newest.changes == 0 => Ok(self.adopt_first(number)),
+            (Some(known), Some(number)) if number < known => self.handle_earlier_era(known, number),
+            (_, Some(number)) => Ok(self.begin_era(Some(number))),
+            (_, None) => Ok(self.handle_missing_era(newest)),
         }
     }
 
-    /// Takes in the era that another sidecar knows of.
-    pub(crate) fn heard(&self, number: u64) {
+    /// Records the era that another sidecar reported.
+    pub(crate) fn observe_peer_era(&self, number: u64) {
         match self.newest().number {
             Some(known) if known < number => {
-                self.begin(Some(number));
+                self.begin_era(Some(number));
             }
             Some(_) => {}
             None => {
-                self.first(number);
+                self.adopt_first(number);
             }
         }
     }
 
-    /// The first number that is told: whether eras came before it can't be known here.
-    fn first(&self, number: u64) -> StoreEra {
+    /// Records the first number that is reported. It is unknown here whether there were earlier
+    /// eras.
+    fn adopt_first(&self, number: u64) -> StoreEra {
         self.newest.send_if_modified(|newest| {
             newest.number = Some(number);
             false
@@ -129,8 +132,8 @@
         self.newest()
     }
 
-    fn begin(&self, number: Option<u64>) -> StoreEra {
-        *self.doubts() = Doubts::default();
+    fn begin_era(&self, number: Option<u64>) -> StoreEra {
+        *self.uncertain() = UncertainReplies::default();
         let before = self.newest();
         self.newest.send_modify(|newest| {
             newest.number = number;
@@ -139,46 +142,47 @@
         log_event!(
             Event::StoreRestored,
             "era={} previous={}",
-            shown(number),
-            shown(before.number)
+            era_text(number),
+            era_text(before.number)
         );
         self.newest()
     }
 
-    fn earlier(&self, known: u64, number: u64) -> Result<StoreEra, EarlierEra> {
+    fn handle_earlier_era(&self, known: u64, number: u64) -> Result<StoreEra, EarlierEra> {
         let now = self.clock.now();
-        let since = *self.doubts().earlier_since.get_or_insert(now);
-        if now.saturating_since(since) < LATE_ANSWER_TIME {
+        let since = *self.uncertain().earlier_since.get_or_insert(now);
+        if now.saturating_since(since) < LATE_REPLY_TIME {
             log_event!(Event::StoreAnswerOutdated, "era={number} newest={known}");
             return Err(EarlierEra);
         }
-        Ok(self.begin(Some(number)))
+        Ok(self.begin_era(Some(number)))
     }
 
-    /// An answer without an era may come from any state of the store: the safe side is a restored one.
-    fn untold(&self, newest: StoreEra) -> StoreEra {
+    /// Handles a reply without an era. It may reflect any state of the store; assuming a restored
+    /// store is the safe choice.
+    fn handle_missing_era(&self, newest: StoreEra) -> StoreEra {
         let now = self.clock.now();
-        let last = self.doubts().untold_at;
-        if last.is_some_and(|last| now.saturating_since(last) < UNTOLD_INTERVAL) {
+        let last = self.uncertain().missing_era_at;
+        if last.is_some_and(|last| now.saturating_since(last) < MISSING_ERA_INTERVAL) {
             return newest;
         }
-        let begun = self.begin(newest.number);
-        self.doubts().untold_at = Some(now);
-        begun
+        let new_era = self.begin_era(newest.number);
+        self.uncertain().missing_era_at = Some(now);
+        new_era
     }
 
-    fn doubts(&self) -> std::sync::MutexGuard<'_, Doubts> {
-        wharfquay_daemon::sync::lock(&self.doubts)
+    fn uncertain(&self) -> std::sync::MutexGuard<'_, UncertainReplies> {
+        wharfquay_daemon::sync::lock(&self.uncertain)
     }
 }
 
-fn shown(number: Option<u64>) -> String {
+fn era_text(number: Option<u64>) -> String {
     number.map_or("none".to_owned(), |number| number.to_string())
 }
 
-/// Passes each new era on to a few sidecars at once, which do the same; the others hear of it with the next message that
-/// they get. Runs for ever.
-pub(crate) async fn spread(
+/// Announces each new era to a few sidecars, which do the same. The others receive it with the next
+/// message from a sidecar that knows it. Runs until the process terminates.
+pub(crate) async fn disseminate(
     eras: Arc<StoreEras>,
     exchange: Arc<Exchange>,
     members: watch::Receiver<MemberTable>,
@@ -188,15 +192,15 @@
         changes.mark_unchanged();
         for pause in ROUND_DELAYS {
             tokio::time::sleep(pause).await;
-            for peer in some_peers(&members.borrow(), exchange.own_id()) {
+            for peer in random_peers(&members.borrow(), exchange.own_id()) {
                 exchange.notify(&peer, Notice::StoreRestored);
             }
         }
     }
 }
 
-/// Other sidecars that serve, by chance.
-fn some_peers(table: &MemberTable, own_id: &str) -> Vec<Peer> {
+/// Returns random other sidecars that are alive.
+fn random_peers(table: &MemberTable, own_id: &str) -> Vec<Peer> {
     let others = table.members().filter(|member| {
         member.state() == MemberState::Alive && member.profile.id.as_str() != own_id
     });
--- a/crates/sidecar/src/tenant.rs
+++ b/crates/sidecar/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: who callers are, by their API keys, and how much they may ask for.
+//! Tenants: identification of callers by their API keys, and their rate limits.
 
 use std::fmt;
 
@@ -6,17 +6,19 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a key's digest that are kept: two keys share them with a probability of 2^-128.
+/// Number of bytes of a key's digest that are kept. Two keys have the same ones with a probability
+/// of 2^-128.
 const DIGEST_LENGTH: usize = 16;
-/// Bytes of a digest that logs show.
-const FINGERPRINT_LENGTH: usize = 4;
+/// Number of bytes of a digest that logs show.
+const LOGGED_DIGEST_LENGTH: usize = 4;
 
-/// Digest of an API key. Keys themselves are neither kept nor passed on to other sidecars nor logged.
+/// Digest of an API key. Keys themselves are neither stored, forwarded to other sidecars nor
+/// logged.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_LENGTH]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         let hash = Sha256::digest(key);
@@ -26,10 +28,10 @@
     }
 }
 
-/// The fingerprint: the first bytes in hexadecimal digits.
+/// Formats the fingerprint: the first bytes as hexadecimal digits.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut bytes = self.0.iter().take(FINGERPRINT_LENGTH);
+        let mut bytes = self.0.iter().take(LOGGED_DIGEST_LENGTH);
         bytes.try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
@@ -40,21 +42,21 @@
     }
 }
 
-/// Somebody on whose behalf callers send requests.
+/// A customer on whose behalf callers send requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name, as back ends learn it.
+    /// Name, which backends receive in a header.
     pub name: String,
-    /// Digests of the API keys that identify it.
+    /// Digests of the API keys that identify the tenant.
     pub keys: Vec<KeyDigest>,
-    /// Importance of its requests, 0 is the highest; where it is absent, that of the route holds.
+    /// Importance of the tenant's requests, 0 is the highest; if absent, that of the route applies.
     pub priority: Option<u8>,
-    /// How much it may ask for; without one there is no limit.
+    /// Rate limit of the tenant; `None` if it has no limit.
     pub quota: Option<Quota>,
 }
 
 impl Tenant {
-    /// The name as back ends get it; `None` where it can't stand in a header.
+    /// Returns the name as a header value; `None` if it is not a valid one.
     #[must_use]
     pub fn header_value(&self) -> Option<HeaderValue> {
         let value = HeaderValue::from_str(&self.name).ok();
@@ -62,12 +64,12 @@
     }
 }
 
-/// How many requests of a tenant all sidecars together may send to back ends: `rate_per_s` times any span, plus
-/// `burst`.
+/// Maximum number of requests of a tenant that all sidecars together send to backends: `rate_per_s`
+/// times any time span, plus `burst`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Requests on top.
+    /// Additional requests.
     pub burst: f64,
 }
--- a/crates/sidecar/tests/configuration.rs
+++ b/crates/sidecar/tests/configuration.rs
@@ -77,11 +77,11 @@
 fn a_request_is_held_for_the_shorter_of_route_and_deadline() {
     let mut timed = route("timed", "h", "/", &[("a", 1)]);
     let millis = Duration::from_millis;
-    assert_eq!(timed.lifetime(Some(millis(300))), millis(300));
-    assert_eq!(timed.lifetime(Some(millis(3_000))), millis(1_000));
-    assert_eq!(timed.lifetime(None), millis(1_000));
+    assert_eq!(timed.request_timeout(Some(millis(300))), millis(300));
+    assert_eq!(timed.request_timeout(Some(millis(3_000))), millis(1_000));
+    assert_eq!(timed.request_timeout(None), millis(1_000));
     timed.timeout_ms = None;
-    assert_eq!(timed.lifetime(Some(millis(3_000))), millis(3_000));
+    assert_eq!(timed.request_timeout(Some(millis(3_000))), millis(3_000));
 }
 
 #[test]
