--- a/crates/sidecar/tests/addressed_calls.rs
+++ b/crates/sidecar/tests/addressed_calls.rs
@@ -1,4 +1,5 @@
-//! A call is executed only by the sidecar that its caller meant, also where another one has its address now.
+//! A call is executed only by the sidecar that its caller addressed, even if another sidecar has
+//! the address now.
 
 mod support;
 
@@ -6,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use support::client::{call, request};
-use support::platform::StandInPlatform;
+use support::platform::EmulatedPlatform;
 use support::{Machine, configuration, eventually, route};
 use wharfquay_core::call::{AttemptId, CallContext, OriginId, Repeatability, RetryAllowance};
 use wharfquay_core::outcome::ResultCode;
@@ -15,15 +16,18 @@
 use wharfquay_protocol::context::{Callee, WireContext};
 use wharfquay_sidecar::instance::{Acknowledgement, ReportedState};
 
-const DESK: &str = "/desk/";
-const SHELF: &str = "/shelf/";
+const DESK_PREFIX: &str = "/desk/";
+const SHELF_PREFIX: &str = "/shelf/";
 
 fn routes() -> wharfquay_sidecar::configuration::Configuration {
-    let routes = vec![route(DESK, "desk", false), route(SHELF, "shelf", false)];
+    let routes = vec![
+        route(DESK_PREFIX, "desk", false),
+        route(SHELF_PREFIX, "shelf", false),
+    ];
     configuration(1, routes)
 }
 
-/// A call between sidecars, addressed to `callee`.
+/// Builds a call between sidecars that is addressed to `callee`.
 fn addressed_call(callee: Option<Callee>) -> String {
     let context = CallContext {
         origin: OriginId::from_u128(7),
@@ -57,8 +61,8 @@
 }
 
 #[tokio::test]
-async fn a_call_that_is_meant_for_another_is_refused_as_not_run() {
-    let platform = Arc::new(StandInPlatform::new(Some(routes())));
+async fn a_call_addressed_to_another_sidecar_is_refused_as_not_executed() {
+    let platform = Arc::new(EmulatedPlatform::new(Some(routes())));
     let machine = Machine::start(&platform, "machine-a", "desk").await;
     machine.ready().await;
     let misaddressed = ResultCode::Misaddressed.number().to_string();
@@ -74,61 +78,68 @@
             callee("desk", "machine-z"),
             &misaddressed,
         ),
-        ("this one", callee("desk", "machine-a"), &answered),
-        ("a caller that names none", None, &answered),
+        ("this sidecar", callee("desk", "machine-a"), &answered),
+        ("no addressee", None, &answered),
     ];
     for (name, callee, expected) in cases {
-        let before = machine.backend.seen().len();
-        let answer = call(machine.inbound, &addressed_call(callee)).await;
-        let result = answer.header("wharfquay-result");
+        let before = machine.backend.executed().len();
+        let response = call(machine.inbound, &addressed_call(callee)).await;
+        let result = response.header("wharfquay-result");
         assert_eq!(result, Some(expected.as_str()), "{name}");
-        let ran = machine.backend.seen().len() > before;
+        let ran = machine.backend.executed().len() > before;
         assert_eq!(ran, *expected == answered, "{name}");
     }
 }
 
-/// A sidecar ends without a word, and one of another service starts at its address while the callers' member
-/// lists still name the earlier owner.
+/// A sidecar terminates without announcing it, and one of another service starts at its address
+/// while the callers' member lists still contain the earlier owner.
 #[tokio::test]
-async fn an_address_that_another_service_took_over_gets_no_call_of_the_earlier_one() {
-    let platform = Arc::new(StandInPlatform::new(Some(routes())));
+async fn an_address_reused_by_another_service_receives_no_calls_of_the_earlier_one() {
+    let platform = Arc::new(EmulatedPlatform::new(Some(routes())));
     let caller = Machine::start(&platform, "machine-a", "shelf").await;
-    let stays = Machine::start(&platform, "machine-b", "desk").await;
-    let doomed = tokio::runtime::Builder::new_multi_thread()
+    let remaining = Machine::start(&platform, "machine-b", "desk").await;
+    let terminating_runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
         .unwrap();
     let own_platform = Arc::clone(&platform);
     let start = async move { Machine::start(&own_platform, "machine-c", "desk").await };
-    let ends = doomed.spawn(start).await.unwrap();
+    let terminating = terminating_runtime.spawn(start).await.unwrap();
     caller.ready().await;
-    eventually("all know each other", || {
+    eventually("the sidecars have discovered each other", || {
         let metrics = caller.sidecar.metrics_text();
         metrics.contains("wharfquay_members{state=\"alive\"} 3")
     })
     .await;
-    let end = Instant::now() + support::PATIENCE;
-    while ends.backend.seen().is_empty() {
+    let end = Instant::now() + support::MAX_WAIT;
+    while terminating.backend.executed().is_empty() {
         call(caller.outbound, &request("POST", "/desk/1", "before", "")).await;
-        assert!(Instant::now() < end, "machine-c never got a call");
+        assert!(Instant::now() < end, "machine-c never received a call");
     }
 
-    let address = ends.inbound;
-    doomed.shutdown_background();
-    drop(ends);
-    let mut successor = Machine::start_adjusted(&platform, "machine-d", "shelf", |settings| {
+    let address = terminating.inbound;
+    terminating_runtime.shutdown_background();
+    drop(terminating);
+    let mut successor = Machine::start_with_settings(&platform, "machine-d", "shelf", |settings| {
         settings.inbound = address;
     })
     .await;
-    let given = successor.beat(ReportedState::Ready).await;
-    assert_eq!(given, Acknowledgement::Given);
+    let acknowledgement = successor.send_heartbeat(ReportedState::Ready).await;
+    assert_eq!(acknowledgement, Acknowledgement::Given);
     for number in 0..40 {
         let id = format!("after-{number}");
-        let answer = call(caller.outbound, &request("POST", "/desk/2", &id, "")).await;
-        assert!([200, 502, 503].contains(&answer.status), "{}", answer.head);
+        let response = call(caller.outbound, &request("POST", "/desk/2", &id, "")).await;
+        assert!(
+            [200, 502, 503].contains(&response.status),
+            "{}",
+            response.head
+        );
     }
-    assert_eq!(successor.backend.seen().len(), 0);
-    let served = stays.backend.seen().len();
-    assert!(served > 0, "the other sidecar of the service got nothing");
+    assert_eq!(successor.backend.executed().len(), 0);
+    let served = remaining.backend.executed().len();
+    assert!(
+        served > 0,
+        "the other sidecar of the service received no calls"
+    );
 }
--- a/crates/sidecar/tests/call_path.rs
+++ b/crates/sidecar/tests/call_path.rs
@@ -1,4 +1,4 @@
-//! The whole path on loopback: callers, sidecars, back ends that misbehave, and the platform away.
+//! The whole call path on loopback: callers, sidecars, misbehaving backends, and platform outages.
 
 mod support;
 
@@ -7,7 +7,7 @@
 
 use support::backend::Behaviour;
 use support::client::{Connection, call, request};
-use support::platform::StandInPlatform;
+use support::platform::EmulatedPlatform;
 use support::{Machine, configuration, eventually, route};
 use wharfquay_sidecar::instance::{Acknowledgement, InstanceId, ReportedState};
 
@@ -21,16 +21,16 @@
     )
 }
 
-/// Two machines of the same service that know each other.
-async fn pair() -> (Arc<StandInPlatform>, Machine, Machine) {
-    let platform = Arc::new(StandInPlatform::new(Some(routes(1))));
+/// Starts two machines of the same service that have discovered each other.
+async fn pair() -> (Arc<EmulatedPlatform>, Machine, Machine) {
+    let platform = Arc::new(EmulatedPlatform::new(Some(routes(1))));
     let first = Machine::start(&platform, "machine-a", "shelf").await;
     let second = Machine::start(&platform, "machine-b", "shelf").await;
     for machine in [&first, &second] {
         machine.ready().await;
         serves(machine).await;
         let both = "wharfquay_members{state=\"alive\"} 2";
-        eventually("they know each other", || {
+        eventually("the sidecars have discovered each other", || {
             machine.sidecar.metrics_text().contains(both)
         })
         .await;
@@ -39,31 +39,31 @@
     (platform, first, second)
 }
 
-/// Waits until requests at one machine reach the back end of the other.
+/// Waits until requests at one machine reach the backend of the other.
 async fn reaches(from: &Machine, to: &Machine) {
-    let before = to.backend.seen().len();
-    let end = Instant::now() + support::PATIENCE;
-    while to.backend.seen().len() == before {
+    let before = to.backend.executed().len();
+    let end = Instant::now() + support::MAX_WAIT;
+    while to.backend.executed().len() == before {
         call(from.outbound, &request("GET", "/reads/up", "reach", "")).await;
         assert!(Instant::now() < end, "never reached");
     }
 }
 
-/// Waits until a machine answers requests.
+/// Waits until a machine serves requests.
 async fn serves(machine: &Machine) {
-    let end = Instant::now() + support::PATIENCE;
+    let end = Instant::now() + support::MAX_WAIT;
     loop {
-        let answer = call(machine.outbound, &request("GET", "/reads/up", "up", "")).await;
-        if answer.status == 200 {
+        let response = call(machine.outbound, &request("GET", "/reads/up", "up", "")).await;
+        if response.status == 200 {
             return;
         }
-        assert!(Instant::now() < end, "never served: {}", answer.head);
+        assert!(Instant::now() < end, "never served: {}", response.head);
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-async fn single() -> (Arc<StandInPlatform>, Machine) {
-    let platform = Arc::new(StandInPlatform::new(Some(routes(1))));
+async fn single() -> (Arc<EmulatedPlatform>, Machine) {
+    let platform = Arc::new(EmulatedPlatform::new(Some(routes(1))));
     let machine = Machine::start(&platform, "machine-a", "shelf").await;
     machine.ready().await;
     serves(&machine).await;
@@ -71,28 +71,32 @@
 }
 
 #[tokio::test]
-async fn a_request_reaches_its_back_end_unchanged() {
+async fn a_request_reaches_its_backend_unchanged() {
     let (_platform, machine) = single().await;
     let text = "POST /writes/x?y=z HTTP/1.1\r\nHost: shop.example\r\ntest-request-id: id-1\r\n\
                 test-caller: forged\r\ntest-target: forged\r\nX-Own: kept\r\nConnection: X-Hop\r\n\
                 X-Hop: gone\r\ntest-deadline-ms: 900\r\nContent-Length: 5\r\n\r\nhello";
-    let answer = call(machine.outbound, text).await;
-    assert_eq!(answer.status, 200);
-    assert_eq!(answer.header("test-signature"), Some("s"));
-    let seen = machine.backend.seen().pop().unwrap();
-    assert_eq!(seen.request_line(), "POST /writes/x?y=z HTTP/1.1");
-    assert_eq!(seen.body, b"hello");
-    assert_eq!(seen.header("host"), Some("shop.example"));
-    assert_eq!(seen.header("test-caller"), Some("shelf"));
-    assert_eq!(seen.header("test-target"), Some("machine-a-1"));
-    assert_eq!(seen.header("x-own"), Some("kept"));
-    assert_eq!(seen.header("x-hop"), None);
-    let deadline: u64 = seen.header("test-deadline-ms").unwrap().parse().unwrap();
+    let response = call(machine.outbound, text).await;
+    assert_eq!(response.status, 200);
+    assert_eq!(response.header("test-signature"), Some("s"));
+    let executed = machine.backend.executed().pop().unwrap();
+    assert_eq!(executed.request_line(), "POST /writes/x?y=z HTTP/1.1");
+    assert_eq!(executed.body, b"hello");
+    assert_eq!(executed.header("host"), Some("shop.example"));
+    assert_eq!(executed.header("test-caller"), Some("shelf"));
+    assert_eq!(executed.header("test-target"), Some("machine-a-1"));
+    assert_eq!(executed.header("x-own"), Some("kept"));
+    assert_eq!(executed.header("x-hop"), None);
+    let deadline: u64 = executed
+        .header("test-deadline-ms")
+        .unwrap()
+        .parse()
+        .unwrap();
     assert!((600..=900).contains(&deadline), "{deadline}");
 }
 
 #[tokio::test]
-async fn pipelined_requests_run_side_by_side_and_are_answered_in_order() {
+async fn pipelined_requests_run_concurrently_and_are_answered_in_order() {
     let (_platform, machine) = single().await;
     let slow = Duration::from_millis(400);
     machine
@@ -112,50 +116,54 @@
         .collect();
     connection.send(&text).await;
     for number in 0..3 {
-        let answer = connection.answer().await.unwrap();
-        assert_eq!(answer.status, 200);
+        let response = connection.response().await.unwrap();
+        assert_eq!(response.status, 200);
         let id = format!("p{number}");
-        assert_eq!(answer.header("test-request-id"), Some(id.as_str()));
+        assert_eq!(response.header("test-request-id"), Some(id.as_str()));
     }
     assert!(started.elapsed() < slow * 2, "{:?}", started.elapsed());
 }
 
 #[tokio::test]
-async fn answers_that_are_not_the_back_ends_whole_answer_reach_nobody() {
+async fn incomplete_or_foreign_responses_are_not_relayed() {
     let (_platform, machine) = single().await;
     let cases = [
-        Behaviour::LoseAnswer,
-        Behaviour::CutShort,
-        Behaviour::AnswerAnother,
+        Behaviour::LoseResponse,
+        Behaviour::Truncate,
+        Behaviour::RespondWithOtherId,
         Behaviour::Unsigned,
         Behaviour::Encoded,
         Behaviour::Unproven503,
     ];
     for behaviour in cases {
         machine.backend.expect(std::slice::from_ref(&behaviour));
-        let before = machine.backend.seen().len();
-        let answer = call(machine.outbound, &request("POST", "/writes/1", "w", "")).await;
-        assert_eq!(answer.status, 502, "{behaviour:?}");
-        assert_eq!(answer.header("test-signature"), None, "{behaviour:?}");
-        assert_eq!(answer.header("retry-after"), None, "{behaviour:?}");
-        assert_eq!(machine.backend.seen().len(), before + 1, "{behaviour:?}");
+        let before = machine.backend.executed().len();
+        let response = call(machine.outbound, &request("POST", "/writes/1", "w", "")).await;
+        assert_eq!(response.status, 502, "{behaviour:?}");
+        assert_eq!(response.header("test-signature"), None, "{behaviour:?}");
+        assert_eq!(response.header("retry-after"), None, "{behaviour:?}");
+        assert_eq!(
+            machine.backend.executed().len(),
+            before + 1,
+            "{behaviour:?}"
+        );
     }
 }
 
 #[tokio::test]
-async fn an_answer_without_a_length_is_whole_when_its_connection_ends() {
+async fn a_response_without_a_length_is_complete_when_its_connection_closes() {
     let (_platform, machine) = single().await;
     machine.backend.expect(&[Behaviour::Unframed]);
-    let answer = call(machine.outbound, &request("GET", "/reads/1", "u", "")).await;
-    assert_eq!(answer.status, 200);
-    assert_eq!(answer.text(), "machine-a-1 GET /reads/1 HTTP/1.1");
+    let response = call(machine.outbound, &request("GET", "/reads/1", "u", "")).await;
+    assert_eq!(response.status, 200);
+    assert_eq!(response.text(), "machine-a-1 GET /reads/1 HTTP/1.1");
 }
 
 #[tokio::test]
-async fn a_second_answer_never_reaches_the_next_request() {
+async fn a_surplus_response_never_reaches_the_next_request() {
     let (_platform, machine) = single().await;
     for _ in 0..10 {
-        machine.backend.expect(&[Behaviour::AnswerTwice]);
+        machine.backend.expect(&[Behaviour::RespondTwice]);
         let first = call(machine.outbound, &request("GET", "/reads/1", "one", "")).await;
         assert_eq!(first.header("test-request-id"), Some("one"));
         let next = call(machine.outbound, &request("GET", "/reads/2", "two", "")).await;
@@ -165,102 +173,108 @@
 }
 
 #[tokio::test]
-async fn an_uncertain_request_is_repeated_only_where_that_does_no_harm() {
+async fn an_uncertain_request_is_retried_only_if_repeatable() {
     let (_platform, first, second) = pair().await;
     for machine in [&first, &second] {
-        machine.backend.expect(&[Behaviour::LoseAnswer]);
+        machine.backend.expect(&[Behaviour::LoseResponse]);
     }
-    let runs = || first.backend.seen().len() + second.backend.seen().len();
+    let runs = || first.backend.executed().len() + second.backend.executed().len();
     let before = runs();
-    let answer = call(first.outbound, &request("POST", "/writes/1", "w", "")).await;
-    assert_eq!((answer.status, runs()), (502, before + 1));
+    let response = call(first.outbound, &request("POST", "/writes/1", "w", "")).await;
+    assert_eq!((response.status, runs()), (502, before + 1));
     let given_up = "wharfquay_retries_given_up_total{reason=\"NotRepeatable\",service=\"shelf\"} 1";
     let metrics = first.sidecar.metrics_text();
     assert!(metrics.contains(given_up), "{metrics}");
     let before = runs();
-    let answer = call(first.outbound, &request("GET", "/reads/1", "r", "")).await;
+    let response = call(first.outbound, &request("GET", "/reads/1", "r", "")).await;
     assert!(runs() <= before + 2);
-    assert!([200, 502].contains(&answer.status));
+    assert!([200, 502].contains(&response.status));
 }
 
 #[tokio::test]
-async fn a_proven_refusal_is_offered_to_a_sibling_and_else_told_as_not_run() {
+async fn a_proven_refusal_without_a_sibling_is_reported_as_not_executed() {
     let (_platform, machine) = single().await;
     machine.backend.expect(&[Behaviour::Refuse]);
-    let before = machine.backend.seen().len();
-    let answer = call(machine.outbound, &request("POST", "/writes/1", "w", "")).await;
-    assert_eq!(answer.status, 503);
-    let wait: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    let before = machine.backend.executed().len();
+    let response = call(machine.outbound, &request("POST", "/writes/1", "w", "")).await;
+    assert_eq!(response.status, 503);
+    let wait: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(wait > 0.0);
-    assert_eq!(machine.backend.seen().len(), before);
+    assert_eq!(machine.backend.executed().len(), before);
 }
 
 #[tokio::test]
-async fn a_failure_of_the_back_end_is_passed_on_as_it_is() {
+async fn a_server_error_of_the_backend_is_relayed_unchanged() {
     let (_platform, machine) = single().await;
     machine.backend.expect(&[Behaviour::Fail]);
-    let answer = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
-    assert_eq!((answer.status, answer.text()), (500, "no".to_owned()));
-    assert_eq!(answer.header("test-signature"), Some("s"));
+    let response = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
+    assert_eq!((response.status, response.text()), (500, "no".to_owned()));
+    assert_eq!(response.header("test-signature"), Some("s"));
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_takes_its_work_along() {
+async fn a_disconnected_caller_cancels_its_request() {
     let (_platform, machine) = single().await;
     machine
         .backend
-        .expect(&[Behaviour::Slow(support::PATIENCE)]);
-    let before = machine.backend.seen().len();
+        .expect(&[Behaviour::Slow(support::MAX_WAIT)]);
+    let before = machine.backend.executed().len();
     let mut connection = Connection::open(machine.outbound).await;
     connection
         .send(&request("GET", "/reads/1", "gone", ""))
         .await;
-    eventually("the request runs", || machine.backend.seen().len() > before).await;
+    eventually("the request is in execution", || {
+        machine.backend.executed().len() > before
+    })
+    .await;
     drop(connection);
-    eventually("the back end sees it", || machine.backend.abandoned() == 1).await;
+    eventually("the backend detects the disconnect", || {
+        machine.backend.abandoned() == 1
+    })
+    .await;
 }
 
 #[tokio::test]
-async fn the_final_answer_comes_at_the_routes_timeout() {
+async fn the_final_response_arrives_at_the_deadline() {
     let (_platform, machine) = single().await;
     machine
         .backend
-        .expect(&[Behaviour::Slow(support::PATIENCE)]);
+        .expect(&[Behaviour::Slow(support::MAX_WAIT)]);
     let started = Instant::now();
     let text = "GET /reads/1 HTTP/1.1\r\nHost: shop.example\r\ntest-request-id: late\r\n\
                 test-deadline-ms: 300\r\n\r\n";
-    let answer = call(machine.outbound, text).await;
-    assert_eq!(answer.status, 504);
+    let response = call(machine.outbound, text).await;
+    assert_eq!(response.status, 504);
     assert!(started.elapsed() < Duration::from_millis(800));
 }
 
 #[tokio::test]
-async fn what_no_configuration_allows_is_refused_as_such() {
-    let platform = Arc::new(StandInPlatform::new(None));
+async fn requests_without_a_matching_configuration_are_refused() {
+    let platform = Arc::new(EmulatedPlatform::new(None));
     let machine = Machine::start(&platform, "machine-a", "shelf").await;
-    let answer = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
-    assert_eq!(answer.status, 503, "nothing is known yet");
+    let response = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
+    assert_eq!(response.status, 503, "there is no configuration yet");
     assert!(!machine.sidecar.is_ready());
     platform.publish(routes(4));
     machine.ready().await;
-    let answer = call(machine.outbound, &request("GET", "/nowhere/", "r", "")).await;
-    assert_eq!(answer.status, 404);
-    let answer = call(
+    let response = call(machine.outbound, &request("GET", "/nowhere/", "r", "")).await;
+    assert_eq!(response.status, 404);
+    let response = call(
         machine.outbound,
         "GET /reads/ HTTP/1.1\r\nHost: shop.example\r\n\r\n",
     )
     .await;
-    assert_eq!(answer.status, 400, "no request id");
-    let answer = call(machine.outbound, "nonsense\r\n\r\n").await;
-    assert_eq!(answer.status, 400);
+    assert_eq!(response.status, 400, "no request id");
+    let response = call(machine.outbound, "nonsense\r\n\r\n").await;
+    assert_eq!(response.status, 400);
 }
 
 #[tokio::test]
-async fn an_older_configuration_never_comes_back() {
+async fn an_older_configuration_is_never_adopted() {
     let (platform, machine) = single().await;
     let moved = configuration(9, vec![route("/new/", "shelf", true)]);
     platform.publish(moved);
-    let end = Instant::now() + support::PATIENCE;
+    let end = Instant::now() + support::MAX_WAIT;
     while call(machine.outbound, &request("GET", "/new/1", "n", ""))
         .await
         .status
@@ -270,12 +284,12 @@
     }
     platform.publish(routes(5));
     tokio::time::sleep(Duration::from_millis(700)).await;
-    let answer = call(machine.outbound, &request("GET", "/reads/1", "old", "")).await;
-    assert_eq!(answer.status, 404);
+    let response = call(machine.outbound, &request("GET", "/reads/1", "old", "")).await;
+    assert_eq!(response.status, 404);
 }
 
 #[tokio::test]
-async fn a_leaving_back_end_gets_nothing_new_and_what_runs_is_finished() {
+async fn a_draining_backend_gets_no_new_calls_and_completes_running_ones() {
     let (_platform, mut first, second) = pair().await;
     let slow = Duration::from_millis(300);
     first.backend.expect(&[Behaviour::Slow(slow); 4]);
@@ -287,102 +301,102 @@
         })
         .collect();
     tokio::time::sleep(slow / 3).await;
-    let given = first.beat(ReportedState::Draining).await;
-    assert_eq!(given, Acknowledgement::Given);
+    let acknowledgement = first.send_heartbeat(ReportedState::Draining).await;
+    assert_eq!(acknowledgement, Acknowledgement::Given);
     for call in running {
         assert_eq!(call.await.unwrap(), 200);
     }
-    let before = first.backend.seen().len();
+    let before = first.backend.executed().len();
     for _ in 0..20 {
-        let answer = call(first.outbound, &request("GET", "/reads/1", "r", "")).await;
-        assert_eq!(answer.status, 200);
+        let response = call(first.outbound, &request("GET", "/reads/1", "r", "")).await;
+        assert_eq!(response.status, 200);
     }
-    assert_eq!(first.backend.seen().len(), before);
+    assert_eq!(first.backend.executed().len(), before);
 }
 
 async fn call_owned(address: std::net::SocketAddr, text: String) -> u16 {
-    let answer = call(address, &text).await;
-    if answer.status != 200 {
-        println!("{}{}", answer.head, answer.text());
+    let response = call(address, &text).await;
+    if response.status != 200 {
+        println!("{}{}", response.head, response.text());
     }
-    answer.status
+    response.status
 }
 
 #[tokio::test]
-async fn a_leaving_that_is_not_durable_is_not_acknowledged() {
+async fn a_departure_that_is_not_durable_is_not_acknowledged() {
     let (platform, mut machine) = single().await;
     platform.set_down(true);
     assert_eq!(
-        machine.beat(ReportedState::Draining).await,
+        machine.send_heartbeat(ReportedState::Draining).await,
         Acknowledgement::Refused
     );
-    let answer = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
-    assert_eq!(answer.status, 503, "it gets nothing new all the same");
+    let response = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
+    assert_eq!(response.status, 503, "the instance receives no new calls");
     platform.set_down(false);
     assert_eq!(
-        machine.beat(ReportedState::Draining).await,
+        machine.send_heartbeat(ReportedState::Draining).await,
         Acknowledgement::Given
     );
 }
 
 #[tokio::test]
-async fn a_restarted_sidecar_gives_a_departed_instance_nothing() {
-    let platform = Arc::new(StandInPlatform::new(Some(routes(1))));
-    platform.mark_departed("machine-a-1");
+async fn a_restarted_sidecar_sends_a_departed_instance_no_calls() {
+    let platform = Arc::new(EmulatedPlatform::new(Some(routes(1))));
+    platform.add_departure_record("machine-a-1");
     let machine = Machine::start(&platform, "machine-a", "shelf").await;
     machine.ready().await;
     tokio::time::sleep(Duration::from_millis(600)).await;
-    let answer = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
-    assert_eq!(answer.status, 503);
-    assert!(machine.backend.seen().is_empty());
+    let response = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
+    assert_eq!(response.status, 503);
+    assert!(machine.backend.executed().is_empty());
 }
 
 #[tokio::test]
-async fn a_sidecar_that_is_restarted_alone_finds_its_back_end_without_a_heartbeat() {
-    let platform = Arc::new(StandInPlatform::new(Some(routes(1))));
-    let machine = Machine::start_silent(&platform, "machine-a", "shelf").await;
+async fn a_sidecar_that_is_restarted_alone_discovers_its_backend_without_a_heartbeat() {
+    let platform = Arc::new(EmulatedPlatform::new(Some(routes(1))));
+    let machine = Machine::start_without_heartbeat(&platform, "machine-a", "shelf").await;
     machine.ready().await;
     serves(&machine).await;
 }
 
 #[tokio::test]
-async fn another_instance_at_the_address_runs_nothing() {
+async fn another_instance_at_the_address_executes_nothing() {
     let (_platform, machine) = single().await;
     machine.backend.replace("stranger");
-    let before = machine.backend.seen().len();
-    let answer = call(machine.outbound, &request("POST", "/writes/1", "w", "")).await;
-    assert_eq!(answer.status, 503);
-    assert_eq!(machine.backend.seen().len(), before);
+    let before = machine.backend.executed().len();
+    let response = call(machine.outbound, &request("POST", "/writes/1", "w", "")).await;
+    assert_eq!(response.status, 503);
+    assert_eq!(machine.backend.executed().len(), before);
     let instance = InstanceId::from("machine-a-1");
     let departed = machine.sidecar.departure(&instance).await;
     assert_eq!(departed, Acknowledgement::Given);
 }
 
 #[tokio::test]
-async fn a_stop_cuts_nothing_and_says_so_on_the_connection() {
+async fn a_stop_completes_requests_and_closes_connections() {
     let (_platform, first, _second) = pair().await;
     let mut connection = Connection::open(first.outbound).await;
     connection
         .send(&request("GET", "/reads/1", "before", ""))
         .await;
-    assert_eq!(connection.answer().await.unwrap().status, 200);
+    assert_eq!(connection.response().await.unwrap().status, 200);
     let slow = Duration::from_millis(500);
     first.backend.expect(&[Behaviour::Slow(slow)]);
     let sidecar = Arc::clone(&first.sidecar);
     let stopping = tokio::spawn(async move { sidecar.stop().await });
-    eventually("it is not ready", || !first.sidecar.is_ready()).await;
+    eventually("the sidecar is not ready", || !first.sidecar.is_ready()).await;
     connection
         .send(&request("GET", "/reads/2", "during", ""))
         .await;
-    let answer = connection.answer().await.unwrap();
-    assert_eq!(answer.status, 200);
-    assert_eq!(answer.header("connection"), Some("close"));
+    let response = connection.response().await.unwrap();
+    assert_eq!(response.status, 200);
+    assert_eq!(response.header("connection"), Some("close"));
     assert!(connection.is_closed().await);
     stopping.await.unwrap();
 }
 
 #[tokio::test]
-async fn long_bodies_are_passed_on_as_they_come() {
+async fn long_and_chunked_request_bodies_arrive_complete() {
     let (_platform, machine) = single().await;
     let body = "x".repeat(300_000);
     let text = request(
@@ -391,26 +405,29 @@
         "long",
         &format!("Content-Length: {}\r\n", body.len()),
     );
-    let answer = call(machine.outbound, &format!("{text}{body}")).await;
-    assert_eq!(answer.status, 200);
-    assert_eq!(machine.backend.seen().pop().unwrap().body.len(), body.len());
+    let response = call(machine.outbound, &format!("{text}{body}")).await;
+    assert_eq!(response.status, 200);
+    assert_eq!(
+        machine.backend.executed().pop().unwrap().body.len(),
+        body.len()
+    );
     let chunked = request(
         "POST",
         "/writes/2",
         "chunks",
         "Transfer-Encoding: chunked\r\n",
     );
-    let answer = call(
+    let response = call(
         machine.outbound,
         &format!("{chunked}5\r\nhello\r\n0\r\n\r\n"),
     )
     .await;
-    assert_eq!(answer.status, 200);
-    assert_eq!(machine.backend.seen().pop().unwrap().body, b"hello");
+    assert_eq!(response.status, 200);
+    assert_eq!(machine.backend.executed().pop().unwrap().body, b"hello");
 }
 
 #[tokio::test]
-async fn the_metrics_tell_of_requests_limits_and_the_platform() {
+async fn the_metrics_report_requests_limits_and_platform_calls() {
     let (_platform, machine) = single().await;
     machine.backend.expect(&[Behaviour::Refuse]);
     call(machine.outbound, &request("POST", "/writes/1", "w", "")).await;
@@ -437,35 +454,35 @@
     }
 }
 
-/// Longer than what is collected before the head of an answer is passed on.
+/// Size of a response above what is buffered before its head is relayed.
 const LONG: usize = 1_000_000;
 
 #[tokio::test]
-async fn long_answers_are_passed_on_whole_or_end_in_the_middle() {
+async fn long_responses_are_complete_or_visibly_truncated() {
     let (_platform, first, second) = pair().await;
     for machine in [&first, &second] {
         machine.backend.expect(&[Behaviour::Long(LONG); 4]);
     }
     for number in 0..4 {
         let text = request("GET", "/reads/long", &format!("long-{number}"), "");
-        let answer = call(first.outbound, &text).await;
-        assert_eq!((answer.status, answer.body.len()), (200, LONG));
+        let response = call(first.outbound, &text).await;
+        assert_eq!((response.status, response.body.len()), (200, LONG));
     }
     let (_platform, machine) = single().await;
-    machine.backend.expect(&[Behaviour::LongCutShort(LONG)]);
+    machine.backend.expect(&[Behaviour::TruncateLong(LONG)]);
     let mut connection = Connection::open(machine.outbound).await;
     connection
         .send(&request("GET", "/reads/cut", "cut", ""))
         .await;
     assert!(
-        connection.answer().await.is_none(),
-        "it must not look whole"
+        connection.response().await.is_none(),
+        "a truncated response must not look complete"
     );
     serves(&machine).await;
 }
 
 #[tokio::test]
-async fn a_caller_that_stops_reading_holds_up_nobody_else() {
+async fn a_caller_that_stops_reading_does_not_block_others() {
     let (_platform, machine) = single().await;
     machine.backend.expect(&[Behaviour::Long(8 * LONG)]);
     let mut idle = Connection::open(machine.outbound).await;
@@ -482,19 +499,19 @@
         1,
         vec![route(READS, "shelf", true), route("/desk/", "desk", true)],
     );
-    let platform = Arc::new(StandInPlatform::new(Some(both)));
+    let platform = Arc::new(EmulatedPlatform::new(Some(both)));
     let first = Machine::start(&platform, "machine-a", "shelf").await;
     let end = Instant::now() + Duration::from_millis(700);
     while Instant::now() < end {
         assert!(
             !first.sidecar.is_ready(),
-            "no sidecar of the other service is known"
+            "no sidecar of the other service was discovered"
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let second = Machine::start(&platform, "machine-b", "desk").await;
     second.ready().await;
     first.ready().await;
-    let answer = call(first.outbound, &request("GET", "/desk/1", "d", "")).await;
-    assert_eq!(answer.status, 200);
+    let response = call(first.outbound, &request("GET", "/desk/1", "d", "")).await;
+    assert_eq!(response.status, 200);
 }
--- a/crates/sidecar/tests/configuration.rs
+++ b/crates/sidecar/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, where its parts go, and which configurations are refused.
+//! Route selection, weighted destinations, priorities and validation of configurations.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn parts_get_their_weight_and_a_part_without_weight_gets_nothing() {
+fn destinations_get_requests_by_weight_and_none_at_weight_zero() {
     let split = route("split", "h", "/", &[("a", 90), ("b", 10), ("c", 0)]);
     let draws = (0..1_000).map(|step| f64::from(step) / 1_000.0);
     let mut counts = BTreeMap::new();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_request_is_held_for_the_shorter_of_route_and_deadline() {
+fn the_request_timeout_is_the_shorter_of_route_and_deadline() {
     let mut timed = route("timed", "h", "/", &[("a", 1)]);
     let millis = Duration::from_millis;
     assert_eq!(timed.request_timeout(Some(millis(300))), millis(300));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn configurations_that_can_not_be_served_are_refused() {
+fn invalid_configurations_are_rejected() {
     let cases = [
         (
             route("r", "h", "/x", &[("a", 1)]),
@@ -135,7 +135,7 @@
     let mut configuration = configuration(routes_of_priorities(&[0, 1, 2]));
     configuration.tenants = vec![of_tenant(Some(1)), of_tenant(Some(0)), of_tenant(None)];
     let index = RouteIndex::new(configuration.clone());
-    let place = |tenant: Option<&Tenant>, route: usize| {
+    let priority = |tenant: Option<&Tenant>, route: usize| {
         index
             .priority(tenant, &configuration.routes[route])
             .number()
@@ -144,24 +144,24 @@
         panic!("three tenants");
     };
     let order = [
-        place(Some(important), 0),
-        place(Some(important), 1),
-        place(Some(important), 2),
-        place(Some(ordinary), 0),
-        place(Some(ordinary), 1),
-        place(Some(ordinary), 2),
-        place(None, 2),
+        priority(Some(important), 0),
+        priority(Some(important), 1),
+        priority(Some(important), 2),
+        priority(Some(ordinary), 0),
+        priority(Some(ordinary), 1),
+        priority(Some(ordinary), 2),
+        priority(None, 2),
     ];
     assert!(
         order.is_sorted_by(|first, second| first < second),
         "{order:?}"
     );
-    assert_eq!(place(Some(unranked), 0), place(Some(important), 0));
-    assert_eq!(place(Some(unranked), 1), place(Some(ordinary), 1));
+    assert_eq!(priority(Some(unranked), 0), priority(Some(important), 0));
+    assert_eq!(priority(Some(unranked), 1), priority(Some(ordinary), 1));
 }
 
 #[test]
-fn without_tenants_the_routes_importance_stands_as_it_is() {
+fn without_tenants_the_priority_is_the_routes_importance() {
     let configuration = configuration(routes_of_priorities(&[0, 2, 5, 200]));
     let index = RouteIndex::new(configuration.clone());
     let numbers = configuration
@@ -176,11 +176,11 @@
     let mut configuration = configuration(routes_of_priorities(&[0, 1, 2, 3, 4]));
     configuration.tenants = (0..6).map(|priority| of_tenant(Some(priority))).collect();
     let index = RouteIndex::new(configuration.clone());
-    let places = configuration.tenants.iter().flat_map(|tenant| {
+    let priorities = configuration.tenants.iter().flat_map(|tenant| {
         let routes = configuration.routes.iter();
         routes.map(|route| index.priority(Some(tenant), route).number())
     });
-    let places: Vec<u8> = places.collect();
-    assert!(places.is_sorted(), "{places:?}");
-    assert_eq!((places[0], places[29]), (0, 7));
+    let priorities: Vec<u8> = priorities.collect();
+    assert!(priorities.is_sorted(), "{priorities:?}");
+    assert_eq!((priorities[0], priorities[29]), (0, 7));
 }
--- a/crates/sidecar/tests/instance_lives.rs
+++ b/crates/sidecar/tests/instance_restarts.rs
@@ -1,4 +1,5 @@
-//! A back end that starts again under its name: what holds for one start says nothing of another.
+//! A backend that starts again under the same name: the state of one instance does not apply to
+//! another.
 
 mod support;
 
@@ -6,7 +7,7 @@
 use std::time::Duration;
 
 use support::client::{call, request};
-use support::platform::StandInPlatform;
+use support::platform::EmulatedPlatform;
 use support::{Machine, configuration, route};
 use wharfquay_core::idempotency::clock::UnixMillis;
 use wharfquay_core::time::Timestamp;
@@ -17,8 +18,8 @@
 
 const NOW: Timestamp = Timestamp::ZERO;
 
-fn start(born: u64) -> InstanceId {
-    InstanceId::new("i-1", Some(UnixMillis::new(born)))
+fn start(started_at_ms: u64) -> InstanceId {
+    InstanceId::new("i-1", Some(UnixMillis::new(started_at_ms)))
 }
 
 fn heartbeat(instance: &InstanceId, state: ReportedState, sequence: u64) -> Heartbeat {
@@ -35,7 +36,7 @@
     heartbeat(instance, ReportedState::Ready, sequence)
 }
 
-/// A tracker in which a start serves that has sent many heartbeats.
+/// Returns a tracker in which the instance serves and has sent many heartbeats.
 fn serving(instance: &InstanceId) -> InstanceTracker {
     let mut tracker = InstanceTracker::default();
     let decision = tracker.heartbeat(NOW, &ready(instance, 90));
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_later_start_takes_over_though_its_counts_begin_anew() {
+fn a_later_instance_replaces_an_earlier_one_despite_lower_sequences() {
     let mut tracker = serving(&start(1_000));
     assert_eq!(
         tracker.replace_earlier(NOW, &start(2_000)),
@@ -53,7 +54,7 @@
     );
     let decision = tracker.heartbeat(NOW, &ready(&start(2_000), 1));
     assert_eq!(decision, TrackerDecision::Verify);
-    assert_eq!(tracker.current(), None, "not before it is verified");
+    assert_eq!(tracker.current(), None, "the instance is not verified yet");
     assert!(tracker.mark_verified(NOW, &start(2_000)));
     assert_eq!(tracker.current(), Some(&start(2_000)));
     let decision = tracker.heartbeat(NOW, &ready(&start(2_000), 2));
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn an_acknowledged_leaving_does_not_bind_a_later_start_nor_the_other_way_round() {
+fn a_departure_does_not_affect_a_later_instance_and_vice_versa() {
     let mut tracker = serving(&start(1_000));
     let leaving = heartbeat(&start(1_000), ReportedState::Draining, 91);
     assert_eq!(
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn what_still_arrives_from_an_earlier_start_changes_nothing() {
+fn late_messages_of_an_earlier_instance_have_no_effect() {
     let mut tracker = serving(&start(2_000));
     let before = format!("{tracker:?}");
     let late = [
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_of_an_earlier_back_end_at_the_address_gets_it_no_work() {
+fn a_late_heartbeat_of_a_replaced_backend_does_not_make_it_serve() {
     let mut tracker = serving(&start(2_000));
     let earlier = InstanceId::new("i-0", Some(UnixMillis::new(1_000)));
     let decision = tracker.heartbeat(NOW, &ready(&earlier, 7));
@@ -109,11 +110,11 @@
 }
 
 #[test]
-fn a_start_that_was_only_seen_healthy_is_the_one_that_speaks_then() {
+fn an_instance_observed_by_health_is_identified_by_its_first_heartbeat() {
     let mut tracker = InstanceTracker::default();
-    let seen = InstanceId::from("i-1");
-    assert!(tracker.observe_healthy(NOW, &seen));
-    assert!(tracker.mark_verified(NOW, &seen));
+    let observed = InstanceId::from("i-1");
+    assert!(tracker.observe_healthy(NOW, &observed));
+    assert!(tracker.mark_verified(NOW, &observed));
     assert_eq!(tracker.replace_earlier(NOW, &start(1_000)), None);
     let decision = tracker.heartbeat(NOW, &ready(&start(1_000), 1));
     assert_eq!(decision, TrackerDecision::Acknowledge);
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_message_that_tells_no_start_is_refused_where_others_do() {
+fn a_message_without_a_start_time_is_refused_if_others_have_one() {
     let mut tracker = serving(&start(1_000));
     let foreign = ready(&InstanceId::from("i-1"), 100);
     assert_eq!(tracker.heartbeat(NOW, &foreign), TrackerDecision::Refuse);
@@ -130,22 +131,22 @@
 }
 
 #[test]
-fn what_is_found_out_of_a_start_that_is_not_told_says_nothing_of_one_that_is() {
-    let seen = InstanceId::from("i-1");
+fn verification_without_a_start_time_does_not_apply_to_an_instance_with_one() {
+    let observed = InstanceId::from("i-1");
     let mut tracker = InstanceTracker::default();
-    assert!(tracker.observe_healthy(NOW, &seen));
-    assert!(!tracker.lacks_start_time(&seen));
+    assert!(tracker.observe_healthy(NOW, &observed));
+    assert!(!tracker.lacks_start_time(&observed));
     tracker.heartbeat(NOW, &ready(&start(2_000), 1));
-    assert!(tracker.lacks_start_time(&seen));
+    assert!(tracker.lacks_start_time(&observed));
     assert!(!tracker.lacks_start_time(&start(2_000)));
 }
 
 #[tokio::test]
-async fn a_back_end_that_lives_again_serves_after_its_earlier_start_left() {
+async fn a_restarted_backend_serves_after_its_earlier_instance_departed() {
     let configuration = configuration(1, vec![route("/reads/", "shelf", true)]);
-    let platform = Arc::new(StandInPlatform::new(Some(configuration)));
-    let machine = Machine::start_silent(&platform, "machine-a", "shelf").await;
-    let id = |born| InstanceId::new("machine-a-1", Some(UnixMillis::new(born)));
+    let platform = Arc::new(EmulatedPlatform::new(Some(configuration)));
+    let machine = Machine::start_without_heartbeat(&platform, "machine-a", "shelf").await;
+    let id = |started_at_ms| InstanceId::new("machine-a-1", Some(UnixMillis::new(started_at_ms)));
     let sidecar = &machine.sidecar;
     for sequence in 1..4 {
         sidecar.heartbeat(&ready(&id(1_000), sequence)).await;
@@ -156,9 +157,9 @@
     let refused = call(machine.outbound, &request("GET", "/reads/1", "id-1", "")).await;
     assert_eq!(refused.status, 503);
 
-    let taken = sidecar.heartbeat(&ready(&id(2_000), 1)).await;
-    assert_eq!(taken, Acknowledgement::Given);
-    let end = std::time::Instant::now() + support::PATIENCE;
+    let acknowledgement = sidecar.heartbeat(&ready(&id(2_000), 1)).await;
+    assert_eq!(acknowledgement, Acknowledgement::Given);
+    let end = std::time::Instant::now() + support::MAX_WAIT;
     let mut number = 1;
     loop {
         number += 1;
--- a/crates/sidecar/tests/instance_tracker.rs
+++ b/crates/sidecar/tests/instance_tracker.rs
@@ -1,5 +1,5 @@
-//! An acknowledged leaving binds: over schedules of late heartbeats, restarts, store outages and late
-//! store writes no instance gets work after its leaving was acknowledged.
+//! No instance receives work after its departure was acknowledged: random schedules of late
+//! heartbeats, restarts, store outages and late store writes.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -15,17 +15,18 @@
 /// One step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The instance sends a heartbeat that says what holds now.
+    /// The instance sends a heartbeat with its current state.
     Beat(usize),
     /// A heartbeat that was sent earlier arrives now.
     LateBeat(usize),
-    /// The instance begins to leave; it says so with a heartbeat, or with a message that it goes.
+    /// The instance begins to depart. It announces that with a heartbeat or, if `abruptly`, with a
+    /// departure message.
     Leave { instance: usize, abruptly: bool },
-    /// The sidecar's process is killed and started again with an empty memory.
+    /// The sidecar's process is killed and restarted without its state.
     Restart,
-    /// The store answers, or no longer does.
+    /// The store becomes available or unavailable.
     Store { up: bool },
-    /// Time passes and open verifications try again.
+    /// Time passes, and pending verifications are retried.
     Wait(u64),
 }
 
@@ -45,12 +46,12 @@
 struct Backend {
     is_leaving: bool,
     sequence: u64,
-    /// Sequence of the last heartbeat that said ready.
+    /// Sequence of the last heartbeat with the state ready.
     last_ready: u64,
 }
 
-/// The sidecar with its surroundings.
-struct World {
+/// The sidecar's tracker with simulated backends and store.
+struct Simulation {
     now: Timestamp,
     tracker: InstanceTracker,
     backends: Vec<Backend>,
@@ -58,7 +59,7 @@
     durable: HashSet<usize>,
     acknowledged: HashSet<usize>,
     verifying: HashSet<usize>,
-    /// The instance at the back end's address; each later one replaces the one before.
+    /// The instance at the backend's address. Each later one replaces the one before.
     present: usize,
 }
 
@@ -66,7 +67,7 @@
     InstanceId::from(format!("instance-{instance}").as_str())
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             now: Timestamp::ZERO,
@@ -89,10 +90,15 @@
             cold_left: Duration::ZERO,
         };
         let decision = self.tracker.heartbeat(self.now, &heartbeat);
-        self.follow(instance, decision, state == ReportedState::Draining);
+        self.apply_decision(instance, decision, state == ReportedState::Draining);
     }
 
-    fn follow(&mut self, instance: usize, decision: TrackerDecision, says_leaving: bool) {
+    fn apply_decision(
+        &mut self,
+        instance: usize,
+        decision: TrackerDecision,
+        announces_departure: bool,
+    ) {
         match decision {
             TrackerDecision::Verify => {
                 self.verifying.insert(instance);
@@ -105,14 +111,14 @@
             }
             TrackerDecision::RecordDeparture | TrackerDecision::Refuse => {}
             TrackerDecision::Acknowledge => {
-                if says_leaving {
+                if announces_departure {
                     self.acknowledged.insert(instance);
                 }
             }
         }
     }
 
-    /// As the registry verifies: by the durable marks, or by heartbeats and health.
+    /// Verifies as the registry does: by the departure records, or by heartbeats and health.
     fn verify(&mut self) {
         for instance in self.verifying.clone() {
             let id = id(instance);
@@ -160,7 +166,7 @@
                 let sequence = backend.sequence;
                 if abruptly {
                     let decision = self.tracker.departure(self.now, &id(instance));
-                    self.follow(instance, decision, true);
+                    self.apply_decision(instance, decision, true);
                 } else {
                     self.heartbeat(instance, ReportedState::Draining, sequence);
                 }
@@ -190,20 +196,20 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn nothing_goes_to_an_instance_whose_leaving_was_acknowledged(
+    fn an_instance_with_an_acknowledged_departure_gets_no_work(
         schedule in proptest::collection::vec(steps(), 1..60),
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &schedule {
-            world.step(step);
-            if let Some(served) = world.served() {
+            simulation.step(step);
+            if let Some(served) = simulation.served() {
                 prop_assert!(
-                    !world.acknowledged.contains(&served),
-                    "instance {served} gets work after {step:?}"
+                    !simulation.acknowledged.contains(&served),
+                    "instance {served} receives work after {step:?}"
                 );
             }
-            for acknowledged in &world.acknowledged {
-                prop_assert!(world.durable.contains(acknowledged), "not durable");
+            for acknowledged in &simulation.acknowledged {
+                prop_assert!(simulation.durable.contains(acknowledged), "not durable");
             }
         }
     }
@@ -211,35 +217,36 @@
 
 #[test]
 fn a_late_heartbeat_changes_nothing() {
-    let mut world = World::new();
-    world.step(&Step::Beat(0));
-    world.step(&Step::Wait(10));
-    assert_eq!(world.served(), Some(0));
-    world.step(&Step::Leave {
+    let mut simulation = Simulation::new();
+    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Wait(10));
+    assert_eq!(simulation.served(), Some(0));
+    simulation.step(&Step::Leave {
         instance: 0,
         abruptly: false,
     });
-    world.step(&Step::LateBeat(0));
-    world.step(&Step::Wait(10));
-    assert_eq!(world.served(), None);
-    assert!(world.acknowledged.contains(&0));
+    simulation.step(&Step::LateBeat(0));
+    simulation.step(&Step::Wait(10));
+    assert_eq!(simulation.served(), None);
+    assert!(simulation.acknowledged.contains(&0));
 }
 
 #[test]
-fn without_the_store_two_heartbeats_and_health_are_enough_and_one_is_not() {
-    let mut world = World::new();
-    world.step(&Step::Store { up: false });
-    world.step(&Step::Beat(0));
-    world.step(&Step::Wait(1_500));
-    assert_eq!(world.served(), None);
-    world.step(&Step::Beat(0));
-    world.step(&Step::Wait(10));
-    assert_eq!(world.served(), Some(0));
+fn without_the_store_an_instance_needs_two_heartbeats_and_health() {
+    let mut simulation = Simulation::new();
+    simulation.step(&Step::Store { up: false });
+    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Wait(1_500));
+    assert_eq!(simulation.served(), None);
+    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Wait(10));
+    assert_eq!(simulation.served(), Some(0));
 }
 
-/// The durable marks were asked before the instance said that it leaves, and the answer comes after it.
+/// The departure records were queried before the instance announced its departure, and the reply
+/// arrives afterwards.
 #[test]
-fn a_leaving_that_is_told_during_the_lookup_wins_over_its_answer() {
+fn a_departure_during_the_lookup_overrides_its_reply() {
     let mut tracker = InstanceTracker::default();
     let heartbeat = Heartbeat {
         instance: id(0),
--- a/crates/sidecar/tests/isolation.rs
+++ b/crates/sidecar/tests/isolation.rs
@@ -1,26 +1,27 @@
-//! A sidecar that no longer hears of the others sends callers away, and takes them again afterwards.
+//! A sidecar without contact to the others is not ready, and becomes ready again once contact is
+//! restored.
 
 mod support;
 
 use std::sync::Arc;
 
-use support::platform::StandInPlatform;
+use support::platform::EmulatedPlatform;
 use support::{Machine, configuration, eventually, route};
 use tokio::runtime::Runtime;
 
-fn platform() -> Arc<StandInPlatform> {
+fn platform() -> Arc<EmulatedPlatform> {
     let routes = vec![route("/reads/", "shelf", true)];
-    Arc::new(StandInPlatform::new(Some(configuration(1, routes))))
+    Arc::new(EmulatedPlatform::new(Some(configuration(1, routes))))
 }
 
-/// A machine in a runtime of its own: it falls silent at once when the runtime is dropped.
-fn start_elsewhere(platform: &Arc<StandInPlatform>, name: &'static str) -> Runtime {
+/// Starts a machine in a separate runtime. It stops responding as soon as the runtime is dropped.
+fn start_elsewhere(platform: &Arc<EmulatedPlatform>, name: &'static str) -> Runtime {
     let runtime = Runtime::new().unwrap();
     let platform = Arc::clone(platform);
     let started = runtime.spawn(async move {
         let machine = Machine::start(&platform, name, "shelf").await;
         machine.ready().await;
-        // The machine stays until the runtime ends.
+        // Keeps the machine until the runtime is shut down.
         std::future::pending::<()>().await;
         drop(machine);
     });
@@ -34,14 +35,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_that_hears_of_no_other_is_not_ready_until_it_does_again() {
+async fn an_isolated_sidecar_is_not_ready_until_contact_is_restored() {
     let platform = platform();
     let machine = Machine::start(&platform, "machine-a", "shelf").await;
     let other = start_elsewhere(&platform, "machine-b");
-    eventually("they know each other", || knows(&machine, 2)).await;
+    eventually("the sidecars have discovered each other", || {
+        knows(&machine, 2)
+    })
+    .await;
     machine.ready().await;
     other.shutdown_background();
-    eventually("it is not ready", || !machine.sidecar.is_ready()).await;
+    eventually("the sidecar is not ready", || !machine.sidecar.is_ready()).await;
     let other = start_elsewhere(&platform, "machine-b");
     machine.ready().await;
     other.shutdown_background();
--- a/crates/sidecar/tests/lineage.rs
+++ b/crates/sidecar/tests/lineage.rs
@@ -1,9 +1,9 @@
-//! The place of a request in the tree of calls, read from its id.
+//! Position of a request in the call tree, derived from its id.
 
 use wharfquay_sidecar::dialect::RequestLineage;
 
 #[test]
-fn root_and_parent_are_read_where_the_form_shows_them() {
+fn root_and_parent_are_derived_from_the_id() {
     let cases = [
         ("9437", "9437", None),
         ("9437.1eae", "9437", Some("9437")),
--- a/crates/sidecar/tests/log_output.rs
+++ b/crates/sidecar/tests/log_output.rs
@@ -1,11 +1,12 @@
-//! The bound on log lines: ordinary ones are dropped first, and what was dropped is counted.
+//! Limit on log lines: ordinary lines are dropped first, and dropped lines are counted.
 
 use std::time::{Duration, Instant};
 
 use log::Level;
 use wharfquay_sidecar::log_output::{LINES_PER_SECOND, LineBudget};
 
-/// Lines of a level that pass in one second, from the start of a budget's window on.
+/// Returns how many lines of a level are written in one second, counted from the start of a
+/// budget's window.
 fn passed(budget: &mut LineBudget, now: Instant, level: Level, offered: u32) -> u32 {
     let allowed = (0..offered).filter(|_| budget.allows(now, level));
     u32::try_from(allowed.count()).unwrap()
--- a/crates/sidecar/tests/metrics_under_change.rs
+++ b/crates/sidecar/tests/metrics_under_change.rs
@@ -1,4 +1,4 @@
-//! Metrics and readiness are read while the configuration changes.
+//! Metrics and readiness are read while the configuration and the members change.
 
 mod support;
 
@@ -6,29 +6,29 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use support::platform::StandInPlatform;
+use support::platform::EmulatedPlatform;
 use support::{Machine, configuration, eventually, route};
 
 const CHANGES: u64 = 400;
-/// Readings at a time; each may meet a change between its own parts.
+/// Number of concurrent readers. Each may encounter a change between the parts of one read.
 const READERS: usize = 3;
-/// Sidecars that join while metrics are read.
+/// Number of sidecars that join while metrics are read.
 const JOINING: usize = 12;
 const LIMIT: Duration = Duration::from_secs(20);
 
 #[test]
-fn reading_metrics_and_changing_the_configuration_block_each_other_for_a_moment_only() {
-    ends_in_time(change_and_read());
+fn reading_metrics_while_the_configuration_changes_does_not_deadlock() {
+    completes_in_time(change_and_read());
 }
 
 #[test]
-fn reading_metrics_and_changing_the_members_block_each_other_for_a_moment_only() {
-    ends_in_time(join_and_read());
+fn reading_metrics_while_the_members_change_does_not_deadlock() {
+    completes_in_time(join_and_read());
 }
 
-fn ends_in_time(scenario: impl Future<Output = ()> + Send + 'static) {
+fn completes_in_time(scenario: impl Future<Output = ()> + Send + 'static) {
     let (ended, end) = mpsc::channel();
-    // A thread of its own: where both block for good, so does the runtime's end.
+    // Runs in a separate thread: in a deadlock the runtime could not be shut down either.
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(READERS + 2)
@@ -43,7 +43,7 @@
 
 async fn change_and_read() {
     let version = |number| configuration(number, vec![route("/reads/", "shelf", true)]);
-    let platform = Arc::new(StandInPlatform::new(Some(version(1))));
+    let platform = Arc::new(EmulatedPlatform::new(Some(version(1))));
     let machine = Machine::start(&platform, "machine-a", "shelf").await;
     machine.ready().await;
     let readers = read_metrics(&machine);
@@ -61,10 +61,11 @@
     }
 }
 
-/// Sidecars that join one after the other change the member table of the one that is read.
+/// Sidecars that join one after the other change the member table of the sidecar whose metrics are
+/// read.
 async fn join_and_read() {
     let version = configuration(1, vec![route("/reads/", "shelf", true)]);
-    let platform = Arc::new(StandInPlatform::new(Some(version)));
+    let platform = Arc::new(EmulatedPlatform::new(Some(version)));
     let machine = Machine::start(&platform, "machine-a", "shelf").await;
     machine.ready().await;
     let readers = read_metrics(&machine);
--- a/crates/sidecar/tests/operations_page.rs
+++ b/crates/sidecar/tests/operations_page.rs
@@ -1,6 +1,6 @@
-//! `docs/OPERATIONS.md` lists exactly the log events and the metrics that a sidecar has.
+//! `docs/OPERATIONS.md` lists exactly the log events and the metrics of a sidecar.
 //!
-//! `UPDATE_PAGES=1 cargo test -p wharfquay-sidecar --test operations_page` writes its tables anew.
+//! `UPDATE_PAGES=1 cargo test -p wharfquay-sidecar --test operations_page` regenerates its tables.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
     let page = std::fs::read_to_string(&path).unwrap();
     let begin = format!("<!-- begin generated: {name} -->\n");
     let end = format!("<!-- end generated: {name} -->");
-    let start = page.find(&begin).expect("the section") + begin.len();
+    let start = page.find(&begin).expect("the section begins") + begin.len();
     let length = page[start..].find(&end).expect("the section ends");
     if std::env::var_os("UPDATE_PAGES").is_some() {
         let (head, tail) = (&page[..start], &page[start + length..]);
@@ -27,7 +27,7 @@
     );
 }
 
-/// One test for both tables, so that two writers never change the page at the same time.
+/// One test checks both tables, because concurrent updates of the page would conflict.
 #[test]
 fn the_page_lists_every_event_and_metric() {
     let mut events = "| Event | Level | Fields | Meaning |\n|---|---|---|---|\n".to_owned();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn every_metric_without_labels_is_told_and_has_its_help() {
+fn every_metric_without_labels_is_rendered_with_its_help() {
     let text = Metrics::new().unwrap().render(&Gauges::default());
     for (name, meaning) in CATALOGUE {
         let help = format!("# HELP {name} {meaning}");
--- a/crates/sidecar/tests/parsing.rs
+++ b/crates/sidecar/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies of requests, cut into arbitrary pieces, and what must be refused.
+//! Request heads and bodies split at arbitrary positions, and input that must be rejected.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn requests_that_can_be_understood_in_two_ways_are_refused() {
+fn ambiguous_requests_are_rejected() {
     let cases = [
         "GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
         "GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n",
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn a_long_head_is_refused_before_it_is_whole() {
+fn an_oversized_head_is_rejected_before_it_is_complete() {
     let endless = format!("GET / HTTP/1.1\r\nX-Long: {}", "x".repeat(2 * HEAD_LIMIT));
     assert_eq!(parse(&endless).unwrap_err(), ParseError::HeadTooLong);
 }
 
 #[test]
-fn connections_are_kept_as_the_version_and_the_header_say() {
+fn keep_alive_follows_version_and_connection_header() {
     let cases = [
         ("GET / HTTP/1.1\r\n\r\n", true),
         (
@@ -70,7 +70,8 @@
     assert!(buffer.is_empty());
 }
 
-/// Feeds a body in pieces; gives what was decoded and what was left over.
+/// Decodes a body that arrives in pieces. Returns the body, true if it is complete, and the
+/// remaining bytes.
 fn decode(framing: Framing, pieces: &[Bytes]) -> Result<(Vec<u8>, bool, BytesMut), ParseError> {
     let mut decoder = BodyDecoder::new(framing, BODY_LIMIT)?;
     let mut buffer = BytesMut::new();
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn malformed_chunks_are_refused() {
+fn malformed_chunks_are_rejected() {
     let cases = [
         "x\r\n",
         "-1\r\n",
@@ -112,25 +113,26 @@
 }
 
 #[test]
-fn a_length_above_the_limit_is_refused_at_once() {
+fn a_length_above_the_limit_is_rejected_immediately() {
     let error = BodyDecoder::new(Framing::Length(BODY_LIMIT + 1), BODY_LIMIT).unwrap_err();
     assert_eq!(error, ParseError::BodyTooLong);
 }
 
 fn cut(text: &[u8], cuts: &[usize]) -> Vec<Bytes> {
-    let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).collect();
-    places.extend([0, text.len()]);
-    places.sort_unstable();
-    let pairs = places.windows(2);
+    let mut positions: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).collect();
+    positions.extend([0, text.len()]);
+    positions.sort_unstable();
+    let pairs = positions.windows(2);
     pairs
         .map(|pair| Bytes::copy_from_slice(&text[pair[0]..pair[1]]))
         .collect()
 }
 
 proptest! {
-    /// However the bytes arrive, a chunked body is its chunks and what follows stays in the buffer.
+    /// However the bytes are split, the decoded body consists of its chunks, and the bytes after it
+    /// stay in the buffer.
     #[test]
-    fn chunked_bodies_survive_any_cut(
+    fn chunked_bodies_are_decoded_at_any_split(
         chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 1..40), 0..8),
         cuts in proptest::collection::vec(0_usize..2_000, 0..10),
     ) {
@@ -147,9 +149,10 @@
         prop_assert!(rest.is_empty());
     }
 
-    /// A body with a length ends after that many bytes, and what follows is the next request's.
+    /// A body with a length ends after that number of bytes; the remaining ones belong to the next
+    /// request.
     #[test]
-    fn bodies_with_a_length_end_there(
+    fn bodies_with_a_length_end_after_it(
         body in proptest::collection::vec(any::<u8>(), 1..200),
         extra in proptest::collection::vec(any::<u8>(), 0..20),
         cuts in proptest::collection::vec(0_usize..300, 0..6),
@@ -162,9 +165,9 @@
         prop_assert_eq!(rest.to_vec(), extra);
     }
 
-    /// Arbitrary bytes never panic and never give more body than the limit.
+    /// Arbitrary bytes never cause a panic or a body longer than the limit.
     #[test]
-    fn arbitrary_bytes_do_no_harm(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_never_panic_or_exceed_the_limit(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut buffer = BytesMut::from(bytes.as_slice());
         let _ = take_head(&mut buffer, HEAD_LIMIT);
         if let Ok((body, _, _)) = decode(Framing::Chunked, &[Bytes::from(bytes)]) {
--- a/crates/sidecar/tests/quotas.rs
+++ b/crates/sidecar/tests/quotas.rs
@@ -6,8 +6,10 @@
 use std::time::{Duration, Instant};
 
 use support::backend::Behaviour;
-use support::platform::StandInPlatform;
-use support::tenants::{get_with_key, keyed, limited, result, serving, tenant, tenants};
+use support::platform::EmulatedPlatform;
+use support::tenants::{
+    get_with_key, keyed_requests, limited, result, serving_machine, tenant, tenants,
+};
 use support::{Machine, eventually};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_sidecar::settings::Settings;
@@ -16,15 +18,15 @@
 const RATE: f64 = 40.0;
 const BURST: f64 = 12.0;
 
-async fn machines(known: Vec<Tenant>, first_start: bool) -> (Arc<StandInPlatform>, Vec<Machine>) {
-    let platform = Arc::new(StandInPlatform::new(Some(tenants(1, known))));
+async fn machines(known: Vec<Tenant>, first_start: bool) -> (Arc<EmulatedPlatform>, Vec<Machine>) {
+    let platform = Arc::new(EmulatedPlatform::new(Some(tenants(1, known))));
     let adjust = |settings: &mut Settings| settings.is_first_start = first_start;
     let mut machines = Vec::new();
     for name in ["machine-a", "machine-b", "machine-c"] {
-        machines.push(serving(&platform, name, adjust).await);
+        machines.push(serving_machine(&platform, name, adjust).await);
     }
     for machine in &machines {
-        eventually("they know each other", || {
+        eventually("the sidecars have discovered each other", || {
             let metrics = machine.sidecar.metrics_text();
             metrics.contains("wharfquay_members{state=\"alive\"} 3")
         })
@@ -33,25 +35,33 @@
     (platform, machines)
 }
 
-fn ran(machines: &[Machine]) -> usize {
-    machines.iter().map(|machine| keyed(machine).len()).sum()
+fn executed_calls(machines: &[Machine]) -> usize {
+    machines
+        .iter()
+        .map(|machine| keyed_requests(machine).len())
+        .sum()
 }
 
-/// Sends requests at every machine for a while, far more than the limit; gives how many were refused.
-async fn flood(machines: &[Machine], lasts: Duration) -> usize {
-    let end = Instant::now() + lasts;
+/// Sends requests at every machine for a while, far more than the limit. Returns how many were
+/// refused.
+async fn overload(machines: &[Machine], duration: Duration) -> usize {
+    let end = Instant::now() + duration;
     let senders = machines.iter().map(|machine| async move {
         let mut refused = 0;
         while Instant::now() < end {
-            let answer = get_with_key(machine, "id", "k-1").await;
-            match answer.status {
+            let response = get_with_key(machine, "id", "k-1").await;
+            match response.status {
                 200 => {}
                 429 => {
                     refused += 1;
-                    assert_eq!(result(&answer), Some(ResultCode::OverQuota.number()));
-                    assert!(answer.header("retry-after").is_some(), "{}", answer.head);
+                    assert_eq!(result(&response), Some(ResultCode::OverQuota.number()));
+                    assert!(
+                        response.header("retry-after").is_some(),
+                        "{}",
+                        response.head
+                    );
                 }
-                _ => panic!("{}", answer.head),
+                _ => panic!("{}", response.head),
             }
         }
         refused
@@ -68,19 +78,28 @@
     const LASTS: Duration = Duration::from_secs(2);
     let (_platform, machines) = machines(vec![limited("acme", &["k-1"], RATE, BURST)], true).await;
     let started = Instant::now();
-    let refused = flood(&machines, LASTS).await;
+    let refused = overload(&machines, LASTS).await;
     let lasted = started.elapsed().as_secs_f64();
     assert!(refused > 0);
-    let ran = ran(&machines) as f64;
+    let executed_calls = executed_calls(&machines) as f64;
     // Three machines own three quarters of the limit.
-    assert!(ran <= RATE * lasted + BURST + 4.0, "{ran} in {lasted} s");
-    assert!(ran >= 0.9 * 0.75 * RATE * lasted, "{ran} in {lasted} s");
+    assert!(
+        executed_calls <= RATE * lasted + BURST + 4.0,
+        "{executed_calls} in {lasted} s"
+    );
+    assert!(
+        executed_calls >= 0.9 * 0.75 * RATE * lasted,
+        "{executed_calls} in {lasted} s"
+    );
 }
 
 #[tokio::test]
-async fn a_lower_limit_holds_soon() {
+async fn a_lower_limit_takes_effect_soon() {
     let (platform, machines) = machines(vec![limited("acme", &["k-1"], 1e6, 1e6)], true).await;
-    assert_eq!(flood(&machines[..1], Duration::from_millis(200)).await, 0);
+    assert_eq!(
+        overload(&machines[..1], Duration::from_millis(200)).await,
+        0
+    );
     platform.publish(tenants(2, vec![limited("acme", &["k-1"], 8.0, 4.0)]));
     for machine in &machines {
         eventually("version 2 is in force", || {
@@ -89,39 +108,39 @@
         })
         .await;
     }
-    let before = ran(&machines);
-    assert!(flood(&machines, Duration::from_secs(1)).await > 0);
-    let after = ran(&machines) - before;
+    let before = executed_calls(&machines);
+    assert!(overload(&machines, Duration::from_secs(1)).await > 0);
+    let after = executed_calls(&machines) - before;
     assert!(after <= 20, "{after}");
 }
 
 #[tokio::test]
 async fn tenants_without_a_limit_are_never_refused() {
     let (_platform, machines) = machines(vec![tenant("acme", &["k-1"])], true).await;
-    assert_eq!(flood(&machines, Duration::from_millis(300)).await, 0);
+    assert_eq!(overload(&machines, Duration::from_millis(300)).await, 0);
 }
 
 #[tokio::test]
 async fn a_restarted_deployment_starts_without_a_burst() {
     let (_platform, machines) = machines(vec![limited("acme", &["k-1"], 0.1, 400.0)], false).await;
-    flood(&machines, Duration::from_millis(300)).await;
-    let ran = ran(&machines);
-    assert!(ran <= 3, "{ran}");
+    overload(&machines, Duration::from_millis(300)).await;
+    let executed_calls = executed_calls(&machines);
+    assert!(executed_calls <= 3, "{executed_calls}");
 }
 
 #[tokio::test]
-async fn a_request_that_did_not_run_uses_up_nothing() {
+async fn an_unexecuted_request_uses_no_token() {
     let known = vec![limited("acme", &["k-1"], 0.1, 8.0)];
-    let platform = Arc::new(StandInPlatform::new(Some(tenants(1, known))));
-    let machine = serving(&platform, "machine-a", |settings| {
+    let platform = Arc::new(EmulatedPlatform::new(Some(tenants(1, known))));
+    let machine = serving_machine(&platform, "machine-a", |settings| {
         settings.is_first_start = true
     })
     .await;
     machine.backend.expect(&[Behaviour::Refuse; 6]);
-    let answer = get_with_key(&machine, "refused", "k-1").await;
-    assert_eq!(answer.status, 503, "{}", answer.head);
+    let response = get_with_key(&machine, "refused", "k-1").await;
+    assert_eq!(response.status, 503, "{}", response.head);
     machine.backend.expect(&[]);
-    // One sidecar owns a quarter of the burst: two tokens, one of which came back.
+    // One sidecar owns a quarter of the burst: two tokens, one of which was returned.
     let mut served = 0;
     for _ in 0..40 {
         served += usize::from(get_with_key(&machine, "id", "k-1").await.status == 200);
--- a/crates/sidecar/tests/relay.rs
+++ b/crates/sidecar/tests/relay.rs
@@ -1,16 +1,16 @@
-//! A configuration reaches every sidecar in time while the platform refuses any part of them.
+//! A configuration reaches every sidecar in time while the platform refuses any subset of them.
 
 mod support;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use support::platform::StandInPlatform;
+use support::platform::EmulatedPlatform;
 use support::{Machine, configuration, eventually, route};
 use wharfquay_sidecar::configuration::Configuration;
 
 const MACHINES: usize = 4;
-/// Time after which a configuration that the platform acknowledged is in force.
+/// Time within which a configuration that the platform acknowledged is in force.
 const LIMIT: Duration = Duration::from_secs(2);
 
 fn version(number: u64) -> Configuration {
@@ -18,13 +18,13 @@
 }
 
 struct Deployment {
-    platforms: Vec<Arc<StandInPlatform>>,
+    platforms: Vec<Arc<EmulatedPlatform>>,
     machines: Vec<Machine>,
 }
 
 impl Deployment {
     async fn start() -> Self {
-        let operator = StandInPlatform::new(Some(version(1)));
+        let operator = EmulatedPlatform::new(Some(version(1)));
         let mut deployment = Self {
             platforms: Vec::new(),
             machines: Vec::new(),
@@ -38,7 +38,7 @@
         }
         let all = format!("wharfquay_members{{state=\"alive\"}} {MACHINES}");
         for machine in &deployment.machines {
-            eventually("all know each other", || {
+            eventually("the sidecars have discovered each other", || {
                 machine.sidecar.metrics_text().contains(&all)
             })
             .await;
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_reaches_all_while_any_part_of_them_is_refused() {
+async fn a_change_reaches_all_sidecars_while_the_platform_refuses_any_subset() {
     let deployment = Deployment::start().await;
     let all = (1 << MACHINES) - 1;
     for subset in 0..all {
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_is_in_force_soon_after_the_platform_serves_one_of_them_again() {
+async fn a_change_is_in_force_soon_after_the_platform_serves_one_sidecar_again() {
     let deployment = Deployment::start().await;
     let all = (1 << MACHINES) - 1;
     deployment.refuse(all);
@@ -100,5 +100,5 @@
     tokio::time::sleep(LIMIT).await;
     assert!((0..MACHINES).all(|number| deployment.in_force(number) == 1));
     deployment.refuse(all - 1);
-    deployment.wait_for(20, "one is served again").await;
+    deployment.wait_for(20, "one sidecar is served again").await;
 }
--- a/crates/sidecar/tests/restored_store.rs
+++ b/crates/sidecar/tests/restored_store.rs
@@ -1,4 +1,5 @@
-//! The platform's store comes back from a copy that lacks what was acknowledged in the last seconds.
+//! The platform's store is restored from a backup that lacks the data acknowledged in the last
+//! seconds.
 
 mod support;
 
@@ -7,17 +8,17 @@
 use std::time::{Duration, Instant};
 
 use support::client::{call, request};
-use support::platform::StandInPlatform;
-use support::{Machine, PATIENCE, configuration, eventually, route};
+use support::platform::EmulatedPlatform;
+use support::{MAX_WAIT, Machine, configuration, eventually, route};
 use wharfquay_daemon::clock::Clock;
 use wharfquay_sidecar::configuration::Configuration;
 use wharfquay_sidecar::instance::{Acknowledgement, ReportedState};
 use wharfquay_sidecar::store_era::{EarlierEra, StoreEras};
 
-/// Ends of back ends after which a request is quarantined.
-const ENDS: usize = 3;
-/// What the target of a request holds that ends each back end which begins to execute it.
-const ENDING: &str = "ends-it";
+/// Number of backend terminations after which a request is quarantined.
+const TERMINATIONS_TO_QUARANTINE: usize = 3;
+/// Part of a request target that makes each backend terminate that begins to execute the request.
+const CRASHING: &str = "ends-it";
 
 fn version(number: u64) -> Configuration {
     configuration(number, vec![route("/reads/", "shelf", true)])
@@ -32,18 +33,21 @@
 }
 
 #[tokio::test]
-async fn a_configuration_is_adopted_after_the_store_went_back_and_none_goes_back() {
-    let platform = Arc::new(StandInPlatform::new(Some(version(3))));
+async fn newer_configurations_are_adopted_after_a_restore_and_older_ones_never() {
+    let platform = Arc::new(EmulatedPlatform::new(Some(version(3))));
     let machine = Machine::start(&platform, "machine-a", "shelf").await;
     eventually("the first is in force", || in_force(&machine) == 3).await;
-    let copy = platform.copy();
+    let backup = platform.backup();
     platform.publish(version(5));
     eventually("the second is in force", || in_force(&machine) == 5).await;
     for (written_again, next) in [(5, 6), (6, 9)] {
-        platform.restore(copy.clone());
+        platform.restore(backup.clone());
         let end = Instant::now() + Duration::from_secs(1);
         while Instant::now() < end {
-            assert!(in_force(&machine) >= written_again, "it went back");
+            assert!(
+                in_force(&machine) >= written_again,
+                "an older version came into force"
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         platform.publish(version(written_again));
@@ -53,19 +57,19 @@
 }
 
 #[tokio::test]
-async fn acknowledged_leavings_are_written_again() {
-    let platform = Arc::new(StandInPlatform::new(Some(version(1))));
+async fn acknowledged_departures_are_written_again() {
+    let platform = Arc::new(EmulatedPlatform::new(Some(version(1))));
     let mut machine = Machine::start(&platform, "machine-a", "shelf").await;
     machine.ready().await;
-    let copy = platform.copy();
-    let acknowledged = machine.beat(ReportedState::Draining).await;
+    let backup = platform.backup();
+    let acknowledged = machine.send_heartbeat(ReportedState::Draining).await;
     assert_eq!(acknowledged, Acknowledgement::Given);
-    assert_eq!(platform.departed(), ["machine-a-1"]);
+    assert_eq!(platform.departure_records(), ["machine-a-1"]);
     for _ in 0..2 {
-        platform.restore(copy.clone());
-        assert!(platform.departed().is_empty());
-        eventually("the mark is there again", || {
-            platform.departed() == ["machine-a-1"]
+        platform.restore(backup.clone());
+        assert!(platform.departure_records().is_empty());
+        eventually("the departure record is written again", || {
+            platform.departure_records() == ["machine-a-1"]
         })
         .await;
     }
@@ -73,8 +77,8 @@
 
 #[tokio::test]
 async fn entries_of_the_directory_are_written_again() {
-    let platform = Arc::new(StandInPlatform::new(Some(version(1))));
-    let empty = platform.copy();
+    let platform = Arc::new(EmulatedPlatform::new(Some(version(1))));
+    let empty = platform.backup();
     let _first = Machine::start(&platform, "machine-a", "shelf").await;
     let _second = Machine::start(&platform, "machine-b", "shelf").await;
     let both = ["machine-a", "machine-b"];
@@ -85,27 +89,32 @@
 
 #[tokio::test]
 async fn records_of_quarantined_requests_are_written_again() {
-    let platform = Arc::new(StandInPlatform::new(Some(version(1))));
-    let empty = platform.copy();
+    let platform = Arc::new(EmulatedPlatform::new(Some(version(1))));
+    let empty = platform.backup();
     let mut machines = Vec::new();
     for name in ["machine-a", "machine-b"] {
         let machine = Machine::start(&platform, name, "shelf").await;
-        machine.keep_beating();
-        machine.backend.end_on(ENDING);
+        machine.keep_sending_heartbeats();
+        machine.backend.terminate_on(CRASHING);
         machine.ready().await;
         machines.push(machine);
     }
-    let ends = || -> usize { machines.iter().map(|machine| machine.backend.ends()).sum() };
-    let end = Instant::now() + PATIENCE * 2;
+    let terminations = || -> usize {
+        machines
+            .iter()
+            .map(|machine| machine.backend.terminations())
+            .sum()
+    };
+    let end = Instant::now() + MAX_WAIT * 2;
     let mut attempt = 0_u64;
-    while platform.records().is_empty() {
+    while platform.quarantine_records().is_empty() {
         assert!(
             Instant::now() < end,
-            "never quarantined after {} ends",
-            ends()
+            "never quarantined after {} terminations",
+            terminations()
         );
         attempt += 1;
-        let target = format!("/reads/{ENDING}");
+        let target = format!("/reads/{CRASHING}");
         call(
             machines[0].outbound,
             &request("GET", &target, &format!("{attempt:016x}"), ""),
@@ -113,53 +122,65 @@
         .await;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert!(ends() >= ENDS);
-    let kept = platform.records();
+    assert!(terminations() >= TERMINATIONS_TO_QUARANTINE);
+    let kept = platform.quarantine_records();
     platform.restore(empty);
-    let fingerprint = |records: &[wharfquay_sidecar::platform::QuarantineRecord]| {
-        records
+    let fingerprint = |quarantine_records: &[wharfquay_sidecar::platform::QuarantineRecord]| {
+        quarantine_records
             .iter()
             .map(|record| record.fingerprint)
             .collect::<Vec<_>>()
     };
-    eventually("the record is there again", || {
-        fingerprint(&platform.records()) == fingerprint(&kept)
+    eventually("the quarantine record is written again", || {
+        fingerprint(&platform.quarantine_records()) == fingerprint(&kept)
     })
     .await;
 }
 
-static LATER_MS: AtomicU64 = AtomicU64::new(0);
+static MANUAL_TIME_MS: AtomicU64 = AtomicU64::new(0);
 
-/// A time that stands still unless the test moves it.
-fn moved_time() -> Duration {
-    Duration::from_millis(LATER_MS.load(Ordering::Relaxed))
+/// A clock that advances only when the test changes it.
+fn manual_time() -> Duration {
+    Duration::from_millis(MANUAL_TIME_MS.load(Ordering::Relaxed))
 }
 
 #[test]
-fn answers_of_an_earlier_era_are_not_used_until_nothing_else_comes() {
-    let eras = StoreEras::new(Clock::from_source(moved_time));
+fn replies_of_an_earlier_era_are_ignored_until_only_they_arrive() {
+    let eras = StoreEras::new(Clock::from_source(manual_time));
     let first = eras.answered(Some(4)).unwrap();
     assert_eq!((first.number, first.changes), (Some(4), 0));
     let second = eras.answered(Some(5)).unwrap();
     assert_eq!((second.number, second.changes), (Some(5), 1));
-    assert_eq!(eras.answered(Some(4)), Err(EarlierEra), "a late answer");
+    assert_eq!(eras.answered(Some(4)), Err(EarlierEra), "a late reply");
     assert_eq!(eras.answered(Some(5)).unwrap(), second);
-    LATER_MS.fetch_add(60_000, Ordering::Relaxed);
-    assert_eq!(eras.answered(Some(4)), Err(EarlierEra), "late again");
-    LATER_MS.fetch_add(3_000, Ordering::Relaxed);
-    let fallen = eras.answered(Some(4)).unwrap();
-    assert_eq!((fallen.number, fallen.changes), (Some(4), 2), "it fell");
+    MANUAL_TIME_MS.fetch_add(60_000, Ordering::Relaxed);
+    assert_eq!(
+        eras.answered(Some(4)),
+        Err(EarlierEra),
+        "a late reply again"
+    );
+    MANUAL_TIME_MS.fetch_add(3_000, Ordering::Relaxed);
+    let decreased = eras.answered(Some(4)).unwrap();
+    assert_eq!(
+        (decreased.number, decreased.changes),
+        (Some(4), 2),
+        "the era number decreased"
+    );
     let jumped = eras.answered(Some(40)).unwrap();
     assert_eq!((jumped.number, jumped.changes), (Some(40), 3));
 }
 
 #[test]
-fn an_answer_without_an_era_counts_as_a_restored_store_once_in_a_while() {
+fn a_reply_without_an_era_counts_as_a_restore_at_most_once_per_interval() {
     let eras = StoreEras::new(Clock::start());
-    assert_eq!(eras.answered(None).unwrap().changes, 0, "none ever told");
+    assert_eq!(
+        eras.answered(None).unwrap().changes,
+        0,
+        "no era was ever reported"
+    );
     assert_eq!(eras.answered(Some(7)).unwrap().changes, 0);
     assert_eq!(eras.answered(None).unwrap().changes, 1);
     assert_eq!(eras.answered(None).unwrap().changes, 1);
-    let told = eras.answered(Some(7)).unwrap();
-    assert_eq!((told.number, told.changes), (Some(7), 1));
+    let reported = eras.answered(Some(7)).unwrap();
+    assert_eq!((reported.number, reported.changes), (Some(7), 1));
 }
--- a/crates/sidecar/tests/support/backend.rs
+++ b/crates/sidecar/tests/support/backend.rs
@@ -1,4 +1,5 @@
-//! A back end that speaks the tests' dialect over plain sockets, so that it can also misbehave.
+//! An emulated backend that speaks the tests' dialect over plain sockets, which allows it to
+//! misbehave.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,55 +11,55 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// Time from the begin of a request that ends the back end to that end.
-const TIME_TO_END: Duration = Duration::from_millis(40);
-/// Time until a back end that ended is back, as another instance.
+/// Time from the begin of a request that terminates the backend to that termination.
+const TERMINATION_DELAY: Duration = Duration::from_millis(40);
+/// Time until a terminated backend restarts as another instance.
 pub const DOWN_TIME: Duration = Duration::from_millis(250);
 
-/// What the back end does with one request.
+/// Behaviour of the backend for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers with its whole body.
-    Answer,
-    /// Answers after a while.
+    /// Sends a complete response.
+    Respond,
+    /// Sends a complete response after this delay.
     Slow(Duration),
-    /// Executes the request and closes the connection without an answer.
-    LoseAnswer,
-    /// Answers with fewer bytes than it says and closes the connection.
-    CutShort,
-    /// Answers without a length and ends the body with the connection.
+    /// Executes the request and closes the connection without a response.
+    LoseResponse,
+    /// Sends fewer bytes than the response declares and closes the connection.
+    Truncate,
+    /// Sends a response without a length, whose body ends with the connection.
     Unframed,
-    /// Answers, and sends a second answer of another request right after.
-    AnswerTwice,
-    /// Answers with the id of another request.
-    AnswerAnother,
-    /// Answers with success and without a signature.
+    /// Sends the response, directly followed by a second one to another request.
+    RespondTwice,
+    /// Sends a response with the id of another request.
+    RespondWithOtherId,
+    /// Sends a successful response without a signature.
     Unsigned,
-    /// Answers with bytes in a coding that nobody asked for.
+    /// Sends a response with a content encoding that was not requested.
     Encoded,
-    /// Proves that it did not execute the request.
+    /// Refuses the request with the proof that it was not executed.
     Refuse,
-    /// Answers that it is overloaded, without a proof that it did not execute the request.
+    /// Responds that it is overloaded, without the proof that the request was not executed.
     Unproven503,
-    /// Answers with a failure of its own.
+    /// Responds with a server error.
     Fail,
-    /// Answers with a body of this many bytes.
+    /// Sends a response with a body of this many bytes.
     Long(usize),
-    /// Says that it answers with this many bytes and breaks off before the last one.
-    LongCutShort(usize),
-    /// Begins to execute the request and ends as a process.
-    End,
+    /// Declares a body of this many bytes and closes the connection before the last one.
+    TruncateLong(usize),
+    /// Begins to execute the request and terminates.
+    Terminate,
 }
 
-/// One request as the back end saw it.
+/// One request as the backend received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Seen {
-    /// The value of a header.
+impl ReceivedRequest {
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (found, value) = line.split_once(':')?;
@@ -76,23 +77,23 @@
     instance: String,
     is_healthy: bool,
     next: VecDeque<Behaviour>,
-    seen: Vec<Seen>,
+    executed: Vec<ReceivedRequest>,
     abandoned: usize,
-    /// A request whose target holds this text ends the back end.
-    ends_on: Option<String>,
-    /// Times that the back end ended.
-    ends: usize,
+    /// Requests whose target contains this text terminate the backend.
+    terminates_on: Option<String>,
+    /// Number of terminations of the backend.
+    terminations: usize,
     is_down: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct StandInBackend {
+pub struct EmulatedBackend {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
     end: Arc<Notify>,
 }
 
-impl StandInBackend {
+impl EmulatedBackend {
     pub async fn start(instance: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -106,12 +107,12 @@
             state,
             end: Arc::default(),
         };
-        tokio::spawn(backend.clone().live(listener));
+        tokio::spawn(backend.clone().run(listener));
         backend
     }
 
-    /// Serves, ends as a process when told to, and comes back as another instance.
-    async fn live(self, first: TcpListener) {
+    /// Serves, terminates when requested, and restarts as another instance.
+    async fn run(self, first: TcpListener) {
         let mut listener = first;
         loop {
             let mut connections = JoinSet::new();
@@ -127,37 +128,37 @@
             }
             drop(listener);
             connections.shutdown().await;
-            self.note_end();
+            self.record_termination();
             tokio::time::sleep(DOWN_TIME).await;
             listener = TcpListener::bind(self.address).await.unwrap();
             self.state.lock().unwrap().is_down = false;
         }
     }
 
-    fn note_end(&self) {
+    fn record_termination(&self) {
         let mut state = self.state.lock().unwrap();
-        state.ends += 1;
+        state.terminations += 1;
         state.is_down = true;
         let first = state.instance.split('+').next().unwrap_or_default();
-        state.instance = format!("{first}+{}", state.ends);
+        state.instance = format!("{first}+{}", state.terminations);
     }
 
-    /// Ends as a process, whatever it executes.
+    /// Terminates the backend, including the requests in execution.
     pub fn kill(&self) {
         self.end.notify_one();
     }
 
-    /// Requests whose target holds `text` end the back end from now on.
-    pub fn end_on(&self, text: &str) {
-        self.state.lock().unwrap().ends_on = Some(text.to_owned());
+    /// Makes requests whose target contains `text` terminate the backend.
+    pub fn terminate_on(&self, text: &str) {
+        self.state.lock().unwrap().terminates_on = Some(text.to_owned());
     }
 
-    /// Times that it ended.
-    pub fn ends(&self) -> usize {
-        self.state.lock().unwrap().ends
+    /// Returns the number of terminations.
+    pub fn terminations(&self) -> usize {
+        self.state.lock().unwrap().terminations
     }
 
-    /// Whether it has ended and is not back.
+    /// True if the backend has terminated and not restarted yet.
     pub fn is_down(&self) -> bool {
         self.state.lock().unwrap().is_down
     }
@@ -170,7 +171,7 @@
         self.state.lock().unwrap().instance.clone()
     }
 
-    /// Another instance has the address from now on.
+    /// Replaces the instance at this address by another one.
     pub fn replace(&self, instance: &str) {
         self.state.lock().unwrap().instance = instance.to_owned();
     }
@@ -179,7 +180,7 @@
         self.state.lock().unwrap().is_healthy = is_healthy;
     }
 
-    /// What it does with the next requests; after these it answers.
+    /// Sets the behaviour for the next requests. Requests after these receive complete responses.
     pub fn expect(&self, behaviours: &[Behaviour]) {
         self.state
             .lock()
@@ -188,12 +189,12 @@
             .extend(behaviours.iter().copied());
     }
 
-    /// The requests that it executed.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state.lock().unwrap().seen.clone()
+    /// Returns the requests that the backend executed.
+    pub fn executed(&self) -> Vec<ReceivedRequest> {
+        self.state.lock().unwrap().executed.clone()
     }
 
-    /// Requests whose connection was closed while they were executed.
+    /// Returns the number of requests whose connection was closed while they were executed.
     pub fn abandoned(&self) -> usize {
         self.state.lock().unwrap().abandoned
     }
@@ -201,17 +202,17 @@
 
 async fn serve(mut stream: TcpStream, state: Arc<Mutex<State>>, end: Arc<Notify>) {
     let mut buffer = Vec::new();
-    while let Some(seen) = read_request(&mut stream, &mut buffer).await {
-        let (answer, close) = {
+    while let Some(executed) = read_request(&mut stream, &mut buffer).await {
+        let (response, close) = {
             let mut state = state.lock().unwrap();
-            respond(&mut state, seen)
+            respond(&mut state, executed)
         };
-        if answer.ends {
-            tokio::time::sleep(TIME_TO_END).await;
+        if response.terminations {
+            tokio::time::sleep(TERMINATION_DELAY).await;
             end.notify_one();
             return std::future::pending().await;
         }
-        if let Some(wait) = answer.wait {
+        if let Some(wait) = response.wait {
             let mut byte = [0; 1];
             tokio::select! {
                 () = tokio::time::sleep(wait) => {}
@@ -221,26 +222,26 @@
                 }
             }
         }
-        if stream.write_all(&answer.bytes).await.is_err() || close {
+        if stream.write_all(&response.bytes).await.is_err() || close {
             return;
         }
     }
 }
 
-struct Reply {
+struct PlannedResponse {
     wait: Option<Duration>,
     bytes: Vec<u8>,
-    ends: bool,
+    terminations: bool,
 }
 
-fn respond(state: &mut State, seen: Seen) -> (Reply, bool) {
-    let at_once = |text: String| Reply {
+fn respond(state: &mut State, executed: ReceivedRequest) -> (PlannedResponse, bool) {
+    let immediate = |text: String| PlannedResponse {
         wait: None,
         bytes: text.into_bytes(),
-        ends: false,
+        terminations: false,
     };
     let instance = state.instance.clone();
-    if seen.request_line().starts_with("GET /health ") {
+    if executed.request_line().starts_with("GET /health ") {
         let status = if state.is_healthy {
             "200 OK"
         } else {
@@ -248,86 +249,89 @@
         };
         let text =
             format!("HTTP/1.1 {status}\r\ntest-instance: {instance}\r\ncontent-length: 0\r\n\r\n");
-        return (at_once(text), false);
+        return (immediate(text), false);
     }
-    let id = seen
+    let id = executed
         .header("test-request-id")
         .unwrap_or_default()
         .to_owned();
-    if seen.header("test-target") != Some(instance.as_str()) {
+    if executed.header("test-target") != Some(instance.as_str()) {
         let text = format!(
             "HTTP/1.1 421 Misdirected\r\ntest-request-id: {id}\r\ntest-instance: {instance}\r\n\
              content-length: 0\r\n\r\n"
         );
-        return (at_once(text), false);
+        return (immediate(text), false);
     }
-    let ends_it = state
-        .ends_on
+    let terminates = state
+        .terminates_on
         .as_ref()
-        .is_some_and(|text| seen.request_line().contains(text));
-    let behaviour = match ends_it {
-        true => Behaviour::End,
-        false => state.next.pop_front().unwrap_or(Behaviour::Answer),
+        .is_some_and(|text| executed.request_line().contains(text));
+    let behaviour = match terminates {
+        true => Behaviour::Terminate,
+        false => state.next.pop_front().unwrap_or(Behaviour::Respond),
     };
     if behaviour == Behaviour::Refuse {
         let text = format!(
             "HTTP/1.1 503 Full\r\ntest-request-id: {id}\r\ntest-not-executed: 1\r\n\
              content-length: 0\r\n\r\n"
         );
-        return (at_once(text), false);
+        return (immediate(text), false);
     }
-    let body = format!("{instance} {}", seen.request_line());
-    state.seen.push(seen);
+    let body = format!("{instance} {}", executed.request_line());
+    state.executed.push(executed);
     let signed = |id: &str, extra: &str, length: usize, body: &str| {
         format!(
             "HTTP/1.1 200 OK\r\ntest-request-id: {id}\r\ntest-signature: s\r\n{extra}\
              content-length: {length}\r\n\r\n{body}"
         )
     };
-    let whole = signed(&id, "", body.len(), &body);
+    let complete = signed(&id, "", body.len(), &body);
     match behaviour {
-        Behaviour::Answer | Behaviour::Refuse => (at_once(whole), false),
+        Behaviour::Respond | Behaviour::Refuse => (immediate(complete), false),
         Behaviour::Slow(wait) => (
-            Reply {
+            PlannedResponse {
                 wait: Some(wait),
-                bytes: whole.into_bytes(),
-                ends: false,
+                bytes: complete.into_bytes(),
+                terminations: false,
             },
             false,
         ),
-        Behaviour::LoseAnswer => (at_once(String::new()), true),
-        Behaviour::End => {
-            let mut reply = at_once(String::new());
-            reply.ends = true;
+        Behaviour::LoseResponse => (immediate(String::new()), true),
+        Behaviour::Terminate => {
+            let mut reply = immediate(String::new());
+            reply.terminations = true;
             (reply, true)
         }
-        Behaviour::CutShort => (at_once(signed(&id, "", body.len() + 10, &body)), true),
+        Behaviour::Truncate => (immediate(signed(&id, "", body.len() + 10, &body)), true),
         Behaviour::Unframed => {
             let text = format!(
                 "HTTP/1.1 200 OK\r\ntest-request-id: {id}\r\ntest-signature: s\r\n\r\n{body}"
             );
-            (at_once(text), true)
+            (immediate(text), true)
         }
-        Behaviour::AnswerTwice => {
+        Behaviour::RespondTwice => {
             let other = signed("someone-else", "", 5, "wrong");
-            (at_once(format!("{whole}{other}")), false)
+            (immediate(format!("{complete}{other}")), false)
         }
-        Behaviour::AnswerAnother => (at_once(signed("someone-else", "", 5, "wrong")), false),
+        Behaviour::RespondWithOtherId => (immediate(signed("someone-else", "", 5, "wrong")), false),
         Behaviour::Unsigned => {
             let text = format!(
                 "HTTP/1.1 200 OK\r\ntest-request-id: {id}\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             );
-            (at_once(text), false)
+            (immediate(text), false)
         }
         Behaviour::Encoded => {
             let text = signed(&id, "content-encoding: gzip\r\n", body.len(), &body);
-            (at_once(text), false)
+            (immediate(text), false)
         }
-        Behaviour::Long(length) => (at_once(signed(&id, "", length, &"y".repeat(length))), false),
-        Behaviour::LongCutShort(length) => {
+        Behaviour::Long(length) => (
+            immediate(signed(&id, "", length, &"y".repeat(length))),
+            false,
+        ),
+        Behaviour::TruncateLong(length) => {
             let body = "y".repeat(length - 1);
-            (at_once(signed(&id, "", length, &body)), true)
+            (immediate(signed(&id, "", length, &body)), true)
         }
         Behaviour::Unproven503 | Behaviour::Fail => {
             let status = if behaviour == Behaviour::Fail {
@@ -339,12 +343,12 @@
                 "HTTP/1.1 {status} No\r\ntest-request-id: {id}\r\ntest-signature: s\r\n\
                  content-length: 2\r\n\r\nno"
             );
-            (at_once(text), false)
+            (immediate(text), false)
         }
     }
 }
 
-async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(end) = buffer.windows(4).position(|part| part == b"\r\n\r\n") {
             break end + 4;
@@ -352,25 +356,25 @@
         fill(stream, buffer).await?;
     };
     let head = String::from_utf8(buffer.drain(..end).collect()).ok()?;
-    let mut seen = Seen {
+    let mut executed = ReceivedRequest {
         head,
         body: Vec::new(),
     };
-    let length: usize = seen
+    let length: usize = executed
         .header("content-length")
         .map_or(0, |text| text.parse().unwrap());
-    if seen.header("transfer-encoding").is_some() {
+    if executed.header("transfer-encoding").is_some() {
         while !buffer.windows(5).any(|part| part == b"0\r\n\r\n") {
             fill(stream, buffer).await?;
         }
-        seen.body = std::mem::take(buffer);
-        return Some(seen);
+        executed.body = std::mem::take(buffer);
+        return Some(executed);
     }
     while buffer.len() < length {
         fill(stream, buffer).await?;
     }
-    seen.body = buffer.drain(..length).collect();
-    Some(seen)
+    executed.body = buffer.drain(..length).collect();
+    Some(executed)
 }
 
 async fn fill(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<()> {
--- a/crates/sidecar/tests/support/client.rs
+++ b/crates/sidecar/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A caller over plain sockets.
+//! A caller that uses plain sockets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::{HOST, PATIENCE};
+use super::{HOST, MAX_WAIT};
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (found, value) = line.split_once(':')?;
@@ -29,7 +29,7 @@
     }
 }
 
-/// A request in the tests' dialect.
+/// Formats a request in the tests' dialect.
 pub fn request(method: &str, path: &str, id: &str, extra: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\ntest-request-id: {id}\r\n\
@@ -55,21 +55,21 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// The next answer; `None` when the connection ends before it is whole.
-    pub async fn answer(&mut self) -> Option<Answer> {
-        tokio::time::timeout(PATIENCE, self.read_answer())
+    /// Reads the next response; `None` if the connection closes before it is complete.
+    pub async fn response(&mut self) -> Option<Response> {
+        tokio::time::timeout(MAX_WAIT, self.read_response())
             .await
-            .expect("an answer in time")
+            .expect("no response in time")
     }
 
-    /// Whether the other side closed the connection within a second.
+    /// True if the other side closes the connection within a second.
     pub async fn is_closed(&mut self) -> bool {
         let mut byte = [0; 1];
         let read = tokio::time::timeout(Duration::from_secs(1), self.stream.read(&mut byte));
         matches!(read.await, Ok(Ok(0) | Err(_)))
     }
 
-    async fn read_answer(&mut self) -> Option<Answer> {
+    async fn read_response(&mut self) -> Option<Response> {
         let end = loop {
             if let Some(end) = self.buffer.windows(4).position(|part| part == b"\r\n\r\n") {
                 break end + 4;
@@ -78,18 +78,18 @@
         };
         let head = String::from_utf8(self.buffer.drain(..end).collect()).unwrap();
         let status = head.split(' ').nth(1).unwrap().parse().unwrap();
-        let mut answer = Answer {
+        let mut response = Response {
             status,
             head,
             body: Vec::new(),
         };
-        let length = answer.header("content-length");
-        let length: usize = length.expect("a length").parse().unwrap();
+        let length = response.header("content-length");
+        let length: usize = length.expect("no content length").parse().unwrap();
         while self.buffer.len() < length {
             self.fill().await?;
         }
-        answer.body = self.buffer.drain(..length).collect();
-        Some(answer)
+        response.body = self.buffer.drain(..length).collect();
+        Some(response)
     }
 
     async fn fill(&mut self) -> Option<()> {
@@ -103,9 +103,9 @@
     }
 }
 
-/// Sends one request on a connection of its own.
-pub async fn call(address: SocketAddr, text: &str) -> Answer {
+/// Sends one request on a new connection.
+pub async fn call(address: SocketAddr, text: &str) -> Response {
     let mut connection = Connection::open(address).await;
     connection.send(text).await;
-    connection.answer().await.expect("an answer")
+    connection.response().await.expect("no response")
 }
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -1,5 +1,9 @@
-//! Stand-ins of the platform and of back ends, and a deployment of sidecars on loopback.
-#![allow(dead_code, unreachable_pub, reason = "each test program uses a part")]
+//! An emulated platform and emulated backends, and a deployment of sidecars on loopback.
+#![allow(
+    dead_code,
+    unreachable_pub,
+    reason = "each test binary uses only some of the helpers"
+)]
 
 pub mod backend;
 pub mod client;
@@ -18,16 +22,16 @@
 use wharfquay_sidecar::settings::{Bounds, Settings};
 use wharfquay_sidecar::{Sidecar, StartError};
 
-use backend::StandInBackend;
-use platform::StandInPlatform;
+use backend::EmulatedBackend;
+use platform::EmulatedPlatform;
 
-/// Longest wait for something that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(10);
-/// Pause between two heartbeats of a back end that keeps sending them.
-const HEARTBEAT_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum wait for a condition that must become true.
+pub const MAX_WAIT: Duration = Duration::from_secs(10);
+/// Interval between the heartbeats of a backend that keeps sending them.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(20);
 pub const HOST: &str = "shop.example";
 
-/// The dialect of the stand-ins.
+/// Returns the dialect of the emulated platform and backends.
 pub fn dialect() -> Dialect {
     Dialect {
         request_id: HeaderName::from_static("test-request-id"),
@@ -41,7 +45,7 @@
     }
 }
 
-/// A port that is free for TCP and UDP now.
+/// Returns an address with a port that is currently free for TCP and UDP.
 pub fn free_address() -> SocketAddr {
     loop {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -52,16 +56,16 @@
     }
 }
 
-/// Polls until `check` holds.
+/// Polls until `check` returns true.
 pub async fn eventually(what: &str, mut check: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     while !check() {
         assert!(Instant::now() < end, "never: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A route of the test's host to one service.
+/// Returns a route of the test's host to one service.
 pub fn route(prefix: &str, service: &str, repeatable: bool) -> Route {
     Route {
         name: format!("route{}", prefix.replace('/', "-")),
@@ -80,7 +84,7 @@
     }
 }
 
-/// A configuration with these routes and every service that they name.
+/// Returns a configuration with these routes and every service that they refer to.
 pub fn configuration(version: u64, routes: Vec<Route>) -> Configuration {
     let names = routes.iter().flat_map(|route| &route.destinations);
     let services: BTreeMap<String, Service> = names
@@ -100,7 +104,7 @@
     }
 }
 
-fn settings(name: &str, service: &str, backend: &StandInBackend) -> Settings {
+fn settings(name: &str, service: &str, backend: &EmulatedBackend) -> Settings {
     Settings {
         id: name.to_owned(),
         zone: "north".to_owned(),
@@ -118,7 +122,7 @@
     }
 }
 
-fn heartbeat(backend: &StandInBackend, state: ReportedState, sequence: u64) -> Heartbeat {
+fn heartbeat(backend: &EmulatedBackend, state: ReportedState, sequence: u64) -> Heartbeat {
     Heartbeat {
         instance: InstanceId::from(backend.instance().as_str()),
         state,
@@ -128,10 +132,10 @@
     }
 }
 
-/// One sidecar with the back end beside it.
+/// One sidecar with the backend beside it.
 pub struct Machine {
-    pub sidecar: Arc<Sidecar<StandInPlatform>>,
-    pub backend: StandInBackend,
+    pub sidecar: Arc<Sidecar<EmulatedPlatform>>,
+    pub backend: EmulatedBackend,
     pub outbound: SocketAddr,
     pub inbound: SocketAddr,
     pub control: SocketAddr,
@@ -139,27 +143,31 @@
 }
 
 impl Machine {
-    /// Starts a back end of a service and the sidecar beside it.
-    pub async fn start(platform: &Arc<StandInPlatform>, name: &str, service: &str) -> Self {
-        let mut machine = Self::start_silent(platform, name, service).await;
-        let given = machine.beat(ReportedState::Ready).await;
-        assert_eq!(given, Acknowledgement::Given);
+    /// Starts a backend of a service and the sidecar beside it.
+    pub async fn start(platform: &Arc<EmulatedPlatform>, name: &str, service: &str) -> Self {
+        let mut machine = Self::start_without_heartbeat(platform, name, service).await;
+        let acknowledgement = machine.send_heartbeat(ReportedState::Ready).await;
+        assert_eq!(acknowledgement, Acknowledgement::Given);
         machine
     }
 
-    /// As [`Self::start`], with a back end that sends no heartbeat.
-    pub async fn start_silent(platform: &Arc<StandInPlatform>, name: &str, service: &str) -> Self {
-        Self::start_adjusted(platform, name, service, |_| {}).await
+    /// Like [`Self::start`], with a backend that sends no heartbeat.
+    pub async fn start_without_heartbeat(
+        platform: &Arc<EmulatedPlatform>,
+        name: &str,
+        service: &str,
+    ) -> Self {
+        Self::start_with_settings(platform, name, service, |_| {}).await
     }
 
-    /// As [`Self::start_silent`], with other settings.
-    pub async fn start_adjusted(
-        platform: &Arc<StandInPlatform>,
+    /// Like [`Self::start_without_heartbeat`], with modified settings.
+    pub async fn start_with_settings(
+        platform: &Arc<EmulatedPlatform>,
         name: &str,
         service: &str,
         adjust: impl Fn(&mut Settings),
     ) -> Self {
-        let backend = StandInBackend::start(&format!("{name}-1")).await;
+        let backend = EmulatedBackend::start(&format!("{name}-1")).await;
         loop {
             let mut settings = settings(name, service, &backend);
             adjust(&mut settings);
@@ -177,33 +185,33 @@
                         sequence: 0,
                     };
                 }
-                // Another test took a port between the search and the use.
+                // Another test bound a port between the search and the use.
                 Err(StartError::Bind { .. }) => {}
                 Err(error) => panic!("{error}"),
             }
         }
     }
 
-    /// Sends a heartbeat of the back end's instance.
-    pub async fn beat(&mut self, state: ReportedState) -> Acknowledgement {
+    /// Sends a heartbeat of the backend's instance.
+    pub async fn send_heartbeat(&mut self, state: ReportedState) -> Acknowledgement {
         self.sequence += 1;
-        let beat = heartbeat(&self.backend, state, self.sequence);
-        self.sidecar.heartbeat(&beat).await
+        let send_heartbeat = heartbeat(&self.backend, state, self.sequence);
+        self.sidecar.heartbeat(&send_heartbeat).await
     }
 
-    /// Lets the back end's instance send heartbeats as long as the test runs, whichever instance it is.
-    pub fn keep_beating(&self) {
+    /// Sends heartbeats of the backend's current instance until the test is over.
+    pub fn keep_sending_heartbeats(&self) {
         let (sidecar, backend) = (Arc::clone(&self.sidecar), self.backend.clone());
         let mut sequence = self.sequence;
         tokio::spawn(async move {
             loop {
-                tokio::time::sleep(HEARTBEAT_PAUSE).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                 if backend.is_down() {
                     continue;
                 }
                 sequence += 1;
-                let beat = heartbeat(&backend, ReportedState::Ready, sequence);
-                sidecar.heartbeat(&beat).await;
+                let send_heartbeat = heartbeat(&backend, ReportedState::Ready, sequence);
+                sidecar.heartbeat(&send_heartbeat).await;
             }
         });
     }
--- a/crates/sidecar/tests/support/platform.rs
+++ b/crates/sidecar/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, with faults.
+//! An emulated platform in memory that supports fault injection.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -16,12 +16,12 @@
 };
 use wharfquay_sidecar::store_era::{StoreEra, StoreEras};
 
-/// How long a watch waits for a change.
-const WATCH_TIME: Duration = Duration::from_millis(500);
+/// Maximum time that a watch waits for a change.
+const MAX_WATCH_TIME: Duration = Duration::from_millis(500);
 
-/// What the store held at some time.
+/// Backup of the store's content.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct StoreBackup {
     configuration: Option<Configuration>,
     directory: BTreeMap<String, DirectoryEntry>,
     departures: BTreeMap<String, InstanceId>,
@@ -30,7 +30,7 @@
 
 /// The platform as one machine reaches it.
 #[derive(Debug)]
-pub struct StandInPlatform {
+pub struct EmulatedPlatform {
     /// Number of the store's era.
     era: Arc<AtomicU64>,
     eras: Arc<StoreEras>,
@@ -39,14 +39,14 @@
     departures: Arc<Mutex<BTreeMap<String, InstanceId>>>,
     quarantine: Arc<Mutex<BTreeMap<RequestFingerprint, QuarantineRecord>>>,
     is_down: AtomicBool,
-    refuses_look_ups: AtomicBool,
+    refuses_lookups: AtomicBool,
     listings: Mutex<Vec<Freshness>>,
     readings: Mutex<Vec<Freshness>>,
     registrations: AtomicUsize,
     lookups: AtomicUsize,
 }
 
-impl StandInPlatform {
+impl EmulatedPlatform {
     pub fn new(configuration: Option<Configuration>) -> Self {
         Self {
             era: Arc::new(AtomicU64::new(1)),
@@ -56,7 +56,7 @@
             departures: Arc::default(),
             quarantine: Arc::default(),
             is_down: AtomicBool::new(false),
-            refuses_look_ups: AtomicBool::new(false),
+            refuses_lookups: AtomicBool::new(false),
             listings: Mutex::default(),
             readings: Mutex::default(),
             registrations: AtomicUsize::new(0),
@@ -64,7 +64,8 @@
         }
     }
 
-    /// The same platform as another machine reaches it: it may refuse one and serve the other.
+    /// Returns the same platform as another machine reaches it. It may refuse one machine and serve
+    /// the other.
     pub fn for_another_machine(&self) -> Self {
         Self {
             era: Arc::clone(&self.era),
@@ -74,7 +75,7 @@
             departures: Arc::clone(&self.departures),
             quarantine: Arc::clone(&self.quarantine),
             is_down: AtomicBool::new(false),
-            refuses_look_ups: AtomicBool::new(false),
+            refuses_lookups: AtomicBool::new(false),
             listings: Mutex::default(),
             readings: Mutex::default(),
             registrations: AtomicUsize::new(0),
@@ -82,9 +83,9 @@
         }
     }
 
-    /// A copy of what the store holds now.
-    pub fn copy(&self) -> Copy {
-        Copy {
+    /// Returns a backup of the store's current content.
+    pub fn backup(&self) -> StoreBackup {
+        StoreBackup {
             configuration: self.configuration.borrow().clone(),
             directory: self.directory.lock().unwrap().clone(),
             departures: self.departures.lock().unwrap().clone(),
@@ -92,75 +93,75 @@
         }
     }
 
-    /// The store comes back from a copy.
-    pub fn restore(&self, copy: Copy) {
+    /// Restores the store from a backup, which begins a new era.
+    pub fn restore(&self, backup: StoreBackup) {
         self.era.fetch_add(1, Ordering::Relaxed);
-        *self.directory.lock().unwrap() = copy.directory;
-        *self.departures.lock().unwrap() = copy.departures;
-        *self.quarantine.lock().unwrap() = copy.quarantine;
-        self.configuration.send_replace(copy.configuration);
+        *self.directory.lock().unwrap() = backup.directory;
+        *self.departures.lock().unwrap() = backup.departures;
+        *self.quarantine.lock().unwrap() = backup.quarantine;
+        self.configuration.send_replace(backup.configuration);
     }
 
-    /// Ids of the entries in the directory.
+    /// Returns the ids of the entries in the directory.
     pub fn listed(&self) -> Vec<String> {
         self.directory.lock().unwrap().keys().cloned().collect()
     }
 
-    /// Names of the instances that have a mark.
-    pub fn departed(&self) -> Vec<String> {
+    /// Returns the names of the instances that have a departure record.
+    pub fn departure_records(&self) -> Vec<String> {
         self.departures.lock().unwrap().keys().cloned().collect()
     }
 
-    /// Records of quarantined requests.
-    pub fn records(&self) -> Vec<QuarantineRecord> {
+    /// Returns the records of quarantined requests.
+    pub fn quarantine_records(&self) -> Vec<QuarantineRecord> {
         self.quarantine.lock().unwrap().values().copied().collect()
     }
 
-    /// The operator puts a configuration in force.
+    /// Puts a configuration in force, as the operator does.
     pub fn publish(&self, configuration: Configuration) {
         self.configuration.send_replace(Some(configuration));
     }
 
-    /// Refuses every call from now on, or no longer.
+    /// Refuses every call, or stops doing so.
     pub fn set_down(&self, is_down: bool) {
         self.is_down.store(is_down, Ordering::Relaxed);
     }
 
-    /// Refuses questions about departures from now on.
-    pub fn refuse_look_ups(&self) {
-        self.refuses_look_ups.store(true, Ordering::Relaxed);
+    /// Refuses lookups and listings of departures from now on.
+    pub fn refuse_lookups(&self) {
+        self.refuses_lookups.store(true, Ordering::Relaxed);
     }
 
-    fn check_look_up(&self) -> Result<(), PlatformError> {
+    fn check_lookup(&self) -> Result<(), PlatformError> {
         self.check()?;
-        match self.refuses_look_ups.load(Ordering::Relaxed) {
+        match self.refuses_lookups.load(Ordering::Relaxed) {
             true => Err(PlatformError::Throttled),
             false => Ok(()),
         }
     }
 
-    /// The listings of the directory that were asked for here.
+    /// Returns the freshness of each directory listing requested here.
     pub fn listings(&self) -> Vec<Freshness> {
         self.listings.lock().unwrap().clone()
     }
 
-    /// The readings of the configuration that were asked for here.
+    /// Returns the freshness of each configuration read requested here.
     pub fn readings(&self) -> Vec<Freshness> {
         self.readings.lock().unwrap().clone()
     }
 
-    /// Entries of the directory that were written from here.
+    /// Returns the number of directory entries written from here.
     pub fn registrations(&self) -> usize {
         self.registrations.load(Ordering::Relaxed)
     }
 
-    /// Questions about departures that were asked from here.
+    /// Returns the number of lookups and listings of departures served here.
     pub fn lookups(&self) -> usize {
         self.lookups.load(Ordering::Relaxed)
     }
 
-    /// Marks an instance as an earlier process would have.
-    pub fn mark_departed(&self, instance: &str) {
+    /// Writes a departure record as an earlier process would have done.
+    pub fn add_departure_record(&self, instance: &str) {
         let mut departures = self.departures.lock().unwrap();
         departures.insert(instance.to_owned(), InstanceId::from(instance));
     }
@@ -178,7 +179,7 @@
     }
 }
 
-impl Platform for StandInPlatform {
+impl Platform for EmulatedPlatform {
     fn eras(&self) -> &Arc<StoreEras> {
         &self.eras
     }
@@ -206,7 +207,7 @@
         let mut changes = self.configuration.subscribe();
         let newer =
             changes.wait_for(|current| Self::revision(current.as_ref()) > position.revision);
-        let configuration = match tokio::time::timeout(wait.min(WATCH_TIME), newer).await {
+        let configuration = match tokio::time::timeout(wait.min(MAX_WATCH_TIME), newer).await {
             Ok(Ok(current)) => current.clone(),
             _ => None,
         };
@@ -245,7 +246,7 @@
     }
 
     async fn has_departed(&self, instance: &InstanceId) -> Result<bool, PlatformError> {
-        self.check_look_up()?;
+        self.check_lookup()?;
         self.lookups.fetch_add(1, Ordering::Relaxed);
         let departures = self.departures.lock().unwrap();
         let mark = departures.get(instance.name());
@@ -253,7 +254,7 @@
     }
 
     async fn departures(&self) -> Result<Vec<InstanceId>, PlatformError> {
-        self.check_look_up()?;
+        self.check_lookup()?;
         self.lookups.fetch_add(1, Ordering::Relaxed);
         Ok(self.departures.lock().unwrap().values().cloned().collect())
     }
--- a/crates/sidecar/tests/suspension.rs
+++ b/crates/sidecar/tests/suspension.rs
@@ -1,4 +1,5 @@
-//! A machine that was suspended: its steady clock and its timers stood still, and to everybody else that time passed.
+//! A suspended machine: its monotonic clock and its timers stopped, while time passed for all
+//! others.
 
 mod support;
 
@@ -8,20 +9,21 @@
 
 use support::backend::Behaviour;
 use support::client::{call, request};
-use support::platform::StandInPlatform;
-use support::tenants::{get_with_key, keyed, result, serving, tenant, tenants};
-use support::{Machine, PATIENCE, configuration, eventually, route};
+use support::platform::EmulatedPlatform;
+use support::tenants::{get_with_key, keyed_requests, result, serving_machine, tenant, tenants};
+use support::{MAX_WAIT, Machine, configuration, eventually, route};
 use wharfquay_clock::since_boot;
 use wharfquay_core::outcome::ResultCode;
 
-/// Time after which a key must not work.
+/// Time within which a key revocation must take effect.
 const REVOCATION: Duration = Duration::from_millis(3_000);
-/// Longer than every lease and deadline here.
+/// Longer than every lease and deadline in these tests.
 const SUSPENSION: Duration = Duration::from_secs(6);
-/// Time within which a process notices that it was suspended and acts on it.
+/// Time within which a process detects that it was suspended and acts on it.
 const NOTICED_WITHIN: Duration = Duration::from_millis(600);
 
-/// A machine's time since boot, ahead of its steady clock by what it was suspended for.
+/// Defines a machine's time since boot, which is ahead of its monotonic clock by the time of its
+/// suspension.
 macro_rules! suspendable {
     ($name:ident, $suspended_ms:ident) => {
         static $suspended_ms: AtomicU64 = AtomicU64::new(0);
@@ -39,57 +41,60 @@
 suspendable!(time_of_the_key, SUSPENDED_WITH_A_KEY);
 
 #[tokio::test]
-async fn a_key_that_was_taken_away_during_a_suspension_works_no_more_after_it() {
+async fn a_key_revoked_during_a_suspension_stops_working() {
     let known = tenants(1, vec![tenant("acme", &["k-1"])]);
-    let platform = Arc::new(StandInPlatform::new(Some(known)));
-    let machine = serving(&platform, "machine-a", |settings| {
+    let platform = Arc::new(EmulatedPlatform::new(Some(known)));
+    let machine = serving_machine(&platform, "machine-a", |settings| {
         settings.bounds.key_revocation = Some(REVOCATION);
         settings.time_source = time_of_the_key;
     })
     .await;
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     while get_with_key(&machine, "before", "k-1").await.status != 200 {
         assert!(Instant::now() < end, "never served");
     }
     platform.set_down(true);
     platform.publish(tenants(2, vec![tenant("acme", &["k-2"])]));
-    let ran = keyed(&machine).len();
+    let ran = keyed_requests(&machine).len();
     suspend(&SUSPENDED_WITH_A_KEY);
-    let answer = get_with_key(&machine, "after", "k-1").await;
+    let response = get_with_key(&machine, "after", "k-1").await;
     let unconfirmed = ResultCode::ApiKeyUnconfirmed.number();
-    assert_eq!(result(&answer), Some(unconfirmed), "{}", answer.head);
-    assert_eq!(keyed(&machine).len(), ran);
+    assert_eq!(result(&response), Some(unconfirmed), "{}", response.head);
+    assert_eq!(keyed_requests(&machine).len(), ran);
 }
 
 suspendable!(time_of_the_request, SUSPENDED_WITH_A_REQUEST);
 
 #[tokio::test]
-async fn a_request_whose_deadline_passed_during_a_suspension_is_answered_at_once() {
+async fn a_request_whose_deadline_passed_during_a_suspension_is_answered_immediately() {
     let routes = vec![route("/reads/", "shelf", true)];
-    let platform = Arc::new(StandInPlatform::new(Some(configuration(1, routes))));
-    let mut machine = Machine::start_adjusted(&platform, "machine-a", "shelf", |settings| {
+    let platform = Arc::new(EmulatedPlatform::new(Some(configuration(1, routes))));
+    let mut machine = Machine::start_with_settings(&platform, "machine-a", "shelf", |settings| {
         settings.time_source = time_of_the_request;
     })
     .await;
     machine
-        .beat(wharfquay_sidecar::instance::ReportedState::Ready)
+        .send_heartbeat(wharfquay_sidecar::instance::ReportedState::Ready)
         .await;
     machine.ready().await;
     let read = |id: &str| request("GET", "/reads/1", id, "");
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     while call(machine.outbound, &read("up")).await.status != 200 {
         assert!(Instant::now() < end, "never served");
     }
-    let before = machine.backend.seen().len();
-    machine.backend.expect(&[Behaviour::Slow(PATIENCE)]);
+    let before = machine.backend.executed().len();
+    machine.backend.expect(&[Behaviour::Slow(MAX_WAIT)]);
     let suspending = async {
-        eventually("it runs", || machine.backend.seen().len() > before).await;
+        eventually("the request is in execution", || {
+            machine.backend.executed().len() > before
+        })
+        .await;
         suspend(&SUSPENDED_WITH_A_REQUEST);
         Instant::now()
     };
     let text = read("late");
-    let (answer, resumed_at) = tokio::join!(call(machine.outbound, &text), suspending);
-    assert_eq!(answer.status, 504, "{}", answer.head);
+    let (response, resumed_at) = tokio::join!(call(machine.outbound, &text), suspending);
+    assert_eq!(response.status, 504, "{}", response.head);
     let took = resumed_at.elapsed();
     assert!(took <= NOTICED_WITHIN, "{took:?}");
 }
--- a/crates/sidecar/tests/tenants.rs
+++ b/crates/sidecar/tests/tenants.rs
@@ -1,35 +1,36 @@
-//! Who callers are: keys, the tenant that back ends are told, and what is never passed on.
+//! Identification of callers by API keys, the tenant that backends receive, and headers that are
+//! never forwarded.
 
 mod support;
 
 use std::sync::Arc;
 
-use support::client::Answer;
-use support::platform::StandInPlatform;
-use support::tenants::{get, keyed, result, serving, tenant, tenants};
+use support::client::Response;
+use support::platform::EmulatedPlatform;
+use support::tenants::{get, keyed_requests, result, serving_machine, tenant, tenants};
 use support::{Machine, eventually};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_sidecar::configuration::{Configuration, ConfigurationError};
 use wharfquay_sidecar::tenant::KeyDigest;
 
-async fn machine(configuration: Configuration) -> (Arc<StandInPlatform>, Machine) {
-    let platform = Arc::new(StandInPlatform::new(Some(configuration)));
-    let machine = serving(&platform, "machine-a", |_| {}).await;
+async fn machine(configuration: Configuration) -> (Arc<EmulatedPlatform>, Machine) {
+    let platform = Arc::new(EmulatedPlatform::new(Some(configuration)));
+    let machine = serving_machine(&platform, "machine-a", |_| {}).await;
     (platform, machine)
 }
 
-fn assert_result(answer: &Answer, status: u16, code: ResultCode, case: &str) {
-    assert_eq!(answer.status, status, "{case}: {}", answer.head);
+fn assert_result(response: &Response, status: u16, code: ResultCode, case: &str) {
+    assert_eq!(response.status, status, "{case}: {}", response.head);
     assert_eq!(
-        result(answer),
+        result(response),
         Some(code.number()),
         "{case}: {}",
-        answer.head
+        response.head
     );
 }
 
 #[tokio::test]
-async fn a_key_names_the_tenant_and_goes_no_further() {
+async fn a_key_identifies_the_tenant_and_is_not_forwarded() {
     let known = vec![tenant("acme", &["k-1", "k-2"]), tenant("other", &["k-3"])];
     let (_platform, machine) = machine(tenants(1, known)).await;
     let cases = [
@@ -41,17 +42,21 @@
         ),
     ];
     for (headers, expected) in cases {
-        let before = machine.backend.seen().len();
-        let answer = get(&machine, "/keyed/x", "id-1", headers).await;
-        assert_eq!(answer.status, 200, "{headers}: {}", answer.head);
-        let seen = machine.backend.seen().split_off(before);
-        assert_eq!(seen[0].header("test-tenant"), Some(expected), "{headers}");
-        assert_eq!(seen[0].header("authorization"), None, "{headers}");
+        let before = machine.backend.executed().len();
+        let response = get(&machine, "/keyed/x", "id-1", headers).await;
+        assert_eq!(response.status, 200, "{headers}: {}", response.head);
+        let executed = machine.backend.executed().split_off(before);
+        assert_eq!(
+            executed[0].header("test-tenant"),
+            Some(expected),
+            "{headers}"
+        );
+        assert_eq!(executed[0].header("authorization"), None, "{headers}");
     }
 }
 
 #[tokio::test]
-async fn a_request_without_a_known_key_is_refused_and_does_not_run() {
+async fn a_request_without_a_known_key_is_refused_and_not_executed() {
     let (_platform, machine) = machine(tenants(1, vec![tenant("acme", &["k-1"])])).await;
     let long = format!("Authorization: Bearer {}\r\n", "x".repeat(8_000));
     let cases = [
@@ -68,46 +73,46 @@
         &long,
     ];
     for headers in cases {
-        let answer = get(&machine, "/keyed/x", "id-1", headers).await;
-        assert_result(&answer, 401, ResultCode::UnknownApiKey, headers);
+        let response = get(&machine, "/keyed/x", "id-1", headers).await;
+        assert_result(&response, 401, ResultCode::UnknownApiKey, headers);
     }
-    assert_eq!(keyed(&machine).len(), 0);
+    assert_eq!(keyed_requests(&machine).len(), 0);
 }
 
 #[tokio::test]
-async fn a_public_route_asks_for_no_key_and_names_no_tenant() {
+async fn a_public_route_requires_no_key_and_sets_no_tenant() {
     let (_platform, machine) = machine(tenants(1, vec![tenant("acme", &["k-1"])])).await;
     for headers in ["", "test-tenant: acme\r\n", "Authorization: Bearer k-9\r\n"] {
-        let answer = get(&machine, "/open/x", "id-1", headers).await;
-        assert_eq!(answer.status, 200, "{headers}: {}", answer.head);
+        let response = get(&machine, "/open/x", "id-1", headers).await;
+        assert_eq!(response.status, 200, "{headers}: {}", response.head);
     }
-    for seen in machine.backend.seen() {
-        assert_eq!(seen.header("test-tenant"), None);
-        assert_eq!(seen.header("authorization"), None);
+    for executed in machine.backend.executed() {
+        assert_eq!(executed.header("test-tenant"), None);
+        assert_eq!(executed.header("authorization"), None);
     }
 }
 
 #[tokio::test]
-async fn without_tenants_the_header_of_a_caller_is_passed_on() {
+async fn without_tenants_the_authorization_header_is_forwarded() {
     let (_platform, machine) = machine(tenants(1, Vec::new())).await;
     let headers = "Authorization: Bearer own\r\n";
-    let answer = get(&machine, "/keyed/x", "id-1", headers).await;
-    assert_eq!(answer.status, 200, "{}", answer.head);
-    let seen = keyed(&machine);
-    assert_eq!(seen[0].header("authorization"), Some("Bearer own"));
+    let response = get(&machine, "/keyed/x", "id-1", headers).await;
+    assert_eq!(response.status, 200, "{}", response.head);
+    let executed = keyed_requests(&machine);
+    assert_eq!(executed[0].header("authorization"), Some("Bearer own"));
 }
 
 #[tokio::test]
-async fn a_call_that_claims_an_execution_which_is_not_open_is_no_way_around_the_key() {
+async fn a_call_with_a_forged_parent_does_not_bypass_the_key_check() {
     let (_platform, machine) = machine(tenants(1, vec![tenant("acme", &["k-1"])])).await;
-    let answer = get(&machine, "/keyed/x", "made-up.1", "").await;
-    assert_result(&answer, 503, ResultCode::OriginNotOpen, "no key");
-    assert!(answer.header("retry-after").is_some());
-    assert_eq!(keyed(&machine).len(), 0);
+    let response = get(&machine, "/keyed/x", "made-up.1", "").await;
+    assert_result(&response, 503, ResultCode::OriginNotOpen, "no key");
+    assert!(response.header("retry-after").is_some());
+    assert_eq!(keyed_requests(&machine).len(), 0);
 }
 
 #[tokio::test]
-async fn a_key_that_moves_to_another_tenant_names_that_one_from_then_on() {
+async fn a_key_moved_to_another_tenant_identifies_the_new_tenant() {
     let first = tenants(1, vec![tenant("acme", &["k-1"]), tenant("other", &["k-2"])]);
     let (platform, machine) = machine(first).await;
     platform.publish(tenants(
@@ -119,28 +124,28 @@
         metrics.contains("wharfquay_configuration_version 2")
     })
     .await;
-    let answer = get(
+    let response = get(
         &machine,
         "/keyed/x",
         "id-1",
         "Authorization: Bearer k-1\r\n",
     )
     .await;
-    assert_eq!(answer.status, 200, "{}", answer.head);
-    let seen = keyed(&machine);
-    assert_eq!(seen[0].header("test-tenant"), Some("other"));
-    let answer = get(
+    assert_eq!(response.status, 200, "{}", response.head);
+    let executed = keyed_requests(&machine);
+    assert_eq!(executed[0].header("test-tenant"), Some("other"));
+    let response = get(
         &machine,
         "/keyed/x",
         "id-2",
         "Authorization: Bearer k-2\r\n",
     )
     .await;
-    assert_result(&answer, 401, ResultCode::UnknownApiKey, "taken away");
+    assert_result(&response, 401, ResultCode::UnknownApiKey, "revoked key");
 }
 
 #[test]
-fn tenants_that_cannot_be_told_apart_are_named() {
+fn tenants_that_cannot_be_distinguished_are_reported() {
     let known = vec![
         tenant("acme", &["k-1"]),
         tenant("other", &["k-2", "k-1"]),
