--- a/crates/sidecar/src/body.rs
+++ b/crates/sidecar/src/body.rs
@@ -15,7 +15,7 @@
 /// Body of a response, as far as it was read.
 pub(crate) enum Collected {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The first bytes, and the stream of the remaining ones.
     Partial(Bytes, Incoming),
 }
@@ -34,21 +34,21 @@
             continue;
         };
         if collected.is_empty() && incoming.is_end_stream() {
-            return Ok(Collected::Whole(data));
+            return Ok(Collected::Complete(data));
         }
         collected.extend_from_slice(&data);
         if collected.len() as u64 > MAX_COLLECTED {
             return Ok(Collected::Partial(collected.freeze(), incoming));
         }
     }
-    Ok(Collected::Whole(collected.freeze()))
+    Ok(Collected::Complete(collected.freeze()))
 }
 
 impl Collected {
     /// Returns the body to relay, which is cut off at `deadline` if it is streamed.
     pub(crate) fn into_body(self, deadline: Instant) -> AnswerBody {
         match self {
-            Self::Whole(bytes) => AnswerBody::own(bytes),
+            Self::Complete(bytes) => AnswerBody::own(bytes),
             Self::Partial(first, rest) => {
                 let rest = AnswerBody::relayed(rest, deadline);
                 AnswerBody::resumed(first, rest)
--- a/crates/sidecar/src/confirmation.rs
+++ b/crates/sidecar/src/confirmation.rs
@@ -63,7 +63,7 @@
     configuration: watch::Receiver<Arc<RouteIndex>>,
     freshness: Mutex<Freshness>,
     /// Time until which replies of the platform confirm nothing.
-    held_until: Mutex<Timestamp>,
+    platform_ignored_until: Mutex<Timestamp>,
 }
 
 impl Confirmation {
@@ -77,7 +77,7 @@
             revocation_time,
             configuration,
             freshness: Mutex::default(),
-            held_until: Mutex::default(),
+            platform_ignored_until: Mutex::default(),
         })
     }
 
@@ -94,13 +94,13 @@
 
     /// Suspends confirmations by the platform after its store was restored from a backup.
     pub(crate) fn store_restored(&self) {
-        *lock(&self.held_until) = self.now() + RESTORED_STORE_HOLD;
+        *lock(&self.platform_ignored_until) = self.now() + RESTORED_STORE_HOLD;
     }
 
     /// Records that `version` was the newest one at the platform at `at`, a time of [`Self::now`].
     pub(crate) fn confirm_by_platform(&self, version: u64, at: Timestamp) {
-        let held_until = *lock(&self.held_until);
-        if self.now() >= held_until {
+        let platform_ignored_until = *lock(&self.platform_ignored_until);
+        if self.now() >= platform_ignored_until {
             self.confirm(version, at);
         }
     }
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -396,8 +396,8 @@
             true => FIRST_START_READ_ONCE_TIME,
             false => DISCOVERY_TIME,
         };
-        let is_meeting = now.saturating_since(self.started_at) < discovery_time;
-        Some(if is_meeting {
+        let is_discovering = now.saturating_since(self.started_at) < discovery_time;
+        Some(if is_discovering {
             ReadingMode::Once
         } else {
             ReadingMode::Follow
--- a/crates/sidecar/src/inbound/backend.rs
+++ b/crates/sidecar/src/inbound/backend.rs
@@ -231,7 +231,7 @@
     }
 
     /// Stops new work for an instance that has terminated, and records its termination.
-    pub fn terminate(&self, id: &InstanceId) {
+    pub fn mark_terminated(&self, id: &InstanceId) {
         self.close(id);
         if let Some(instance) = self.matching_instance(id) {
             instance.termination.record_termination();
--- a/crates/sidecar/src/inbound/dispatch.rs
+++ b/crates/sidecar/src/inbound/dispatch.rs
@@ -260,7 +260,7 @@
 /// Reads a short refusal to its end, which allows its connection to be reused.
 fn drain_refusal(response: Response<Incoming>, lease: Lease) {
     tokio::spawn(async move {
-        if let Ok(Collected::Whole(_)) = collect(response.into_body()).await {
+        if let Ok(Collected::Complete(_)) = collect(response.into_body()).await {
             BodyObserver::ended(Box::new(lease), BodyEnd::Complete);
         }
     });
--- a/crates/sidecar/src/inbound/execution.rs
+++ b/crates/sidecar/src/inbound/execution.rs
@@ -221,10 +221,10 @@
             return Err(failure);
         }
     };
-    let is_whole = matches!(answered.collected, Collected::Whole(_));
+    let is_complete = matches!(answered.collected, Collected::Complete(_));
     let mut body = answered.collected.into_body(deadline);
     let lease: Box<dyn BodyObserver> = Box::new(answered.lease);
-    if is_whole {
+    if is_complete {
         lease.ended(BodyEnd::Complete);
         permit.complete(Completion::Succeeded);
     } else {
--- a/crates/sidecar/src/inbound/termination_detector.rs
+++ b/crates/sidecar/src/inbound/termination_detector.rs
@@ -18,10 +18,10 @@
 use wharfquay_daemon::sync::lock;
 
 /// Timeout of the probe connection. The sidecar and the instance share a machine.
-const PROBE_LIMIT: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time for which the result of a probe is reused. When many connections break together, one probe
 /// serves them all.
-const PROBE_LIFETIME: Duration = Duration::from_millis(20);
+const PROBE_RESULT_LIFETIME: Duration = Duration::from_millis(20);
 
 /// Detects the termination of one instance.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     /// True if the termination is known from another source and no probe has reported it yet.
     has_unreported_termination: AtomicBool,
     /// Time at which the instance last accepted a connection.
-    seen_at: tokio::sync::Mutex<Option<Timestamp>>,
+    last_accepted_at: tokio::sync::Mutex<Option<Timestamp>>,
     running: Mutex<Running>,
 }
 
@@ -71,7 +71,7 @@
             clock,
             has_terminated: AtomicBool::new(false),
             has_unreported_termination: AtomicBool::new(false),
-            seen_at: tokio::sync::Mutex::default(),
+            last_accepted_at: tokio::sync::Mutex::default(),
             running: Mutex::default(),
         })
     }
@@ -91,7 +91,7 @@
 
     /// Checks whether the instance has terminated after a response was lost.
     pub(crate) async fn probe(&self) -> ProbeResult {
-        let mut seen_at = self.seen_at.lock().await;
+        let mut last_accepted_at = self.last_accepted_at.lock().await;
         if self
             .has_unreported_termination
             .swap(false, Ordering::Relaxed)
@@ -102,14 +102,16 @@
             return ProbeResult::Terminated;
         }
         let now = self.clock.now();
-        if seen_at.is_some_and(|seen_at| now < seen_at + PROBE_LIFETIME) {
+        if last_accepted_at
+            .is_some_and(|last_accepted_at| now < last_accepted_at + PROBE_RESULT_LIFETIME)
+        {
             return ProbeResult::Alive;
         }
-        let opened = connect(self.address, PROBE_LIMIT).await;
+        let opened = connect(self.address, PROBE_TIMEOUT).await;
         let is_refused = |error: &io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
         if !opened.is_err_and(|error| is_refused(&error)) {
             // A timeout proves nothing: the instance may be slow or unreachable.
-            *seen_at = Some(self.clock.now());
+            *last_accepted_at = Some(self.clock.now());
             return ProbeResult::Alive;
         }
         self.report_termination()
--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -40,8 +40,7 @@
 /// Delay between the first request that needs a listing and the listing, which then serves all
 /// sidecars that started by that time.
 const LISTING_DELAY: Duration = Duration::from_millis(40);
-/// Pause after a listing. Requests are repeated every 50 ms, and each listing is a charged call to
-/// the platform.
+/// Pause after a listing. Requests are repeated every 50 ms, and each listing costs a platform call.
 const LISTING_PAUSE: Duration = Duration::from_millis(60);
 /// Uptime up to which a sidecar chooses readers among the entries of the directory. Sidecars that
 /// start together read the same entries, and thus choose the same readers while gossip still
--- a/crates/sidecar/src/instance/registry.rs
+++ b/crates/sidecar/src/instance/registry.rs
@@ -85,7 +85,7 @@
     /// Handles a heartbeat.
     pub async fn heartbeat(self: &Arc<Self>, heartbeat: &Heartbeat) -> Acknowledgement {
         let now = self.clock.now();
-        self.terminate_earlier(now, &heartbeat.instance);
+        self.close_earlier_instance(now, &heartbeat.instance);
         let decision = lock(&self.tracker).heartbeat(now, heartbeat);
         match decision {
             TrackerDecision::Acknowledge => {
@@ -102,21 +102,22 @@
         }
     }
 
-    /// Terminates the earlier instance if the backend started again under the same name.
-    fn terminate_earlier(&self, now: Timestamp, instance: &InstanceId) {
+    /// Closes the gate of the earlier instance and records its termination if the backend started
+    /// again under the same name.
+    fn close_earlier_instance(&self, now: Timestamp, instance: &InstanceId) {
         if let Some(earlier) = lock(&self.tracker).replace_earlier(now, instance) {
             log_event!(
                 Event::InstanceRestarted,
                 "instance={instance} earlier={earlier}"
             );
-            self.backend.terminate(&earlier);
+            self.backend.mark_terminated(&earlier);
         }
     }
 
     /// Handles the message of an instance that is departing.
     pub async fn departure(self: &Arc<Self>, instance: &InstanceId) -> Acknowledgement {
         let now = self.clock.now();
-        self.terminate_earlier(now, instance);
+        self.close_earlier_instance(now, instance);
         let decision = lock(&self.tracker).departure(now, instance);
         match decision {
             TrackerDecision::RecordDeparture => self.record_departure(instance).await,
--- a/crates/sidecar/src/outbound/attempt.rs
+++ b/crates/sidecar/src/outbound/attempt.rs
@@ -134,7 +134,7 @@
     let metadata = answer::take_metadata(response.headers_mut());
     let returned = metadata.map(|metadata| metadata.returned);
     let result = match answer::result(response.headers()) {
-        Some(ResultCode::Answered) => read_answer(method, response, lease, deadline).await,
+        Some(ResultCode::Answered) => read_response(method, response, lease, deadline).await,
         Some(code) => {
             let retry_after = answer::retry_after(response.headers());
             finish_refusal(response, lease).await;
@@ -150,7 +150,7 @@
     }
 }
 
-async fn read_answer(
+async fn read_response(
     method: &Method,
     response: Response<Incoming>,
     lease: Lease,
@@ -162,9 +162,9 @@
     remove_length(method, &mut parts.headers);
     let collected = collect(incoming).await;
     let collected = collected.map_err(|_| Failure::new(ResultCode::ConnectionLost))?;
-    let is_whole = matches!(collected, Collected::Whole(_));
+    let is_complete = matches!(collected, Collected::Complete(_));
     let mut body = collected.into_body(deadline);
-    if is_whole {
+    if is_complete {
         Box::new(lease).ended(BodyEnd::Complete);
     } else {
         body.observe(Box::new(lease));
@@ -174,7 +174,7 @@
 
 /// Reads the short body of a refusal, which allows its connection to be reused.
 async fn finish_refusal(response: Response<Incoming>, lease: Lease) {
-    if let Ok(Collected::Whole(_)) = collect(response.into_body()).await {
+    if let Ok(Collected::Complete(_)) = collect(response.into_body()).await {
         Box::new(lease).ended(BodyEnd::Complete);
     }
 }
--- a/crates/sidecar/src/outbound/connection.rs
+++ b/crates/sidecar/src/outbound/connection.rs
@@ -155,7 +155,7 @@
         let timeout = Duration::from_millis(limits.idle_timeout_ms);
         let held = self.read_short_body(&mut decoder, timeout).await?;
         match held {
-            ShortBody::Whole(bytes) => {
+            ShortBody::Complete(bytes) => {
                 let body = RequestBody::held(bytes);
                 self.start(head, body, responses).await?;
             }
@@ -223,7 +223,7 @@
         let mut held = BytesMut::new();
         loop {
             match decoder.next(&mut self.buffer)? {
-                Piece::End => return Ok(ShortBody::Whole(held.freeze())),
+                Piece::End => return Ok(ShortBody::Complete(held.freeze())),
                 Piece::NeedMore => self.fill_within(timeout).await?,
                 Piece::Data(data) => {
                     held.extend_from_slice(&data);
@@ -332,7 +332,7 @@
 
 /// Start of a body: all of it, or as much as may be held in memory.
 enum ShortBody {
-    Whole(Bytes),
+    Complete(Bytes),
     Partial(Bytes),
 }
 
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -35,7 +35,7 @@
 /// backends.
 const MAX_OFFERS: usize = 3;
 /// Retry-After if no sidecar of a service is known.
-const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(300);
+const NO_SIDECAR_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// State of a call in progress, for the result that its caller receives at the deadline.
 #[derive(Debug, Default)]
@@ -236,7 +236,7 @@
         body: CallBody,
     ) -> Result<Response<AnswerBody>, Failure> {
         let router = self.routing.service(&call.service).ok_or_else(|| {
-            Failure::with_retry_after(ResultCode::NoBackend, NO_ENDPOINT_RETRY_AFTER)
+            Failure::with_retry_after(ResultCode::NoBackend, NO_SIDECAR_RETRY_AFTER)
         })?;
         self.quarantine.check(&call.context)?;
         let admitted_below = self.admit_at_edge(call, &router)?;
--- a/crates/sidecar/tests/instance_tracker.rs
+++ b/crates/sidecar/tests/instance_tracker.rs
@@ -183,7 +183,7 @@
         }
     }
 
-    fn served(&self) -> Option<usize> {
+    fn serving_instance(&self) -> Option<usize> {
         (0..INSTANCES).find(|&instance| {
             let id = id(instance);
             self.tracker.current() == Some(&id)
@@ -202,10 +202,10 @@
         let mut simulation = Simulation::new();
         for step in &schedule {
             simulation.step(step);
-            if let Some(served) = simulation.served() {
+            if let Some(serving_instance) = simulation.serving_instance() {
                 prop_assert!(
-                    !simulation.acknowledged.contains(&served),
-                    "instance {served} receives work after {step:?}"
+                    !simulation.acknowledged.contains(&serving_instance),
+                    "instance {serving_instance} receives work after {step:?}"
                 );
             }
             for acknowledged in &simulation.acknowledged {
@@ -220,14 +220,14 @@
     let mut simulation = Simulation::new();
     simulation.step(&Step::Beat(0));
     simulation.step(&Step::Wait(10));
-    assert_eq!(simulation.served(), Some(0));
+    assert_eq!(simulation.serving_instance(), Some(0));
     simulation.step(&Step::Leave {
         instance: 0,
         abruptly: false,
     });
     simulation.step(&Step::LateBeat(0));
     simulation.step(&Step::Wait(10));
-    assert_eq!(simulation.served(), None);
+    assert_eq!(simulation.serving_instance(), None);
     assert!(simulation.acknowledged.contains(&0));
 }
 
@@ -237,10 +237,10 @@
     simulation.step(&Step::Store { up: false });
     simulation.step(&Step::Beat(0));
     simulation.step(&Step::Wait(1_500));
-    assert_eq!(simulation.served(), None);
+    assert_eq!(simulation.serving_instance(), None);
     simulation.step(&Step::Beat(0));
     simulation.step(&Step::Wait(10));
-    assert_eq!(simulation.served(), Some(0));
+    assert_eq!(simulation.serving_instance(), Some(0));
 }
 
 /// The departure records were queried before the instance announced its departure, and the reply
--- a/crates/sidecar/tests/parsing.rs
+++ b/crates/sidecar/tests/parsing.rs
@@ -76,7 +76,7 @@
     let mut decoder = BodyDecoder::new(framing, BODY_LIMIT)?;
     let mut buffer = BytesMut::new();
     let mut body = Vec::new();
-    let mut is_whole = false;
+    let mut is_complete = false;
     for piece in pieces {
         buffer.extend_from_slice(piece);
         loop {
@@ -84,13 +84,13 @@
                 Piece::Data(data) => body.extend_from_slice(&data),
                 Piece::NeedMore => break,
                 Piece::End => {
-                    is_whole = true;
+                    is_complete = true;
                     break;
                 }
             }
         }
     }
-    Ok((body, is_whole, buffer))
+    Ok((body, is_complete, buffer))
 }
 
 #[test]
@@ -143,9 +143,9 @@
             wire.extend_from_slice(b"\r\n");
         }
         wire.extend_from_slice(b"0\r\nTrailer: x\r\n\r\n");
-        let (body, is_whole, rest) = decode(Framing::Chunked, &cut(&wire, &cuts)).unwrap();
+        let (body, is_complete, rest) = decode(Framing::Chunked, &cut(&wire, &cuts)).unwrap();
         prop_assert_eq!(body, chunks.concat());
-        prop_assert!(is_whole);
+        prop_assert!(is_complete);
         prop_assert!(rest.is_empty());
     }
 
@@ -159,9 +159,9 @@
     ) {
         let wire = [body.clone(), extra.clone()].concat();
         let framing = Framing::Length(body.len() as u64);
-        let (decoded, is_whole, rest) = decode(framing, &cut(&wire, &cuts)).unwrap();
+        let (decoded, is_complete, rest) = decode(framing, &cut(&wire, &cuts)).unwrap();
         prop_assert_eq!(decoded, body);
-        prop_assert!(is_whole);
+        prop_assert!(is_complete);
         prop_assert_eq!(rest.to_vec(), extra);
     }
 
--- a/crates/sidecar/tests/store_calls.rs
+++ b/crates/sidecar/tests/store_calls.rs
@@ -1,4 +1,4 @@
-//! Platform calls of a starting sidecar, which are charged.
+//! Platform calls of a starting sidecar, each of which has a cost.
 
 mod support;
 
