--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/answer.rs
@@ -1,4 +1,5 @@
-//! Answers: the result code and outcome on each, refusals, and the metadata between daemons.
+//! Responses: result code, outcome class and `Retry-After` headers, failures that replace a
+//! backend's response, and the metadata exchanged between daemons.
 
 use std::time::Duration;
 
@@ -10,23 +11,24 @@
 
 use crate::body::AnswerBody;
 
-/// Milliseconds until a refused caller should come back; the precise form of `Retry-After`.
+/// Header with the milliseconds after which a refused caller may retry; more precise than
+/// `Retry-After`, whose unit is seconds.
 pub const RETRY_AFTER_MS: header::HeaderName =
     header::HeaderName::from_static("wharfquay-retry-after-ms");
 
 const MILLIS_PER_SECOND: u128 = 1_000;
 
-/// An answer that the system gives in place of a back end.
+/// A failure that this software reports instead of a backend's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What happened.
+    /// Cause of the failure.
     pub code: ResultCode,
-    /// When the caller should come back; meaningful where the code wants it.
+    /// Time after which the caller may retry; sent only if [`ResultCode::wants_retry_after`] holds.
     pub retry_after: Duration,
 }
 
 impl Failure {
-    /// A failure after which the caller need not wait.
+    /// Creates a failure without a time to wait before a retry.
     #[must_use]
     pub const fn new(code: ResultCode) -> Self {
         Self {
@@ -35,13 +37,13 @@
         }
     }
 
-    /// A failure after which the caller should wait.
+    /// Creates a failure after which the caller should wait for `retry_after`.
     #[must_use]
     pub const fn with_retry_after(code: ResultCode, retry_after: Duration) -> Self {
         Self { code, retry_after }
     }
 
-    /// The answer that tells of this failure.
+    /// Converts the failure into a response with its status, headers and a one-line text.
     #[must_use]
     pub fn into_response(self) -> Response<AnswerBody> {
         let status = StatusCode::from_u16(self.code.http_status());
@@ -61,14 +63,14 @@
     }
 }
 
-/// Writes the result code and its outcome class.
+/// Sets the headers for the result code and its outcome class.
 pub fn set_result(headers: &mut HeaderMap, code: ResultCode) {
     let outcome = HeaderValue::from_static(code.outcome().as_str());
     headers.insert(names::RESULT, HeaderValue::from(code.number()));
     headers.insert(names::OUTCOME, outcome);
 }
 
-/// Reads the result code that another daemon wrote.
+/// Reads the result code from the headers; `None` if it is missing or unknown.
 pub fn result(headers: &HeaderMap) -> Option<ResultCode> {
     let text = headers.get(names::RESULT)?.to_str().ok()?;
     ResultCode::from_number(text.parse().ok()?)
@@ -83,7 +85,7 @@
     headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
 }
 
-/// Reads when a refused caller should come back; zero where the answer does not say.
+/// Reads the time after which a refused caller may retry; zero if the header is missing or invalid.
 pub fn retry_after(headers: &HeaderMap) -> Duration {
     let millis = headers
         .get(RETRY_AFTER_MS)
@@ -92,14 +94,15 @@
     Duration::from_millis(millis.unwrap_or_default())
 }
 
-/// Writes the metadata for the daemon that sent the call.
+/// Sets the header with the metadata for the daemon that sent the call.
 pub fn set_metadata(headers: &mut HeaderMap, metadata: &WireAnswer) {
     if let Ok(value) = HeaderValue::from_str(&metadata.encode()) {
         headers.insert(names::ANSWER, value);
     }
 }
 
-/// Takes the metadata of the answering daemon out of the headers.
+/// Removes the metadata header of the daemon that responded and decodes it; `None` if it is missing
+/// or invalid.
 pub fn take_metadata(headers: &mut HeaderMap) -> Option<WireAnswer> {
     let value = headers.remove(names::ANSWER)?;
     WireAnswer::decode(value.as_bytes()).ok()
--- a/crates/daemon/src/backend_pool/mod.rs
+++ b/crates/daemon/src/backend_pool/mod.rs
@@ -1,6 +1,7 @@
-//! Connections to the local back end: HTTP/1.1, kept open, within the back end's connection limit.
+//! A pool of keep-alive HTTP/1.1 connections to the local backend, within its connection limit.
 //!
-//! A connection whose answer was abandoned is closed, so that no later request can receive it.
+//! A connection whose response was abandoned is closed; otherwise a later request could receive
+//! that response.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,60 +22,62 @@
 use crate::events::{Event, Quoted, RateLimit, log_event};
 use crate::sync::lock;
 
-/// Longest wait at the connection limit. Admission keeps executions within that limit, so this is
-/// only the time that a connection takes to become idle or to close.
-const LIMIT_WAIT: Duration = Duration::from_millis(20);
-/// Longest time from the end of an answer until its connection must be ready again; a back end that
-/// answered before it has read the request is not waited for longer.
-const SETTLE_TIME: Duration = Duration::from_millis(100);
-/// Taken off the time for which a back end says that it keeps an idle connection.
+/// Maximum wait for a connection at the connection limit. Admission keeps executions within that
+/// limit, so the wait only covers the time in which a connection becomes idle or closes.
+const CONNECTION_LIMIT_WAIT: Duration = Duration::from_millis(20);
+/// Maximum time from the end of a response until its connection is ready for the next request;
+/// reached when a backend responds before it has read the whole request.
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
+/// Subtracted from the idle timeout that a backend advertises, which avoids sending a request on a
+/// connection that the backend is about to close.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
-/// Parameter of the `Keep-Alive` header that gives that time in seconds.
+/// Parameter of the `Keep-Alive` header with the idle timeout in seconds.
 const KEEP_ALIVE_TIMEOUT: &str = "timeout=";
 
-/// Why the back end gave no answer.
+/// An error that prevented a response of the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendError {
-    /// The back end's connection limit is reached.
+    /// The backend's connection limit is reached.
     ConnectionLimit,
     /// No connection could be opened.
     ConnectFailed,
-    /// The connection was lost after bytes of the request were handed to it.
+    /// The connection was lost after bytes of the request were written to it.
     Lost,
-    /// The answer is malformed, or its end can't be told from a broken connection.
+    /// The response is malformed, or the end of its body can't be distinguished from a lost
+    /// connection.
     MalformedAnswer,
 }
 
-/// Connections to one back end.
+/// A pool of connections to one backend.
 #[derive(Debug)]
 pub struct BackendPool {
     address: SocketAddr,
     clock: Clock,
     connect_timeout: Duration,
     limit: AtomicUsize,
-    /// Longest rest of a connection that is used again, where the back end says nothing else.
-    longest_rest: Duration,
+    /// Idle time after which a connection is not reused, unless the backend advertises another one.
+    max_idle_time: Duration,
     open: Arc<AtomicUsize>,
-    idle: Mutex<Vec<Resting>>,
-    freed: Notify,
-    /// Bounds the log lines about connections that can't be opened.
+    idle: Mutex<Vec<IdleConnection>>,
+    connection_freed: Notify,
+    /// Rate limit for log events about failed connection attempts.
     connect_failures: RateLimit,
 }
 
 impl BackendPool {
-    /// A pool that opens at most `limit` connections to `address`.
+    /// Creates a pool that opens at most `limit` connections to `address`.
     #[must_use]
     pub fn new(address: SocketAddr, limit: usize, connect_timeout: Duration) -> Arc<Self> {
         Self::with_longest_rest(address, limit, connect_timeout, Duration::MAX, since_boot)
     }
 
-    /// As [`Self::new`], for a back end that closes connections after a rest.
+    /// Creates a pool like [`Self::new`] for a backend that closes connections after an idle time.
     #[must_use]
     pub fn with_longest_rest(
         address: SocketAddr,
         limit: usize,
         connect_timeout: Duration,
-        longest_rest: Duration,
+        max_idle_time: Duration,
         time_source: TimeSource,
     ) -> Arc<Self> {
         Arc::new(Self {
@@ -82,30 +85,30 @@
             clock: Clock::from_source(time_source),
             connect_timeout,
             limit: AtomicUsize::new(limit),
-            longest_rest,
+            max_idle_time,
             open: Arc::default(),
             idle: Mutex::default(),
-            freed: Notify::new(),
+            connection_freed: Notify::new(),
             connect_failures: RateLimit::default(),
         })
     }
 
-    /// Changes the connection limit; connections above it are not closed, but none is opened.
+    /// Sets the connection limit. Open connections above it are kept, but no further one is opened.
     pub fn set_limit(&self, limit: usize) {
         self.limit.store(limit, Ordering::Relaxed);
     }
 
-    /// Connections that are open now.
+    /// Returns the number of open connections, in use or idle.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// A connection that is ready for a request: an idle one, or a new one. At the connection limit
-    /// it waits a moment for one that is about to become idle.
+    /// Returns a connection that is ready for a request: an idle or a new one. At the connection
+    /// limit it waits up to 20 ms for a connection to become idle or to close.
     ///
     /// # Errors
-    /// [`BackendError::ConnectionLimit`] or [`BackendError::ConnectFailed`]; the back end saw
+    /// [`BackendError::ConnectionLimit`] or [`BackendError::ConnectFailed`]; the backend received
     /// nothing of the request.
     pub async fn checkout(self: &Arc<Self>) -> Result<Lease, BackendError> {
         let reserved = match self.try_reserve() {
@@ -119,7 +122,7 @@
         Ok(Lease {
             pool: Arc::clone(self),
             connection: Some(connection),
-            longest_rest: self.longest_rest,
+            max_idle_time: self.max_idle_time,
         })
     }
 
@@ -131,22 +134,22 @@
     async fn wait_for_connection(&self) -> Result<Reserved, BackendError> {
         let waiting = async {
             loop {
-                let freed = self.freed.notified();
+                let connection_freed = self.connection_freed.notified();
                 if let Some(reserved) = self.try_reserve() {
                     return reserved;
                 }
-                freed.await;
+                connection_freed.await;
             }
         };
-        let waited = tokio::time::timeout(LIMIT_WAIT, waiting).await;
+        let waited = tokio::time::timeout(CONNECTION_LIMIT_WAIT, waiting).await;
         waited.map_err(|_| BackendError::ConnectionLimit)
     }
 
     fn take_idle(&self) -> Option<Connection> {
         let mut idle = lock(&self.idle);
-        while let Some(resting) = idle.pop() {
-            if resting.is_usable(self.clock.now()) {
-                return Some(resting.connection);
+        while let Some(idle_connection) = idle.pop() {
+            if idle_connection.is_usable(self.clock.now()) {
+                return Some(idle_connection.connection);
             }
         }
         None
@@ -184,39 +187,40 @@
         })
     }
 
-    /// Takes back a connection whose answer is whole, as soon as it can carry the next request.
-    fn give_back(self: Arc<Self>, mut connection: Connection, longest_rest: Duration) {
+    /// Returns a connection whose response is complete to the pool once it can carry the next
+    /// request.
+    fn return_connection(self: Arc<Self>, mut connection: Connection, max_idle_time: Duration) {
         if connection.sender.is_ready() {
-            self.push_idle(connection, longest_rest);
+            self.push_idle(connection, max_idle_time);
             return;
         }
         tokio::spawn(async move {
-            let ready = tokio::time::timeout(SETTLE_TIME, connection.sender.ready()).await;
+            let ready = tokio::time::timeout(READY_TIMEOUT, connection.sender.ready()).await;
             if matches!(ready, Ok(Ok(()))) {
-                self.push_idle(connection, longest_rest);
+                self.push_idle(connection, max_idle_time);
             } else {
                 drop(connection);
-                self.freed.notify_one();
+                self.connection_freed.notify_one();
             }
         });
     }
 
-    /// Closes connections that have rested longer than they may.
+    /// Closes the connections that have been idle for longer than their maximum idle time.
     pub fn close_rested(&self) {
         close_rested(&mut lock(&self.idle), self.clock.now());
     }
 
-    fn push_idle(&self, connection: Connection, longest_rest: Duration) {
+    fn push_idle(&self, connection: Connection, max_idle_time: Duration) {
         let mut idle = lock(&self.idle);
         let now = self.clock.now();
         close_rested(&mut idle, now);
-        idle.push(Resting {
+        idle.push(IdleConnection {
             connection,
             since: now,
-            longest_rest,
+            max_idle_time,
         });
         drop(idle);
-        self.freed.notify_one();
+        self.connection_freed.notify_one();
     }
 
     fn connect_failed(&self, error: &dyn std::error::Error) -> BackendError {
@@ -231,36 +235,38 @@
     }
 }
 
-/// A connection that carries no request.
+/// An idle connection of the pool.
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     since: Timestamp,
-    longest_rest: Duration,
+    max_idle_time: Duration,
 }
 
-impl Resting {
+impl IdleConnection {
     fn is_usable(&self, now: Timestamp) -> bool {
-        let rest = now.saturating_since(self.since);
-        !self.connection.sender.is_closed() && rest < self.longest_rest
+        let idle_time = now.saturating_since(self.since);
+        !self.connection.sender.is_closed() && idle_time < self.max_idle_time
     }
 }
 
-/// Closes the connections at rest for too long. The last one to rest is the first to be used, so that after
-/// a surge the ones that rested longest are not needed any more.
-fn close_rested(idle: &mut Vec<Resting>, now: Timestamp) {
-    let unusable = idle.iter().take_while(|resting| !resting.is_usable(now));
+/// Closes the connections that have been idle for too long. The connection that became idle last is
+/// reused first, so after a surge the surplus connections stay idle and expire.
+fn close_rested(idle: &mut Vec<IdleConnection>, now: Timestamp) {
+    let unusable = idle
+        .iter()
+        .take_while(|idle_connection| !idle_connection.is_usable(now));
     let count = unusable.count();
     idle.drain(..count);
 }
 
-/// What a request can be sent on.
+/// An idle connection, or the permission to open a new one.
 enum Reserved {
     Idle(Connection),
     Slot(ConnectionSlot),
 }
 
-/// Counts one open connection for as long as it lives.
+/// Counts one connection as open until it is dropped.
 #[derive(Debug)]
 struct ConnectionSlot(Arc<AtomicUsize>);
 
@@ -270,7 +276,7 @@
     }
 }
 
-/// One connection; dropping it closes it.
+/// An open connection; dropping it closes it.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<RequestBody>,
@@ -284,29 +290,29 @@
     }
 }
 
-/// The use of a connection for one request. It goes back to the pool when the answer is whole and is
-/// closed otherwise.
+/// The use of a connection for one request. The connection returns to the pool when the response is
+/// complete and is closed otherwise.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<BackendPool>,
     connection: Option<Connection>,
-    longest_rest: Duration,
+    max_idle_time: Duration,
 }
 
-/// Why a request got no answer on a leased connection.
+/// An error that prevented a response on a leased connection.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of the request was written; here it is back.
+    /// No byte of the request was written; contains the request.
     NotSent(Request<RequestBody>),
-    /// The connection failed after that.
+    /// The connection failed after bytes of the request were written.
     Failed(BackendError),
 }
 
 impl Lease {
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the head of the response.
     ///
     /// # Errors
-    /// [`SendError`] says whether the back end may have seen the request.
+    /// [`SendError`] shows whether the backend may have received bytes of the request.
     pub async fn send(
         &mut self,
         request: Request<RequestBody>,
@@ -314,25 +320,25 @@
         let Some(connection) = &mut self.connection else {
             return Err(SendError::NotSent(request));
         };
-        let answer = connection.sender.try_send_request(request).await;
-        if let Some(told) = answer.as_ref().ok().and_then(told_rest) {
-            self.longest_rest = told;
+        let response = connection.sender.try_send_request(request).await;
+        if let Some(advertised) = response.as_ref().ok().and_then(advertised_idle_timeout) {
+            self.max_idle_time = advertised;
         }
-        answer.map_err(|mut failed| match failed.take_message() {
+        response.map_err(|mut failed| match failed.take_message() {
             Some(request) => SendError::NotSent(request),
             None => SendError::Failed(classify(failed.error())),
         })
     }
 }
 
-/// How long the back end says that it keeps the connection of this answer, less a margin.
-fn told_rest(answer: &Response<Incoming>) -> Option<Duration> {
-    let value = answer.headers().get("keep-alive")?.to_str().ok()?;
+/// Returns the idle timeout in the `Keep-Alive` header of a response, less a margin.
+fn advertised_idle_timeout(response: &Response<Incoming>) -> Option<Duration> {
+    let value = response.headers().get("keep-alive")?.to_str().ok()?;
     let timeout = value
         .split(',')
         .find_map(|part| part.trim().strip_prefix(KEEP_ALIVE_TIMEOUT))?;
-    let told = Duration::from_secs(timeout.parse().ok()?);
-    Some(told.saturating_sub(KEEP_ALIVE_MARGIN))
+    let advertised = Duration::from_secs(timeout.parse().ok()?);
+    Some(advertised.saturating_sub(KEEP_ALIVE_MARGIN))
 }
 
 fn classify(error: &hyper::Error) -> BackendError {
@@ -349,16 +355,16 @@
             return;
         }
         if let Some(connection) = self.connection.take() {
-            Arc::clone(&self.pool).give_back(connection, self.longest_rest);
+            Arc::clone(&self.pool).return_connection(connection, self.max_idle_time);
         }
     }
 }
 
 impl Drop for Lease {
-    /// Closes a connection that was not given back.
+    /// Closes a connection that was not returned to the pool.
     fn drop(&mut self) {
         if self.connection.take().is_some() {
-            self.pool.freed.notify_one();
+            self.pool.connection_freed.notify_one();
         }
     }
 }
--- a/crates/daemon/src/edge/claimed.rs
+++ b/crates/daemon/src/edge/claimed.rs
@@ -1,7 +1,7 @@
 //! Calls that take effect at most once under the caller's idempotency key.
 //!
-//! Such a call runs to its end even when the caller goes away, so that its outcome is on record when
-//! the caller repeats it.
+//! Such a call runs to completion even if the caller disconnects, which leaves a recorded outcome
+//! for the caller's repeat of the request.
 
 use std::sync::Arc;
 
@@ -28,15 +28,15 @@
 use crate::node::Node;
 use crate::outbound::call::{CallBody, OutgoingCall};
 
-/// Largest answer that is kept for repeats, in bytes of its body.
-const MAXIMUM_KEPT_BODY: usize = 8 * 1_024;
-/// Part of the time to the deadline that is kept back, so that the refusal of a claim which is still
-/// undecided reaches the caller in time.
-const GIVE_UP_MARGIN_SHARE: u32 = 16;
+/// Largest response body that is recorded for repeats, in bytes.
+const MAX_RECORDED_BODY: usize = 8 * 1_024;
+/// The time to the deadline divided by this is reserved, which lets the refusal of a claim that is
+/// still undecided reach the caller before the deadline.
+const GIVE_UP_MARGIN_DIVISOR: u32 = 16;
 
-/// The key under which a call must be claimed before its dispatch.
+/// Returns the key that must be claimed before the call is dispatched, if any.
 ///
-/// Without a claim group a key that the request kind doesn't require is passed on unclaimed.
+/// Without a claim group, a key that the request kind does not require is forwarded unclaimed.
 pub(super) fn key_to_claim(
     snapshot: &Snapshot,
     kind: &RequestKind,
@@ -47,16 +47,16 @@
     key.filter(|_| claims)
 }
 
-/// What to say in place of a "not run" that was found without asking the claim group: an earlier
-/// attempt with the same key may have run.
-pub(super) fn before_claim(failure: Failure) -> Failure {
+/// Replaces a "not run" failure that was found before the claim group was queried: an earlier
+/// request with the same key may have run.
+pub(super) fn undetermined_before_claim(failure: Failure) -> Failure {
     if failure.code.outcome() == OutcomeClass::NotRun && failure.code.wants_retry_after() {
         return Failure::with_retry_after(ResultCode::ClaimUndetermined, failure.retry_after);
     }
     failure
 }
 
-/// Claims the key of a call and takes the call to a back end, or answers from the record.
+/// Claims the key of a call, then forwards the call or replays the recorded response.
 pub(super) async fn run(
     node: Arc<Node>,
     call: OutgoingCall,
@@ -77,9 +77,11 @@
     key: IdempotencyKey,
     body: Incoming,
 ) -> Result<Response<AnswerBody>, Failure> {
-    node.forwarder.check_level(call).map_err(before_claim)?;
+    node.forwarder
+        .check_level(call)
+        .map_err(undetermined_before_claim)?;
     let body = node.forwarder.read_body(call, body).await;
-    let body = body.map_err(before_claim)?;
+    let body = body.map_err(undetermined_before_claim)?;
     let claimed = ClaimedCall {
         key,
         fingerprint: fingerprint(call, &body),
@@ -93,16 +95,17 @@
     });
     match verdict {
         ClaimVerdict::Dispatch(permit) => dispatch(node, call, body, permit).await,
-        ClaimVerdict::Replay(answer) => replay(&answer),
+        ClaimVerdict::Replay(recorded) => replay(&recorded),
         ClaimVerdict::Refuse(failure) => Err(failure),
     }
 }
 
 fn give_up_at(context: &CallContext, now: Timestamp) -> Timestamp {
-    context.deadline - context.remaining(now) / GIVE_UP_MARGIN_SHARE
+    context.deadline - context.remaining(now) / GIVE_UP_MARGIN_DIVISOR
 }
 
-/// Digest of the request. Of a body that is not held, only the stated length counts.
+/// Computes the digest of a request: service, method, path and body. A streamed body is represented
+/// by its `Content-Length` only.
 fn fingerprint(call: &OutgoingCall, body: &CallBody) -> Fingerprint {
     let mut digest = Sha256::new();
     let length = call.head.headers.get(http::header::CONTENT_LENGTH);
@@ -137,7 +140,7 @@
 ) -> Result<Response<AnswerBody>, Failure> {
     let result = node.forwarder.forward_body(call, body).await;
     let (outcome, result) = match result {
-        Ok(response) => keep(response).await,
+        Ok(response) => record_response(response).await,
         Err(failure) => (outcome_of(failure.code), Err(failure)),
     };
     permit.complete(outcome);
@@ -151,8 +154,9 @@
     }
 }
 
-/// Reads an answer that is small enough to be kept; a larger one is passed on as it comes.
-async fn keep(
+/// Reads a response of at most [`MAX_RECORDED_BODY`] bytes to record it; a larger one is streamed
+/// to the caller and not recorded.
+async fn record_response(
     response: Response<AnswerBody>,
 ) -> (ExecutionOutcome, Result<Response<AnswerBody>, Failure>) {
     let (parts, mut rest) = response.into_parts();
@@ -170,37 +174,37 @@
             continue;
         };
         body.extend_from_slice(&data);
-        if body.len() > MAXIMUM_KEPT_BODY {
+        if body.len() > MAX_RECORDED_BODY {
             let body = AnswerBody::resumed(body.freeze(), rest);
             return (executed(None), Ok(Response::from_parts(parts, body)));
         }
     }
     let body = body.freeze();
-    let content = KeptAnswer::new(&parts.headers, &body).encode();
+    let content = StoredResponse::new(&parts.headers, &body).encode();
     let response = Response::from_parts(parts, AnswerBody::own(body));
     (executed(content), Ok(response))
 }
 
-/// Headers and body of an answer as the replicas keep them.
+/// Headers and body of a response in the form that the replicas store.
 #[derive(Debug, Serialize, Deserialize)]
-struct KeptAnswer {
+struct StoredResponse {
     #[serde(rename = "h")]
-    headers: Vec<KeptHeader>,
+    headers: Vec<StoredHeader>,
     #[serde(rename = "b")]
     body: ByteBuf,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-struct KeptHeader {
+struct StoredHeader {
     #[serde(rename = "n")]
     name: String,
     #[serde(rename = "v")]
     value: ByteBuf,
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     fn new(headers: &HeaderMap, body: &Bytes) -> Self {
-        let headers = headers.iter().map(|(name, value)| KeptHeader {
+        let headers = headers.iter().map(|(name, value)| StoredHeader {
             name: name.as_str().to_owned(),
             value: ByteBuf::from(value.as_bytes()),
         });
@@ -217,19 +221,19 @@
     }
 }
 
-/// The recorded answer as a response.
-fn replay(answer: &RecordedAnswer) -> Result<Response<AnswerBody>, Failure> {
-    let kept = answer.content.as_ref();
-    let kept = kept.and_then(|bytes| ciborium::from_reader(bytes.as_slice()).ok());
-    let kept: KeptAnswer = kept.ok_or_else(|| Failure::new(ResultCode::AnsweredEarlier))?;
+/// Converts a recorded response into the response for the caller.
+fn replay(recorded: &RecordedAnswer) -> Result<Response<AnswerBody>, Failure> {
+    let stored = recorded.content.as_ref();
+    let stored = stored.and_then(|bytes| ciborium::from_reader(bytes.as_slice()).ok());
+    let stored: StoredResponse = stored.ok_or_else(|| Failure::new(ResultCode::AnsweredEarlier))?;
     let (mut parts, ()) = Response::new(()).into_parts();
-    restore_head(&mut parts, answer.status, &kept.headers);
+    restore_head(&mut parts, recorded.status, &stored.headers);
     set_result(&mut parts.headers, ResultCode::Answered);
-    let body = AnswerBody::own(kept.body.into_vec());
+    let body = AnswerBody::own(stored.body.into_vec());
     Ok(Response::from_parts(parts, body))
 }
 
-fn restore_head(parts: &mut Parts, status: u16, headers: &[KeptHeader]) {
+fn restore_head(parts: &mut Parts, status: u16, headers: &[StoredHeader]) {
     parts.status = StatusCode::from_u16(status).unwrap_or_default();
     for header in headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -1,4 +1,4 @@
-//! The edge: requests of callers, which become originating requests here.
+//! The edge: accepts requests of callers and turns each into an originating request.
 
 mod claimed;
 
@@ -28,14 +28,14 @@
 use crate::outbound::call::{OutgoingCall, RequestHead, RetryAccount, backoff_for};
 use crate::request::{check_head_size, service_name};
 
-/// Retry-After of a refusal because this edge is being stopped.
+/// Retry-After of refusals while this edge is stopping.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Calls that an edge makes for a request.
+/// Number of calls that an edge makes for each request.
 const CALLS_PER_REQUEST: usize = 1;
-/// Version of the UUIDs that idempotency keys are.
-const KEY_VERSION: usize = 7;
+/// UUID version that idempotency keys must have.
+const KEY_UUID_VERSION: usize = 7;
 
-/// Serves callers.
+/// Serves the requests of callers on the edge listener.
 #[derive(Clone, Debug)]
 pub(crate) struct EdgeHandler {
     node: Arc<Node>,
@@ -49,20 +49,20 @@
     pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let call = self.node.begin_call();
         let method = request.method().clone();
-        let cancellation = self.node.watch_cancellation(Side::Edge);
-        let result = self.answer(request).await;
-        cancellation.answered();
+        let cancellation = self.node.cancellation_guard(Side::Edge);
+        let result = self.respond(request).await;
+        cancellation.responded();
         let mut response = self.node.finish(Side::Edge, &method, result);
         response.body_mut().observe(Box::new(call));
         response
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
         check_head_size(&request, self.node.settings.limits.header_bytes)?;
         let snapshot = self.open_configuration().map_err(|failure| {
             let keyed = request.headers().contains_key(names::IDEMPOTENCY_KEY);
             if keyed {
-                claimed::before_claim(failure)
+                claimed::undetermined_before_claim(failure)
             } else {
                 failure
             }
@@ -116,7 +116,7 @@
         self.node.metrics.decided(Side::Edge, priority, admission);
     }
 
-    /// Writes the event of a request that must take effect at most once and may have run.
+    /// Logs a request that must take effect at most once and whose outcome is unknown.
     fn log_unknown_outcome(&self, origin: OriginId, kind: &RequestKind, code: ResultCode) {
         if code.outcome() != OutcomeClass::Unknown {
             return;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The configuration in force, while new calls are taken.
+    /// Returns the configuration in force, or a refusal if this edge is stopping or not ready.
     fn open_configuration(&self) -> Result<Arc<Snapshot>, Failure> {
         if self.node.is_stopping() {
             let code = ResultCode::Draining;
@@ -151,13 +151,13 @@
         trace: &DecisionTrace,
     ) -> Result<CallContext, Failure> {
         let idempotency_key = idempotency_key(headers)?;
-        let lifetime_ms = lifetime_ms(kind, headers)?;
+        let time_to_deadline_ms = time_to_deadline_ms(kind, headers)?;
         let budget = snapshot.retry_budget_for(kind);
         let retries = budget.map_or(0, |budget| budget.retries_per_request);
         trace.treated(|| Treatment {
             request_kind: kind.name.clone(),
             priority: kind.priority,
-            deadline_ms: lifetime_ms,
+            deadline_ms: time_to_deadline_ms,
             retries,
             repeatable: kind.repeatable,
         });
@@ -169,7 +169,7 @@
             attempt: AttemptId::new(0),
             request_kind: kind.name.clone(),
             priority: Priority::new(kind.priority).unwrap_or(Priority::LOWEST),
-            deadline: self.node.clock.now() + Duration::from_millis(lifetime_ms),
+            deadline: self.node.clock.now() + Duration::from_millis(time_to_deadline_ms),
             allowance: RetryAllowance::new(retries),
             repeatability: if kind.repeatable {
                 Repeatability::Repeatable
@@ -186,35 +186,36 @@
     }
 }
 
-/// A refusal that follows from the configuration, noted in the decision's record.
+/// Returns a refusal that follows from the configuration and adds it to the decision record.
 fn refuse(trace: &DecisionTrace, code: ResultCode) -> Failure {
     trace.refused(code);
     Failure::new(code)
 }
 
-/// What a request asks for, as its decision's record has it.
+/// Returns the properties of a request that its decision record contains.
 fn request_facts<B>(service: &str, request: &Request<B>, origin: OriginId) -> RequestFacts {
     let headers = request.headers();
     RequestFacts {
         service: service.to_owned(),
         method: request.method().as_str().to_owned(),
         path: request.uri().path().to_owned(),
-        deadline_ms: given_deadline_ms(headers).unwrap_or_default(),
+        deadline_ms: requested_deadline_ms(headers).unwrap_or_default(),
         has_idempotency_key: headers.contains_key(names::IDEMPOTENCY_KEY),
         rank: Rank::of(origin),
     }
 }
 
-/// Time in which the answer is worth something, in milliseconds: what the caller says, bounded by the
-/// request kind.
-fn lifetime_ms(kind: &RequestKind, headers: &HeaderMap) -> Result<u64, Failure> {
-    let longest = u64::from(kind.deadline_ms);
-    let given = given_deadline_ms(headers)?;
-    Ok(given.map_or(longest, |given| given.min(longest)))
+/// Returns the time to the deadline in milliseconds: the value that the caller requests, at most
+/// that of the request kind.
+fn time_to_deadline_ms(kind: &RequestKind, headers: &HeaderMap) -> Result<u64, Failure> {
+    let maximum = u64::from(kind.deadline_ms);
+    let given = requested_deadline_ms(headers)?;
+    Ok(given.map_or(maximum, |given| given.min(maximum)))
 }
 
-/// The deadline that the caller set, in milliseconds from the arrival.
-fn given_deadline_ms(headers: &HeaderMap) -> Result<Option<u64>, Failure> {
+/// Reads the deadline that the caller requests, in milliseconds from the arrival; `None` without
+/// the header.
+fn requested_deadline_ms(headers: &HeaderMap) -> Result<Option<u64>, Failure> {
     let Some(value) = headers.get(names::DEADLINE) else {
         return Ok(None);
     };
@@ -228,7 +229,7 @@
         return Ok(None);
     };
     let parsed = value.to_str().ok().and_then(|text| text.parse().ok());
-    let key = parsed.filter(|key: &Uuid| key.get_version_num() == KEY_VERSION);
+    let key = parsed.filter(|key: &Uuid| key.get_version_num() == KEY_UUID_VERSION);
     let key = key.ok_or_else(|| Failure::new(ResultCode::InvalidIdempotencyKey))?;
     Ok(Some(IdempotencyKey::from_u128(key.as_u128())))
 }
--- a/crates/daemon/src/headers.rs
+++ b/crates/daemon/src/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers cross a hop and which end there.
+//! Removes headers that must not cross a hop.
 
 use http::HeaderMap;
 use http::header::{self, HeaderName};
@@ -17,7 +17,7 @@
     header::EXPECT,
 ];
 
-/// Headers of the system that a caller or a back end must not set towards other processes.
+/// Internal headers that are removed from requests of callers and backends.
 const INTERNAL_REQUEST: [HeaderName; 5] = [
     names::CONTEXT,
     names::SCOPE,
@@ -26,10 +26,10 @@
     names::DEADLINE,
 ];
 
-/// Headers of the system that a back end must not set in an answer.
+/// Internal headers that are removed from responses of backends.
 const INTERNAL_ANSWER: [HeaderName; 3] = [names::RESULT, names::OUTCOME, names::ANSWER];
 
-/// Removes the headers that describe the connection on which the message came.
+/// Removes the hop-by-hop headers, including those that the `Connection` header lists.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
@@ -49,14 +49,14 @@
         .collect()
 }
 
-/// Removes the system's own headers from a request of a caller or a back end.
+/// Removes internal headers from a request of a caller or a backend.
 pub fn remove_internal_request(headers: &mut HeaderMap) {
     for name in &INTERNAL_REQUEST {
         headers.remove(name);
     }
 }
 
-/// Removes the system's own headers from an answer of a back end.
+/// Removes internal headers from a response of a backend.
 pub fn remove_internal_answer(headers: &mut HeaderMap) {
     for name in &INTERNAL_ANSWER {
         headers.remove(name);
--- a/crates/daemon/src/inbound/dispatch.rs
+++ b/crates/daemon/src/inbound/dispatch.rs
@@ -1,4 +1,4 @@
-//! Handing a call to the local back end and judging the head of its answer.
+//! Sends a call to the local backend and checks the head of its response.
 
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Request, Response, StatusCode, Uri, Version};
@@ -15,34 +15,35 @@
 use crate::inbound::LocalBackend;
 use crate::scopes::OpenScope;
 
-/// Header by which a back end proves, on a 503, that it refused before it executed anything.
+/// Header with which a backend asserts, on a 503 response, that it refused the request before it
+/// executed any of it.
 const REFUSED: HeaderName = HeaderName::from_static("wharfquay-refused");
 const REFUSED_BEFORE_EXECUTION: &str = "before-execution";
 
-/// Connections that may prove closed before a byte was written, for one call.
-const CONNECTION_TRIES: usize = 3;
+/// Number of connections to use for one call, if each closes before a byte is written to it.
+const MAX_CONNECTIONS_PER_CALL: usize = 3;
 
-/// The head of the back end's answer and the connection that brings its body.
+/// The head of the backend's response and the connection that delivers its body.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct BackendResponse {
     pub(crate) response: Response<Incoming>,
     pub(crate) lease: Lease,
 }
 
-/// Hands the call to the back end and waits for the head of its answer, at most until `deadline`.
+/// Sends the call to the backend and waits for the head of its response until `deadline`.
 ///
 /// # Errors
-/// The failure in place of the answer; "not run" only if the back end saw nothing of the request or
-/// refused it before execution.
+/// The failure to report instead of a response; "not run" only if the backend received nothing of
+/// the request or refused it before execution.
 pub(crate) async fn execute(
     backend: &LocalBackend,
     scope: &OpenScope,
     request: Request<Incoming>,
     deadline: Instant,
-) -> Result<Answered, Failure> {
+) -> Result<BackendResponse, Failure> {
     let method = request.method().clone();
     let mut request = build(backend, scope, request)?;
-    for _ in 0..CONNECTION_TRIES {
+    for _ in 0..MAX_CONNECTIONS_PER_CALL {
         let checkout = backend.pool.checkout();
         let lease = tokio::time::timeout_at(deadline, checkout)
             .await
@@ -52,7 +53,7 @@
             .await
             .map_err(|_| Failure::new(ResultCode::DeadlineAfterDispatch))?;
         match sent {
-            Ok(response) => return judge(&method, response, lease),
+            Ok(response) => return check_response(&method, response, lease),
             Err(SendError::Failed(error)) => return Err(Failure::new(code_of(error))),
             Err(SendError::NotSent(unsent)) => request = unsent,
         }
@@ -108,14 +109,18 @@
     Some(())
 }
 
-fn judge(method: &Method, response: Response<Incoming>, lease: Lease) -> Result<Answered, Failure> {
+fn check_response(
+    method: &Method,
+    response: Response<Incoming>,
+    lease: Lease,
+) -> Result<BackendResponse, Failure> {
     if refused_before_execution(&response) {
         return Err(Failure::new(ResultCode::RefusedByBackend));
     }
-    if !end_is_marked(method, &response) {
+    if !has_delimited_body(method, &response) {
         return Err(Failure::new(ResultCode::MalformedAnswer));
     }
-    Ok(Answered { response, lease })
+    Ok(BackendResponse { response, lease })
 }
 
 fn refused_before_execution<B>(response: &Response<B>) -> bool {
@@ -124,9 +129,9 @@
     proof && response.status() == StatusCode::SERVICE_UNAVAILABLE
 }
 
-/// Whether a whole body can be told from one that a broken connection cut short: its length is
-/// given, or it comes in chunks.
-fn end_is_marked<B: Body>(method: &Method, response: &Response<B>) -> bool {
+/// Returns true if a complete body can be distinguished from one that a broken connection
+/// truncated: the response has a content length or a transfer encoding, or has no body.
+fn has_delimited_body<B: Body>(method: &Method, response: &Response<B>) -> bool {
     let bodiless = *method == Method::HEAD
         || response.status() == StatusCode::NO_CONTENT
         || response.status() == StatusCode::NOT_MODIFIED;
--- a/crates/daemon/src/inbound/gate.rs
+++ b/crates/daemon/src/inbound/gate.rs
@@ -1,4 +1,4 @@
-//! Drives the admission controller: callers wait here until their call is dispatched or refused.
+//! Drives the admission controller: a call waits here until it is dispatched or refused.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,7 +20,7 @@
 
 type Verdict = Result<(), Failure>;
 
-/// Admission to the local back end.
+/// The admission gate in front of the local backend.
 #[derive(Debug)]
 pub struct AdmissionGate {
     clock: Clock,
@@ -47,30 +47,31 @@
                 } => (ticket, Err(Failure::with_retry_after(code, retry_after))),
             };
             if let Some(waiter) = self.waiting.remove(&ticket) {
-                // A waiter that is gone settles its ticket when it is dropped.
+                // Sending fails if the waiter was cancelled; dropping its permit then settles the
+                // ticket.
                 let _ = waiter.send(verdict);
             }
         }
     }
 }
 
-/// A call that asks for admission.
+/// A call that requests admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Its position in the order of refusal.
+    /// Key by which the call is refused before or after other calls.
     pub key: AdmissionKey,
-    /// When its answer becomes worthless.
+    /// Deadline of the call, after which a response is useless to the caller.
     pub deadline: Timestamp,
-    /// Longest wait, in place of the settings' time.
+    /// Maximum wait in the queue for this call; `None` for the configured maximum.
     pub patience: Option<Duration>,
-    /// Whether work was spent on its originating request before.
+    /// Whether work was already spent on the originating request.
     pub standing: Standing,
-    /// Level that the originating request passed at its edge.
+    /// Admission level at which the edge admitted the originating request.
     pub admitted_below: AdmissionLevel,
 }
 
 impl Entry {
-    /// A call of a request of which nothing else is known.
+    /// Creates an entry for a call about whose originating request nothing else is known.
     #[must_use]
     pub const fn new(key: AdmissionKey, deadline: Timestamp) -> Self {
         Self {
@@ -83,17 +84,17 @@
     }
 }
 
-/// Load and level of the local back end.
+/// Load and admission level of the local backend.
 #[derive(Clone, Copy, Debug)]
 pub struct GateReport {
-    /// Calls in execution, limit and queue.
+    /// Number of calls in execution, concurrency limit and queue length.
     pub load: Load,
     /// Admission level in force.
     pub level: AdmissionLevel,
 }
 
 impl AdmissionGate {
-    /// A gate without calls.
+    /// Creates a gate without calls.
     #[must_use]
     pub fn new(settings: AdmissionSettings, clock: Clock) -> Arc<Self> {
         let controller = AdmissionController::new(settings, clock.now());
@@ -108,10 +109,10 @@
         })
     }
 
-    /// Waits until the call may be handed to the back end. Dropping the future withdraws the call.
+    /// Waits until the call may be sent to the backend. Dropping the future withdraws the call.
     ///
     /// # Errors
-    /// The refusal, in which case the call was not run.
+    /// The refusal; the call was not run.
     pub async fn enter(
         self: &Arc<Self>,
         key: AdmissionKey,
@@ -120,10 +121,10 @@
         self.enter_as(Entry::new(key, deadline)).await
     }
 
-    /// As [`Self::enter`], with what is known of the call's originating request.
+    /// Waits like [`Self::enter`], with further information about the originating request.
     ///
     /// # Errors
-    /// The refusal, in which case the call was not run.
+    /// The refusal; the call was not run.
     pub async fn enter_as(self: &Arc<Self>, entry: Entry) -> Result<Permit, Failure> {
         let ticket = CallTicket(self.next_ticket.fetch_add(1, Ordering::Relaxed));
         let (sender, verdict) = oneshot::channel();
@@ -159,17 +160,17 @@
         }
     }
 
-    /// Puts new settings in force.
+    /// Applies new admission settings to waiting and later calls.
     pub fn reconfigure(&self, settings: AdmissionSettings) {
         self.with_state(|state, now| state.controller.reconfigure(now, settings));
     }
 
-    /// Refuses every waiting call and every call from now on.
+    /// Refuses all waiting and all later calls.
     pub fn begin_drain(&self) {
         self.with_state(|state, now| state.controller.begin_drain(now));
     }
 
-    /// Load and level now.
+    /// Returns the current load and admission level.
     #[must_use]
     pub fn report(&self) -> GateReport {
         let state = lock(&self.state);
@@ -179,19 +180,19 @@
         }
     }
 
-    /// Notes that the execution behind `ticket` waits for a call of its own.
+    /// Records that the execution of `ticket` starts to wait for a downstream call.
     pub fn downstream_started(&self, ticket: CallTicket) {
         let now = self.clock.now();
         lock(&self.state).controller.downstream_started(now, ticket);
     }
 
-    /// Notes the end of that call.
+    /// Records that a downstream call of the execution of `ticket` has completed.
     pub fn downstream_ended(&self, ticket: CallTicket) {
         let now = self.clock.now();
         lock(&self.state).controller.downstream_ended(now, ticket);
     }
 
-    /// Runs the controller's timer; never returns.
+    /// Advances the controller whenever its next timer expires; never returns.
     pub async fn run_timer(&self) {
         loop {
             let wakeup = lock(&self.state).controller.next_wakeup();
@@ -234,7 +235,7 @@
     Settled,
 }
 
-/// A call's place: waiting, or in execution. Dropping it withdraws the call or reports the
+/// A call that waits or is in execution. Dropping it withdraws a waiting call and reports an
 /// execution as cancelled.
 #[derive(Debug)]
 pub struct Permit {
@@ -244,13 +245,13 @@
 }
 
 impl Permit {
-    /// The call, as admission knows it.
+    /// Returns the ticket that identifies the call in the admission controller.
     #[must_use]
     pub const fn ticket(&self) -> CallTicket {
         self.ticket
     }
 
-    /// Reports how the execution ended.
+    /// Reports the completion of the execution.
     pub fn complete(mut self, completion: Completion) {
         self.settle(completion);
     }
@@ -265,7 +266,8 @@
             .with_state(|state, now| state.controller.complete(now, ticket, completion));
     }
 
-    /// The controller owns the race between a dispatch and a withdrawal.
+    /// Withdraws a waiting call. It may have been dispatched concurrently, which only the
+    /// controller knows; the execution is then reported as cancelled.
     fn withdraw(&mut self) {
         let ticket = self.ticket;
         let mut dispatched = false;
--- a/crates/daemon/src/inbound/handler.rs
+++ b/crates/daemon/src/inbound/handler.rs
@@ -1,4 +1,5 @@
-//! Admission of a call, its execution at the local back end, and the answer with its metadata.
+//! Handles calls of other daemons: admission, execution at the local backend, and the response with
+//! its metadata.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,27 +19,27 @@
 use crate::backend_pool::BackendPool;
 use crate::body::{AnswerBody, BodyEnd, BodyObserver};
 use crate::headers::{remove_hop_by_hop, remove_internal_answer};
-use crate::inbound::dispatch::{self, Answered};
+use crate::inbound::dispatch::{self, BackendResponse};
 use crate::inbound::gate::{AdmissionGate, Permit};
 use crate::metrics::{Admission, Side};
 use crate::node::Node;
 use crate::scopes::OpenScope;
 
-/// Retry-After of a refusal because this daemon leaves or is not ready.
+/// Retry-After of refusals while this daemon is leaving or not ready.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The back end beside this daemon.
+/// The backend beside this daemon, with its admission gate and connections.
 #[derive(Debug)]
 pub(crate) struct LocalBackend {
     pub(crate) service: String,
     pub(crate) gate: Arc<AdmissionGate>,
     pub(crate) pool: Arc<BackendPool>,
-    /// Whether one of the back end's connections is kept for reading its health.
+    /// True if one of the backend's connections is reserved for reading its health endpoint.
     pub(crate) reads_health: bool,
 }
 
 impl LocalBackend {
-    /// Takes over what the configuration says of the service.
+    /// Applies the service resource of the backend to the gate and the connection pool.
     pub(crate) fn configure(&self, service: &Service) {
         let connections = self.call_connections(service);
         self.gate
@@ -46,14 +47,14 @@
         self.pool.set_limit(connections as usize);
     }
 
-    /// Connections that calls may use at a time.
+    /// Returns the number of connections that calls may use concurrently.
     fn call_connections(&self, service: &Service) -> u32 {
         let kept = u32::from(self.reads_health);
         service.connections.saturating_sub(kept).max(1)
     }
 }
 
-/// Admission settings that follow from a service resource.
+/// Derives admission settings from a service resource.
 fn admission_settings(service: &Service, connections: u32) -> AdmissionSettings {
     AdmissionSettings {
         initial_limit: service.slots.min(connections),
@@ -63,7 +64,7 @@
     }
 }
 
-/// Serves the calls of other daemons.
+/// Serves the calls of other daemons on the inbound listener.
 #[derive(Clone, Debug)]
 pub(crate) struct InboundHandler {
     node: Arc<Node>,
@@ -78,12 +79,12 @@
     pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let call = self.node.begin_call();
         let method = request.method().clone();
-        let cancellation = self.node.watch_cancellation(Side::Inbound);
+        let cancellation = self.node.cancellation_guard(Side::Inbound);
         let result = match self.read_context(&request) {
             Ok(context) => self.execute(context, request).await,
             Err(failure) => Err(failure),
         };
-        cancellation.answered();
+        cancellation.responded();
         let mut response = self.node.finish(Side::Inbound, &method, result);
         response.body_mut().observe(Box::new(call));
         response
@@ -109,9 +110,9 @@
         let result = self.admit_and_dispatch(context, request).await;
         let (mut response, returned) = match result {
             Ok(accepted) => self.relay(accepted),
-            Err(rejected) => (
-                rejected.failure.into_response(),
-                rejected.returned.unwrap_or(allowance),
+            Err(failed) => (
+                failed.failure.into_response(),
+                failed.returned.unwrap_or(allowance),
             ),
         };
         let metadata = self.metadata(&kind, returned);
@@ -123,7 +124,7 @@
         &self,
         context: CallContext,
         request: Request<Incoming>,
-    ) -> Result<Execution, Rejected> {
+    ) -> Result<Execution, FailedCall> {
         self.check_open()?;
         let key = context.admission_key();
         let deadline = context.deadline;
@@ -139,8 +140,8 @@
         let deadline = self.node.clock.instant(deadline);
         let dispatched = dispatch::execute(&self.backend, &scope, request, deadline).await;
         match dispatched {
-            Ok(answered) => Ok(Execution {
-                answered,
+            Ok(backend_response) => Ok(Execution {
+                backend_response,
                 scope,
                 permit,
                 deadline,
@@ -148,7 +149,7 @@
             Err(failure) => {
                 let returned = Some(scope.scope().close_ledger());
                 permit.complete(completion_of(failure.code));
-                Err(Rejected { failure, returned })
+                Err(FailedCall { failure, returned })
             }
         }
     }
@@ -167,13 +168,13 @@
 
     fn relay(&self, execution: Execution) -> (Response<AnswerBody>, RetryAllowance) {
         let returned = execution.scope.scope().close_ledger();
-        let (mut parts, incoming) = execution.answered.response.into_parts();
+        let (mut parts, incoming) = execution.backend_response.response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
         remove_internal_answer(&mut parts.headers);
         set_result(&mut parts.headers, ResultCode::Answered);
         let mut body = AnswerBody::relayed(incoming, execution.deadline);
-        body.observe(Box::new(execution.answered.lease));
-        body.observe(Box::new(Closing {
+        body.observe(Box::new(execution.backend_response.lease));
+        body.observe(Box::new(CompletionObserver {
             _scope: execution.scope,
             permit: execution.permit,
         }));
@@ -206,22 +207,23 @@
     }
 }
 
-/// A call that the back end answered, up to the head of the answer.
+/// A call for which the head of the backend's response has arrived.
 struct Execution {
-    answered: Answered,
+    backend_response: BackendResponse,
     scope: OpenScope,
     permit: Permit,
     deadline: tokio::time::Instant,
 }
 
-/// A call that has no answer of the back end.
-struct Rejected {
+/// A call that failed or was refused without a response of the backend.
+struct FailedCall {
     failure: Failure,
-    /// What the call's account hands back; all of it when none was opened.
+    /// Retry allowance that is returned to the caller; `None`, for all of it, if no ledger was
+    /// opened.
     returned: Option<RetryAllowance>,
 }
 
-impl From<Failure> for Rejected {
+impl From<Failure> for FailedCall {
     fn from(failure: Failure) -> Self {
         Self {
             failure,
@@ -230,13 +232,13 @@
     }
 }
 
-/// Ends the execution with the body of its answer.
-struct Closing {
+/// Completes the execution when the body of its response ends.
+struct CompletionObserver {
     _scope: OpenScope,
     permit: Permit,
 }
 
-impl BodyObserver for Closing {
+impl BodyObserver for CompletionObserver {
     fn ended(self: Box<Self>, end: BodyEnd) {
         let completion = match end {
             BodyEnd::Complete => Completion::Succeeded,
--- a/crates/daemon/src/inbound/mod.rs
+++ b/crates/daemon/src/inbound/mod.rs
@@ -1,4 +1,4 @@
-//! The inbound side: calls of other daemons for the local back end.
+//! The inbound side: calls of other daemons to the local backend.
 
 mod dispatch;
 pub mod gate;
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -111,12 +111,12 @@
         CallInFlight(Arc::clone(&self.in_flight))
     }
 
-    /// Counts the call at `side` as cancelled unless it is reported as answered.
-    pub(crate) fn watch_cancellation(&self, side: Side) -> CancellationWatch {
-        CancellationWatch {
+    /// Counts the call at `side` as cancelled unless it is reported as responded.
+    pub(crate) fn cancellation_guard(&self, side: Side) -> CancellationGuard {
+        CancellationGuard {
             metrics: Arc::clone(&self.metrics),
             side,
-            answered: false,
+            responded: false,
         }
     }
 
@@ -172,22 +172,22 @@
 
 /// Counts a call whose caller went away before its answer: the future that holds this is dropped.
 #[derive(Debug)]
-pub(crate) struct CancellationWatch {
+pub(crate) struct CancellationGuard {
     metrics: Arc<Metrics>,
     side: Side,
-    answered: bool,
+    responded: bool,
 }
 
-impl CancellationWatch {
+impl CancellationGuard {
     /// The call has its answer.
-    pub(crate) fn answered(mut self) {
-        self.answered = true;
+    pub(crate) fn responded(mut self) {
+        self.responded = true;
     }
 }
 
-impl Drop for CancellationWatch {
+impl Drop for CancellationGuard {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.responded {
             self.metrics.call_cancelled(self.side);
         }
     }
--- a/crates/daemon/src/outbound/attempt.rs
+++ b/crates/daemon/src/outbound/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call at one endpoint.
+//! Sends one attempt of a call to one endpoint and reports its result to the router.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,38 +21,38 @@
 use crate::outbound::routes::{Route, Target};
 use crate::peers::{PeerError, PeerPool};
 
-/// Part of the remaining time that is kept back at each hop, so that the hop nearer to the back end
-/// answers first and its more exact answer reaches the caller.
+/// Largest amount of the remaining time that each hop keeps for itself. The hop nearer to the
+/// backend then times out first, and its more precise result code reaches the caller.
 const HOP_MARGIN: Duration = Duration::from_millis(1);
-/// The margin is never more than this part of the remaining time.
-const HOP_MARGIN_SHARE: u32 = 16;
+/// The margin is at most the remaining time divided by this.
+const HOP_MARGIN_DIVISOR: u32 = 16;
 
-/// The head of the answer to an attempt, or why there is none.
+/// The outcome of an attempt: the head of its response or the failure that replaces it.
 #[derive(Debug)]
-pub(crate) struct AttemptEnd {
-    /// The answer of the back end, or the failure in its place.
+pub(crate) struct AttemptOutcome {
+    /// The backend's response, or the failure that the caller receives instead.
     pub(crate) result: Result<Response<Incoming>, Failure>,
-    /// What became of the allowance that the attempt carried.
-    pub(crate) allowance: GrantEnd,
-    /// What the answering daemon told along with it.
+    /// How the retry allowance sent with the attempt is settled.
+    pub(crate) allowance: GrantOutcome,
+    /// Metadata of the daemon that responded; `None` without a response or without valid metadata.
     pub(crate) metadata: Option<WireAnswer>,
-    /// The body, where none of it was sent.
+    /// The request body, if no byte of the request was sent.
     pub(crate) unsent: Option<RequestBody>,
 }
 
-/// What became of the allowance that an attempt carried.
+/// How the retry allowance sent with an attempt is settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum GrantEnd {
-    /// The attempt was not processed, so nothing was spent.
-    Untouched,
-    /// The answer hands this much back.
+pub(crate) enum GrantOutcome {
+    /// The peer did not process the attempt, so none of the allowance was spent.
+    Unspent,
+    /// The response returned this part of the allowance.
     Returned(RetryAllowance),
-    /// Nobody can tell.
+    /// It is unknown how much was spent, so the whole allowance counts as spent.
     Lost,
 }
 
-impl AttemptEnd {
-    const fn failed(code: ResultCode, allowance: GrantEnd) -> Self {
+impl AttemptOutcome {
+    const fn failed(code: ResultCode, allowance: GrantOutcome) -> Self {
         Self {
             result: Err(Failure::new(code)),
             allowance,
@@ -64,12 +64,12 @@
     fn not_sent(request: Request<RequestBody>) -> Self {
         Self {
             unsent: Some(request.into_body()),
-            ..Self::failed(ResultCode::ConnectFailed, GrantEnd::Untouched)
+            ..Self::failed(ResultCode::ConnectFailed, GrantOutcome::Unspent)
         }
     }
 }
 
-/// Sends one attempt and waits for the head of its answer, at most until the call's deadline.
+/// Sends one attempt and waits for the head of its response until the call's deadline.
 pub(crate) async fn send(
     peers: &PeerPool,
     clock: &Clock,
@@ -77,19 +77,21 @@
     target: &Target,
     allowance: RetryAllowance,
     body: RequestBody,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let Some(request) = build(call, clock.now(), allowance, body) else {
-        return AttemptEnd::failed(ResultCode::MalformedRequest, GrantEnd::Untouched);
+        return AttemptOutcome::failed(ResultCode::MalformedRequest, GrantOutcome::Unspent);
     };
     let sent = peers.send(target.address, request);
     match clock.timeout_at(call.context.deadline, sent).await {
-        Ok(Ok(response)) => read_answer(response),
-        Ok(Err(PeerError::NotSent(request))) => AttemptEnd::not_sent(request),
+        Ok(Ok(response)) => read_response(response),
+        Ok(Err(PeerError::NotSent(request))) => AttemptOutcome::not_sent(request),
         Ok(Err(PeerError::Unprocessed)) => {
-            AttemptEnd::failed(ResultCode::ConnectFailed, GrantEnd::Untouched)
+            AttemptOutcome::failed(ResultCode::ConnectFailed, GrantOutcome::Unspent)
         }
-        Ok(Err(PeerError::Lost)) => AttemptEnd::failed(ResultCode::ConnectionLost, GrantEnd::Lost),
-        Err(_) => AttemptEnd::failed(ResultCode::DeadlineAfterDispatch, GrantEnd::Lost),
+        Ok(Err(PeerError::Lost)) => {
+            AttemptOutcome::failed(ResultCode::ConnectionLost, GrantOutcome::Lost)
+        }
+        Err(_) => AttemptOutcome::failed(ResultCode::DeadlineAfterDispatch, GrantOutcome::Lost),
     }
 }
 
@@ -118,7 +120,7 @@
     now: Timestamp,
     allowance: RetryAllowance,
 ) -> CallContext {
-    let margin = HOP_MARGIN.min(context.remaining(now) / HOP_MARGIN_SHARE);
+    let margin = HOP_MARGIN.min(context.remaining(now) / HOP_MARGIN_DIVISOR);
     CallContext {
         attempt: AttemptId::new(rand::random()),
         deadline: context.deadline - margin,
@@ -128,7 +130,7 @@
     }
 }
 
-fn read_answer(mut response: Response<Incoming>) -> AttemptEnd {
+fn read_response(mut response: Response<Incoming>) -> AttemptOutcome {
     let metadata = answer::take_metadata(response.headers_mut());
     let result = match answer::result(response.headers()) {
         Some(ResultCode::Answered) => Ok(response),
@@ -138,29 +140,30 @@
         }
         None => Err(Failure::new(ResultCode::MalformedAnswer)),
     };
-    let returned = metadata.map(|metadata| GrantEnd::Returned(metadata.returned));
-    AttemptEnd {
+    let returned = metadata.map(|metadata| GrantOutcome::Returned(metadata.returned));
+    AttemptOutcome {
         result,
-        allowance: returned.unwrap_or(GrantEnd::Lost),
+        allowance: returned.unwrap_or(GrantOutcome::Lost),
         metadata,
         unsent: None,
     }
 }
 
-/// The router's record of an attempt in flight. Dropped without an end, the attempt was cancelled.
+/// Reports the result of an attempt in flight to the router, exactly once. Dropping it before a
+/// result is known reports the attempt as cancelled.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightAttempt {
     route: Arc<Route>,
     target: Target,
     clock: Clock,
     started: Timestamp,
     metadata: Option<WireAnswer>,
-    /// Whether the back end's answer has a 5xx status.
+    /// True if the backend's response has a 5xx status.
     error_answer: bool,
     ended: bool,
 }
 
-impl Flight {
+impl InFlightAttempt {
     pub(crate) fn new(route: &Arc<Route>, target: &Target, clock: Clock) -> Self {
         Self {
             route: Arc::clone(route),
@@ -173,16 +176,16 @@
         }
     }
 
-    pub(crate) const fn heard(&mut self, metadata: Option<WireAnswer>) {
+    pub(crate) const fn record_metadata(&mut self, metadata: Option<WireAnswer>) {
         self.metadata = metadata;
     }
 
-    /// The head of the back end's answer arrived.
-    pub(crate) fn answered(&mut self, status: StatusCode) {
+    /// Records the status of the backend's response when its head arrives.
+    pub(crate) fn record_response(&mut self, status: StatusCode) {
         self.error_answer = status.is_server_error();
     }
 
-    /// The attempt ended with a failure in place of an answer.
+    /// Reports that the attempt failed without a response of the backend.
     pub(crate) fn failed(mut self, code: ResultCode) {
         let now = self.clock.now();
         match code {
@@ -214,7 +217,7 @@
     }
 }
 
-impl BodyObserver for Flight {
+impl BodyObserver for InFlightAttempt {
     fn ended(mut self: Box<Self>, end: BodyEnd) {
         match end {
             BodyEnd::Complete => self.observe(OutcomeClass::Run, false),
@@ -224,7 +227,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         if !self.ended {
             self.route.abandoned(&self.target.id);
@@ -232,7 +235,7 @@
     }
 }
 
-/// Whether a refusal shows a busy endpoint rather than a broken one.
+/// Returns true if a result code shows an overloaded or leaving endpoint rather than a broken one.
 const fn is_overload(code: ResultCode) -> bool {
     matches!(
         code,
--- a/crates/daemon/src/outbound/call.rs
+++ b/crates/daemon/src/outbound/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way out of this daemon: its head, its body and its account of retries.
+//! An outgoing call of this daemon: its request head, its body and its retry account.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use crate::decisions::DecisionTrace;
 use crate::headers::{remove_hop_by_hop, remove_internal_request};
 
-/// The head of a request, without what ends at this hop.
+/// The head of a request, without the headers that must not cross this hop.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestHead {
     pub(crate) method: Method,
@@ -29,10 +29,10 @@
 }
 
 impl RequestHead {
-    /// Takes a request apart and removes the headers that must not cross this hop.
+    /// Splits a request into head and body and removes the headers that must not cross this hop.
     ///
     /// # Errors
-    /// [`ResultCode::MalformedRequest`] when the request has no path, such as one for a tunnel.
+    /// [`ResultCode::MalformedRequest`] if the request has no path, such as a CONNECT request.
     pub(crate) fn split(request: Request<Incoming>) -> Result<(Self, Incoming), Failure> {
         let (parts, body) = request.into_parts();
         let mut headers = parts.headers;
@@ -51,18 +51,18 @@
     }
 }
 
-/// How the retries of a call are spaced and accounted for.
+/// The allowance that pays for the retries of a call, and the backoff between them.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryAccount {
-    /// The ledger that pays; shared by all calls of a scope.
+    /// Ledger that the retries are paid from; shared by all calls of a scope.
     pub(crate) ledger: Arc<Mutex<Ledger>>,
-    /// Calls among which the ledger divides its allowance; see [`Ledger::grant`].
+    /// Number of calls among which the ledger divides its allowance; see [`Ledger::grant`].
     pub(crate) children: usize,
-    /// Waits before retries.
+    /// Delays before retries.
     pub(crate) backoff: Backoff,
 }
 
-/// A call to a service.
+/// A call to a service, with everything that its attempts share.
 #[derive(Debug)]
 pub(crate) struct OutgoingCall {
     pub(crate) service: String,
@@ -72,7 +72,7 @@
     pub(crate) trace: DecisionTrace,
 }
 
-/// The backoff of the retry budget that applies to the request kind of a call.
+/// Returns the backoff of the retry budget that applies to a request kind, or the default one.
 pub(crate) fn backoff_for(snapshot: &Snapshot, request_kind: &str) -> Backoff {
     let budget = snapshot
         .request_kinds
@@ -88,7 +88,7 @@
     }
 }
 
-/// The body of a call: in memory, so that it can be sent again, or a stream that is sent once.
+/// The body of a call: held in memory and therefore repeatable, or a stream that is sent once.
 #[derive(Debug)]
 pub(crate) enum CallBody {
     Held(Bytes),
@@ -96,10 +96,10 @@
 }
 
 impl CallBody {
-    /// Reads a body that is small enough to be held; a larger one stays a stream.
+    /// Reads a body of at most [`MAX_HELD_BODY`] bytes into memory; a larger one remains a stream.
     ///
     /// # Errors
-    /// [`ResultCode::MalformedRequest`] when the sender broke off.
+    /// [`ResultCode::MalformedRequest`] if the sender aborts the body.
     pub(crate) async fn read(mut incoming: Incoming) -> Result<Self, Failure> {
         if incoming.is_end_stream() {
             return Ok(Self::Held(Bytes::new()));
@@ -126,7 +126,8 @@
         Self::Stream(Some(RequestBody::Streamed { prefix, rest }))
     }
 
-    /// The body for one attempt; `None` once a stream was used up.
+    /// Returns the body for one attempt, or `None` if it was a stream that an earlier attempt
+    /// consumed.
     pub(crate) fn for_attempt(&mut self) -> Option<RequestBody> {
         match self {
             Self::Held(bytes) => Some(RequestBody::held(bytes.clone())),
@@ -134,14 +135,14 @@
         }
     }
 
-    /// Takes back a body of which nothing was sent.
+    /// Restores a body of which no byte was sent.
     pub(crate) fn restore(&mut self, unsent: RequestBody) {
         if let Self::Stream(body) = self {
             *body = Some(unsent);
         }
     }
 
-    /// Whether another attempt could send the body.
+    /// Returns true if another attempt can send the body.
     pub(crate) const fn can_repeat(&self) -> bool {
         match self {
             Self::Held(_) => true,
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -1,4 +1,4 @@
-//! The way of a call to a service: early refusal, choice of an endpoint, attempts and retries.
+//! Forwards a call to a service: early refusal, choice of an endpoint, attempts and retries.
 
 use std::sync::{Arc, Mutex};
 
@@ -18,13 +18,13 @@
 use crate::clock::Clock;
 use crate::headers::remove_hop_by_hop;
 use crate::metrics::Metrics;
-use crate::outbound::attempt::{self, Flight, GrantEnd};
+use crate::outbound::attempt::{self, GrantOutcome, InFlightAttempt};
 use crate::outbound::call::{CallBody, OutgoingCall, RetryAccount};
 use crate::outbound::routes::{Route, RouteTable, Target};
 use crate::peers::PeerPool;
 use crate::sync::lock;
 
-/// Sends calls to services.
+/// Sends calls to services and retries them within their allowance.
 #[derive(Debug)]
 pub(crate) struct Forwarder {
     clock: Clock,
@@ -34,25 +34,25 @@
     metrics: Arc<Metrics>,
 }
 
-/// What the attempts of one call have shown so far.
+/// The attempts of one call so far.
 #[derive(Debug, Default)]
 struct Attempts {
     tried: Vec<EndpointId>,
     retries: u32,
-    /// Result of an attempt that may have run.
+    /// Latest failure after which it is unknown whether the backend executed the call.
     uncertain: Option<Failure>,
 }
 
 impl Attempts {
-    fn note(&mut self, target: Target, failure: Failure) {
+    fn record_failure(&mut self, target: Target, failure: Failure) {
         self.tried.push(target.id);
         if failure.code.outcome() == OutcomeClass::Unknown {
             self.uncertain = Some(failure);
         }
     }
 
-    /// The failure to report: "not run" only if that holds for every attempt.
-    fn conclude(&self, last: Failure) -> Failure {
+    /// Returns the failure to report to the caller: "not run" only if no attempt may have run.
+    fn final_failure(&self, last: Failure) -> Failure {
         match self.uncertain {
             Some(uncertain) if last.code.outcome() == OutcomeClass::NotRun => {
                 Failure::with_retry_after(uncertain.code, last.retry_after)
@@ -86,8 +86,10 @@
         &self.peers
     }
 
-    /// Strictest level for a request kind towards any of `services`, each of which is as open as the
-    /// most open of its endpoints and the path below them.
+    /// Returns the strictest admission level for a request kind over `services`. The level of a
+    /// service is the stricter one of its endpoints' common level and the level of the path below
+    /// them.
+    /// is stricter.
     pub(crate) fn folded_level<'a>(
         &self,
         services: impl Iterator<Item = &'a String>,
@@ -95,19 +97,19 @@
     ) -> AdmissionLevel {
         let now = self.clock.now();
         services
-            .map(|service| self.level_towards(now, service, request_kind))
+            .map(|service| self.service_level(now, service, request_kind))
             .fold(AdmissionLevel::OPEN, AdmissionLevel::fold)
     }
 
-    fn level_towards(&self, now: Timestamp, service: &str, request_kind: &str) -> AdmissionLevel {
+    fn service_level(&self, now: Timestamp, service: &str, request_kind: &str) -> AdmissionLevel {
         let below = lock(&self.levels).level(now, service, request_kind);
         let route = self.routes.get(service);
         let endpoints = route.map_or(AdmissionLevel::OPEN, |route| route.level(now));
         below.fold(endpoints)
     }
 
-    /// Takes a call to a back end of its service and gives the whole answer, or the failure in its
-    /// place.
+    /// Forwards a call to an endpoint of its service and returns the response, whose body is
+    /// streamed.
     ///
     /// # Errors
     /// The failure to report to the caller.
@@ -122,7 +124,7 @@
         self.run(call, body, &route).await
     }
 
-    /// As [`Self::forward`], for a call whose level was checked and whose body was read.
+    /// Forwards a call like [`Self::forward`], after its level was checked and its body was read.
     pub(crate) async fn forward_body(
         &self,
         call: &OutgoingCall,
@@ -137,7 +139,7 @@
         route.ok_or_else(|| Failure::new(ResultCode::UnknownService))
     }
 
-    /// Reads the body of a call until its deadline.
+    /// Reads the body of a call and gives up at its deadline.
     pub(crate) async fn read_body(
         &self,
         call: &OutgoingCall,
@@ -158,15 +160,15 @@
         loop {
             let target = self
                 .pick(call, route, &attempts)
-                .map_err(|failure| attempts.conclude(failure))?;
+                .map_err(|failure| attempts.final_failure(failure))?;
             let failure = match self.attempt(call, &mut body, route, &target).await {
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            attempts.note(target, failure);
+            attempts.record_failure(target, failure);
             let decision = self.decide(call, &body, route, &attempts, failure);
             let RetryDecision::Retry { after } = decision else {
-                return Err(attempts.conclude(failure));
+                return Err(attempts.final_failure(failure));
             };
             attempts.retries += 1;
             self.metrics.retried();
@@ -195,10 +197,11 @@
             return Ok(());
         };
         let checked = route.check_level(now, key);
-        checked.inspect_err(|failure| note_refusal(call, &route, now, *failure))
+        checked.inspect_err(|failure| trace_refusal(call, &route, now, *failure))
     }
 
-    /// Picks an endpoint that was not tried; after an uncertain attempt also one that was.
+    /// Picks an endpoint without an earlier attempt of this call. If there is none and an attempt
+    /// has an uncertain outcome, an endpoint that was already tried is allowed too.
     fn pick(
         &self,
         call: &OutgoingCall,
@@ -212,7 +215,7 @@
         let key = call.context.admission_key();
         let picked = route.pick(now, key, &attempts.tried);
         if attempts.tried.is_empty() {
-            note_first_pick(call, route, now, &picked);
+            trace_first_pick(call, route, now, &picked);
         }
         if picked.is_err() && attempts.uncertain.is_some() {
             return route.pick(now, key, &[]);
@@ -227,7 +230,7 @@
         route: &Arc<Route>,
         target: &Target,
     ) -> Result<Response<AnswerBody>, Failure> {
-        let mut flight = Flight::new(route, target, self.clock);
+        let mut flight = InFlightAttempt::new(route, target, self.clock);
         let sent = body
             .for_attempt()
             .ok_or_else(|| Failure::new(ResultCode::RequestTooLarge))?;
@@ -236,15 +239,15 @@
         let end = attempt::send(&self.peers, &self.clock, call, target, allowance, sent).await;
         settle(&call.account, grant, end.allowance);
         if let Some(metadata) = &end.metadata {
-            self.heard_level(call, target, metadata);
+            self.record_path_level(call, target, metadata);
         }
         if let Some(unsent) = end.unsent {
             body.restore(unsent);
         }
-        flight.heard(end.metadata);
+        flight.record_metadata(end.metadata);
         match end.result {
             Ok(response) => {
-                flight.answered(response.status());
+                flight.record_response(response.status());
                 Ok(self.relay(call, response, flight))
             }
             Err(failure) => {
@@ -258,7 +261,7 @@
         &self,
         call: &OutgoingCall,
         response: Response<Incoming>,
-        flight: Flight,
+        flight: InFlightAttempt,
     ) -> Response<AnswerBody> {
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
@@ -269,9 +272,10 @@
         Response::from_parts(parts, body)
     }
 
-    /// Notes what an answer says about the path below its endpoint. The endpoint's own level goes to
-    /// the router only: siblings may admit what this one refuses.
-    fn heard_level(&self, call: &OutgoingCall, target: &Target, metadata: &WireAnswer) {
+    /// Records the level of the path below the endpoint that responded. The endpoint's own level
+    /// goes only to the router, because other endpoints of the service may admit what this one
+    /// refuses.
+    fn record_path_level(&self, call: &OutgoingCall, target: &Target, metadata: &WireAnswer) {
         let Some(below) = level_below(metadata.level, metadata.folded_level) else {
             return;
         };
@@ -308,18 +312,18 @@
     }
 }
 
-fn settle(account: &RetryAccount, grant: Grant, end: GrantEnd) {
+fn settle(account: &RetryAccount, grant: Grant, end: GrantOutcome) {
     let mut ledger = lock(&account.ledger);
     match end {
-        GrantEnd::Untouched => ledger.settle(grant, grant.allowance()),
-        GrantEnd::Returned(returned) => ledger.settle(grant, returned),
-        GrantEnd::Lost => ledger.lose(grant),
+        GrantOutcome::Unspent => ledger.settle(grant, grant.allowance()),
+        GrantOutcome::Returned(returned) => ledger.settle(grant, returned),
+        GrantOutcome::Lost => ledger.lose(grant),
     };
 }
 
-/// Notes in the record of the decision where a call goes first, or the level that keeps it from every
-/// endpoint.
-fn note_first_pick(
+/// Adds to the decision record the endpoint of the first attempt, or the level at which every
+/// endpoint refuses the call.
+fn trace_first_pick(
     call: &OutgoingCall,
     route: &Route,
     now: Timestamp,
@@ -327,21 +331,22 @@
 ) {
     match picked {
         Ok(target) => call.trace.endpoint_chosen(&target.id),
-        Err(failure) => note_refusal(call, route, now, *failure),
+        Err(failure) => trace_refusal(call, route, now, *failure),
     }
 }
 
-/// Notes in the record of the decision the level at which no endpoint takes a call.
-fn note_refusal(call: &OutgoingCall, route: &Route, now: Timestamp, failure: Failure) {
+/// Adds to the decision record the level at which every endpoint refuses the call.
+fn trace_refusal(call: &OutgoingCall, route: &Route, now: Timestamp, failure: Failure) {
     if !call.trace.is_on() || failure.code != ResultCode::RefusedByLevel {
         return;
     }
-    // No endpoint in use admits the key; the most open level may be that of one not in use.
+    // No usable endpoint admits the key, but the endpoints' common level may be more open than each
+    // usable endpoint. The record gets a level that refuses the key.
     let key = AdmissionLevel::new(call.context.admission_key().number());
     call.trace.level_checked(route.level(now).fold(key), false);
 }
 
-/// A body that can't be sent again makes a call unrepeatable.
+/// Returns whether a call may be retried: a body that can't be sent again makes it at-most-once.
 const fn effective_repeatability(call: &OutgoingCall, body: &CallBody) -> Repeatability {
     if body.can_repeat() {
         call.context.repeatability
--- a/crates/daemon/src/outbound/handler.rs
+++ b/crates/daemon/src/outbound/handler.rs
@@ -1,4 +1,4 @@
-//! Calls of the local back end: what they inherit from the call that the back end is executing.
+//! Handles calls of the local backend, which inherit the context of the call in execution.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -24,10 +24,10 @@
 use crate::request::service_name;
 use crate::scopes::{Scope, ScopeId};
 
-/// Deadline of a call that belongs to no scope and matches no request kind.
+/// Time to the deadline of a call that names no scope and matches no request kind.
 const UNSCOPED_DEADLINE: Duration = Duration::from_secs(1);
 
-/// Serves the local back end's own calls.
+/// Serves the calls of the local backend on the outbound listener.
 #[derive(Clone, Debug)]
 pub(crate) struct OutboundHandler {
     node: Arc<Node>,
@@ -41,13 +41,13 @@
 
     pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let method = request.method().clone();
-        let cancellation = self.node.watch_cancellation(Side::Outbound);
-        let result = self.answer(request).await;
-        cancellation.answered();
+        let cancellation = self.node.cancellation_guard(Side::Outbound);
+        let result = self.respond(request).await;
+        cancellation.responded();
         self.node.finish(Side::Outbound, &method, result)
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
         let snapshot = self.node.configuration()?;
         let scope = self.scope(request.headers())?;
         let service = service_name(&request)?;
@@ -58,7 +58,7 @@
                 .forward(&snapshot, service, context, ledger, request)
                 .await;
         };
-        let waiting = DownstreamWait::start(&self.gate, scope.ticket);
+        let waiting = DownstreamCallGuard::start(&self.gate, scope.ticket);
         let context = scope.context.clone();
         let ledger = Arc::clone(&scope.ledger);
         let forwarded = self.forward(&snapshot, service, context, ledger, request);
@@ -83,7 +83,7 @@
             head,
             account: RetryAccount {
                 ledger,
-                children: self.declared_calls(snapshot),
+                children: self.declared_call_count(snapshot),
                 backoff,
             },
             trace: DecisionTrace::OFF,
@@ -91,14 +91,15 @@
         self.node.forwarder.forward(&call, body).await
     }
 
-    /// How many services the local back end's service declares to call, at least one.
-    fn declared_calls(&self, snapshot: &Snapshot) -> usize {
+    /// Returns the number of services that the local backend's service declares to call, at least
+    /// one.
+    fn declared_call_count(&self, snapshot: &Snapshot) -> usize {
         let backend = self.node.settings.backend.as_ref();
         let service = backend.and_then(|backend| snapshot.services.get(&backend.service));
         service.map_or(1, |service| service.calls.len().max(1))
     }
 
-    /// The scope that the call names; none when it names none.
+    /// Returns the scope that the scope header names, or `None` without that header.
     fn scope(&self, headers: &HeaderMap) -> Result<Option<Arc<Scope>>, Failure> {
         let Some(value) = headers.get(names::SCOPE) else {
             return Ok(None);
@@ -110,8 +111,7 @@
             .ok_or_else(|| Failure::new(ResultCode::InvalidContext))
     }
 
-    /// The context of a call that the back end makes on its own account: of the lowest importance
-    /// and without retries.
+    /// Returns the context of a call that belongs to no scope: lowest priority and no retries.
     fn unscoped_context(
         &self,
         snapshot: &Snapshot,
@@ -146,14 +146,15 @@
     }
 }
 
-/// The time for which an execution waits for one of its own calls.
+/// Reports to admission, from its creation to its drop, that an execution waits for a downstream
+/// call.
 #[derive(Debug)]
-struct DownstreamWait {
+struct DownstreamCallGuard {
     gate: Arc<AdmissionGate>,
     ticket: CallTicket,
 }
 
-impl DownstreamWait {
+impl DownstreamCallGuard {
     fn start(gate: &Arc<AdmissionGate>, ticket: CallTicket) -> Self {
         gate.downstream_started(ticket);
         Self {
@@ -163,13 +164,13 @@
     }
 }
 
-impl Drop for DownstreamWait {
+impl Drop for DownstreamCallGuard {
     fn drop(&mut self) {
         self.gate.downstream_ended(self.ticket);
     }
 }
 
-impl BodyObserver for DownstreamWait {
-    /// The drop that follows ends the wait.
+impl BodyObserver for DownstreamCallGuard {
+    /// Does nothing: the drop that follows reports the end of the wait.
     fn ended(self: Box<Self>, _end: BodyEnd) {}
 }
--- a/crates/daemon/src/outbound/mod.rs
+++ b/crates/daemon/src/outbound/mod.rs
@@ -1,4 +1,4 @@
-//! The outbound side: calls of the local back end, and the way of every call to a service.
+//! The outbound side: calls of the local backend, and the forwarding of all calls to services.
 
 pub(crate) mod attempt;
 pub(crate) mod call;
--- a/crates/daemon/src/outbound/routes.rs
+++ b/crates/daemon/src/outbound/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: for each service a router, a retry budget and the addresses of its endpoints.
+//! Routes to services: for each service a router, a retry budget and the endpoint addresses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,22 +21,24 @@
 use crate::control::{EndpointRecord, EndpointTable};
 use crate::sync::lock;
 
-/// Name of the retry budget whose ratio bounds retries per destination.
+/// Name of the retry budget resource whose ratio limits retries per destination service.
 const DEFAULT_BUDGET: &str = "default";
 
-/// The daemon beside a back end keeps the back end's connection limit, and a call that waits in its
-/// queue holds no connection. Counting calls in flight against that limit here would refuse important
-/// calls because of less important ones that wait.
-const CONNECTIONS_NOT_COUNTED: u32 = u32::MAX;
+/// Connection limit passed to the router for each endpoint: none. The daemon beside a backend
+/// enforces the backend's connection limit, and a call in its queue holds no connection. If calls
+/// in flight counted against the limit here, waiting calls of low priority would cause the refusal
+/// of calls of high priority.
+const UNLIMITED_CONNECTIONS: u32 = u32::MAX;
 
-/// An endpoint that was picked for an attempt; the router counts the attempt until it is observed.
+/// The endpoint picked for an attempt. The router counts the attempt as in flight until its result
+/// is observed.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) id: EndpointId,
     pub(crate) address: SocketAddr,
 }
 
-/// How the calls of this daemon to one service are routed.
+/// Routes the calls of this daemon to one service.
 #[derive(Debug)]
 pub(crate) struct Route {
     state: Mutex<RouteState>,
@@ -47,20 +49,20 @@
     router: Router,
     budget: DestinationBudget,
     known: HashMap<EndpointId, KnownEndpoint>,
-    applied: Option<RoutePlan>,
+    applied: Option<RouteConfig>,
 }
 
-/// What the control side says of the way to one service.
+/// The configuration of a route: service, retry budget, subset and endpoints.
 #[derive(Clone, Debug, PartialEq)]
-struct RoutePlan {
+struct RouteConfig {
     service: Service,
     budget: BudgetSettings,
     subset: SubsetSettings,
     endpoints: Vec<EndpointRecord>,
 }
 
-impl RoutePlan {
-    /// As `self == other`, without copying what is compared.
+impl RouteConfig {
+    /// Compares like `==`, without copying the arguments into a value of this type.
     fn is(
         &self,
         service: &Service,
@@ -94,10 +96,10 @@
         }
     }
 
-    /// Picks an endpoint and counts the attempt there.
+    /// Picks an endpoint and counts the attempt as in flight there.
     ///
     /// # Errors
-    /// What to answer when no endpoint can take the call.
+    /// The failure to report if no endpoint can take the call.
     pub(crate) fn pick(
         &self,
         now: Timestamp,
@@ -121,7 +123,7 @@
         Ok(Target { id, address })
     }
 
-    /// Whether another endpoint could take the call.
+    /// Returns true if an endpoint that is not `excluded` can take the call.
     pub(crate) fn can_pick(
         &self,
         now: Timestamp,
@@ -132,15 +134,15 @@
         lock(&self.state).router.can_pick(now, &request)
     }
 
-    /// Level of the most open endpoint.
+    /// Returns the common admission level of the endpoints; see [`Router::level`].
     pub(crate) fn level(&self, now: Timestamp) -> AdmissionLevel {
         lock(&self.state).router.level(now)
     }
 
-    /// Refuses a call that the levels of all endpoints refuse.
+    /// Refuses a call that neither the endpoints' common level nor any single endpoint admits.
     ///
     /// # Errors
-    /// The refusal, with the time until an endpoint may admit the call.
+    /// The refusal, with the time after which an endpoint may admit the call.
     pub(crate) fn check_level(&self, now: Timestamp, key: AdmissionKey) -> Result<(), Failure> {
         let state = lock(&self.state);
         if state.router.level(now).admits(key) {
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Takes in the end of an attempt and the incarnation that answered it, as far as it is known.
+    /// Records the result of an attempt and the incarnation of the daemon that responded; zero if
+    /// it is unknown.
     pub(crate) fn observe(
         &self,
         now: Timestamp,
@@ -172,33 +175,34 @@
         state.router.observe(now, endpoint, seen);
     }
 
-    /// The incarnation of an endpoint, as far as it is known; `None` for one that is not listed.
+    /// Returns the latest known incarnation of an endpoint, or `None` if the endpoint is not
+    /// listed.
     pub(crate) fn incarnation(&self, endpoint: &EndpointId) -> Option<u64> {
         let state = lock(&self.state);
         state.known.get(endpoint).map(|known| known.incarnation)
     }
 
-    /// Takes in the end of an attempt that says nothing about the endpoint.
+    /// Records a cancelled attempt, whose result shows nothing about the endpoint.
     pub(crate) fn abandoned(&self, endpoint: &EndpointId) {
         lock(&self.state).router.abandoned(endpoint);
     }
 
-    /// Keeps calls away from an endpoint that refused one as leaving.
+    /// Stops sending calls to an endpoint that refused one because it is leaving.
     pub(crate) fn refused_as_leaving(&self, now: Timestamp, endpoint: &EndpointId) {
         lock(&self.state).router.refused_as_leaving(now, endpoint);
     }
 
-    /// Keeps calls away from an endpoint whose connections are used up.
+    /// Stops sending calls for a while to an endpoint that has reached its connection limit.
     pub(crate) fn connection_refused(&self, now: Timestamp, endpoint: &EndpointId) {
         lock(&self.state).router.connection_refused(now, endpoint);
     }
 
-    /// Decides on a retry and pays for it.
+    /// Decides whether to retry and, if so, charges the ledger and the destination budget.
     pub(crate) fn authorize(&self, question: &RetryQuestion, ledger: &mut Ledger) -> RetryDecision {
         authorize(question, ledger, &mut lock(&self.state).budget)
     }
 
-    /// Takes over what the control side says, unless it says what it said before.
+    /// Applies a new configuration; does nothing if it equals the one already applied.
     fn update(
         &self,
         now: Timestamp,
@@ -212,7 +216,7 @@
         if applied.is_some_and(|applied| applied.is(service, budget, &subset, endpoints)) {
             return;
         }
-        let plan = RoutePlan {
+        let plan = RouteConfig {
             service: service.clone(),
             budget,
             subset,
@@ -240,7 +244,7 @@
         self.router.heard_incarnation(now, endpoint, incarnation);
     }
 
-    fn apply(&mut self, now: Timestamp, plan: &RoutePlan) {
+    fn apply(&mut self, now: Timestamp, plan: &RouteConfig) {
         self.router.reconfigure(RouterSettings {
             warm_up: Duration::from_millis(u64::from(plan.service.warm_up_ms)),
             subset: Some(plan.subset.clone()),
@@ -250,8 +254,9 @@
         self.set_endpoints(now, plan);
     }
 
-    /// Endpoints that appear after the first list are cold.
-    fn set_endpoints(&mut self, now: Timestamp, plan: &RoutePlan) {
+    /// Replaces the endpoints. Those that appear after the first list count as just started and are
+    /// warmed up.
+    fn set_endpoints(&mut self, now: Timestamp, plan: &RouteConfig) {
         let is_first_list = self.known.is_empty();
         let mut known = HashMap::with_capacity(plan.endpoints.len());
         let mut endpoints = Vec::with_capacity(plan.endpoints.len());
@@ -278,7 +283,7 @@
                 state: record.state,
                 started_at,
                 slots: plan.service.slots,
-                connections: CONNECTIONS_NOT_COUNTED,
+                connections: UNLIMITED_CONNECTIONS,
             });
         }
         self.known = known;
@@ -286,11 +291,11 @@
     }
 }
 
-/// The routes to every configured service.
+/// The routes to all configured services.
 #[derive(Debug)]
 pub(crate) struct RouteTable {
     zone: Zone,
-    /// Id of this daemon, by which its subsets are chosen.
+    /// Id of this daemon, which determines its subset of each service's endpoints.
     caller: String,
     routes: RwLock<HashMap<String, Arc<Route>>>,
 }
@@ -304,13 +309,13 @@
         }
     }
 
-    /// The route to a service, if it is configured.
+    /// Returns the route to a service, or `None` if the service is not configured.
     pub(crate) fn get(&self, service: &str) -> Option<Arc<Route>> {
         let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
         routes.get(service).cloned()
     }
 
-    /// Takes over a configuration and the endpoints that are known. Calls go on meanwhile.
+    /// Applies a configuration and an endpoint table. Calls in flight continue.
     pub(crate) fn update(&self, now: Timestamp, snapshot: &Snapshot, endpoints: &EndpointTable) {
         self.set_services(now, snapshot);
         let budget = budget_settings(snapshot);
@@ -322,8 +327,8 @@
         }
     }
 
-    /// The subset with which the connections that a back end's daemon gets from its callers, one
-    /// from each, stay under the connection limit of its service.
+    /// Returns the subset settings that keep the number of connections to the daemon beside a
+    /// backend, one from each caller, within the connection limit of its service.
     fn subset(&self, service: &Service, callers: usize) -> SubsetSettings {
         let callers = u32::try_from(callers.max(1)).unwrap_or(u32::MAX);
         SubsetSettings {
@@ -332,7 +337,7 @@
         }
     }
 
-    /// Makes the table have a route for each service and no other.
+    /// Adds routes for new services and removes those of services that are no longer configured.
     fn set_services(&self, now: Timestamp, snapshot: &Snapshot) {
         let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
         routes.retain(|name, _| snapshot.services.contains_key(name));
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to other daemons: one multiplexed HTTP/2 connection for each peer.
 //!
-//! Dropping the future of a request, or the body of its answer, resets the stream; that reset is the
-//! cancellation that the peer sees.
+//! Dropping the future of a request, or the body of its response, resets the stream. The peer takes
+//! the reset as the cancellation of the call.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -24,21 +24,22 @@
 const CONNECTION_WINDOW: u32 = 8 * 1024 * 1024;
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
-const FIRST_BACKOFF: Duration = Duration::from_millis(5);
-const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Why a peer gave no answer.
+/// An error that prevented a response of a peer.
 #[derive(Debug)]
 pub enum PeerError {
-    /// The peer saw nothing of the request, which is given back.
+    /// The peer received nothing of the request; contains the request.
     NotSent(Request<RequestBody>),
-    /// The peer proved that it did not process the request.
+    /// The peer reported, by a refused stream or a GOAWAY frame, that it did not process the
+    /// request.
     Unprocessed,
-    /// The connection was lost after the request was sent.
+    /// The connection was lost after the request was sent; the peer may have processed it.
     Lost,
 }
 
-/// Connections to every peer that was called.
+/// A pool with one connection for each peer that was called.
 #[derive(Debug)]
 pub struct PeerPool {
     peers: Mutex<HashMap<SocketAddr, Arc<Peer>>>,
@@ -47,7 +48,7 @@
 }
 
 impl PeerPool {
-    /// A pool without connections.
+    /// Creates a pool without connections; `header_bytes` is the largest accepted response head.
     #[must_use]
     pub fn new(connect_timeout: Duration, header_bytes: u32) -> Self {
         Self {
@@ -57,10 +58,10 @@
         }
     }
 
-    /// Sends a request to the daemon at `address` and waits for the head of its answer.
+    /// Sends a request to the daemon at `address` and waits for the head of its response.
     ///
     /// # Errors
-    /// [`PeerError`] says whether the peer may have processed the request.
+    /// [`PeerError`] shows whether the peer may have processed the request.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -70,21 +71,21 @@
         let Some(mut sender) = peer.sender(self).await else {
             return Err(PeerError::NotSent(request));
         };
-        let answer = sender.try_send_request(request).await;
-        answer.map_err(|mut failed| match failed.take_message() {
+        let response = sender.try_send_request(request).await;
+        response.map_err(|mut failed| match failed.take_message() {
             Some(request) => PeerError::NotSent(request),
             None => classify(failed.error()),
         })
     }
 
-    /// Number of peers with a usable connection.
+    /// Returns the number of peers with an open connection.
     #[must_use]
     pub fn connected(&self) -> usize {
         let peers = lock(&self.peers);
         peers.values().filter(|peer| peer.open().is_some()).count()
     }
 
-    /// Forgets peers whose connection is closed and that `keep` does not name.
+    /// Removes the peers whose connection is closed and for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         lock(&self.peers).retain(|address, peer| keep(address) || peer.open().is_some());
     }
@@ -98,7 +99,7 @@
     }
 }
 
-/// One peer and its connection.
+/// A peer and its connection.
 #[derive(Debug)]
 struct Peer {
     address: SocketAddr,
@@ -106,7 +107,7 @@
     connecting: tokio::sync::Mutex<Backoff>,
 }
 
-/// When the next connection may be tried.
+/// Backoff after failed connection attempts.
 #[derive(Debug, Default)]
 struct Backoff {
     failures: u32,
@@ -120,9 +121,9 @@
 
     fn failed(&mut self, now: Instant) {
         let factor = 1_u32 << self.failures.min(16);
-        let longest = FIRST_BACKOFF.saturating_mul(factor).min(LONGEST_BACKOFF);
+        let maximum = INITIAL_BACKOFF.saturating_mul(factor).min(MAX_BACKOFF);
         self.failures = self.failures.saturating_add(1);
-        self.not_before = Some(now + longest.mul_f64(rand::random_range(0.5..=1.0)));
+        self.not_before = Some(now + maximum.mul_f64(rand::random_range(0.5..=1.0)));
     }
 }
 
@@ -195,9 +196,9 @@
     }
 }
 
-/// Two ends prove that the peer did not process a stream: it refused the stream, or it closed the
-/// connection with a GOAWAY frame whose last stream lies before this one. The library ends a stream
-/// with a remote GOAWAY in the latter case only.
+/// Returns whether the peer may have processed the stream that ended with an error. It has not if
+/// it refused the stream, or closed the connection with a GOAWAY frame whose last stream precedes
+/// this one; hyper reports a remote GOAWAY as the error of a stream only in the latter case.
 fn classify(error: &hyper::Error) -> PeerError {
     let cause = error.source().and_then(|source| source.downcast_ref());
     let unprocessed = cause.is_some_and(|cause: &h2::Error| {
--- a/crates/daemon/src/scopes/mod.rs
+++ b/crates/daemon/src/scopes/mod.rs
@@ -1,7 +1,7 @@
-//! Scopes: the calls in execution at the local back end, as its own calls refer to them.
+//! Scopes: the calls in execution at the local backend, to which the backend's own calls refer.
 //!
-//! A back end copies one opaque header to the calls that it makes on behalf of a call; the scope
-//! behind it holds what those calls inherit.
+//! A backend copies one opaque header from a call to the calls that it makes on its behalf. The
+//! scope that the header identifies holds what those calls inherit: deadline, priority and retries.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -14,7 +14,7 @@
 
 use crate::sync::lock;
 
-/// The opaque identity of a scope.
+/// The opaque id of a scope, written as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ScopeId(u64);
 
@@ -32,20 +32,20 @@
     }
 }
 
-/// One call in execution at the local back end.
+/// A call in execution at the local backend.
 #[derive(Debug)]
 pub struct Scope {
-    /// What the back end's own calls inherit.
+    /// Context that the backend's own calls inherit.
     pub context: CallContext,
-    /// The call, as admission knows it.
+    /// Ticket that identifies the call in the admission controller.
     pub ticket: CallTicket,
-    /// Retries that the back end's own calls may spend.
+    /// Ledger with the retries that the backend's own calls may spend.
     pub ledger: Arc<Mutex<Ledger>>,
 }
 
 impl Scope {
-    /// Ends the call's account and gives what is left to hand back; later calls of the scope may not
-    /// spend anything.
+    /// Closes the ledger and returns the allowance left, which goes back to the caller. Later calls
+    /// of the scope have no retries.
     pub fn close_ledger(&self) -> RetryAllowance {
         lock(&self.ledger).close()
     }
@@ -58,7 +58,7 @@
 }
 
 impl ScopeTable {
-    /// Opens a scope for a call that is handed to the back end.
+    /// Opens a scope for a call that is sent to the backend.
     #[must_use]
     pub fn open(self: &Arc<Self>, context: CallContext, ticket: CallTicket) -> OpenScope {
         let scope = Arc::new(Scope {
@@ -80,26 +80,26 @@
         }
     }
 
-    /// The open scope with this identity.
+    /// Returns the open scope with this id, or `None` if it is closed or was never opened.
     #[must_use]
     pub fn get(&self, id: ScopeId) -> Option<Arc<Scope>> {
         lock(&self.open).get(&id).cloned()
     }
 
-    /// Number of open scopes.
+    /// Returns the number of open scopes.
     #[must_use]
     pub fn len(&self) -> usize {
         lock(&self.open).len()
     }
 
-    /// Whether no scope is open.
+    /// Returns true if no scope is open.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Keeps a scope open for as long as it lives.
+/// Keeps a scope open until it is dropped.
 #[derive(Debug)]
 pub struct OpenScope {
     table: Arc<ScopeTable>,
@@ -108,13 +108,13 @@
 }
 
 impl OpenScope {
-    /// The scope's identity.
+    /// Returns the id of the scope.
     #[must_use]
     pub const fn id(&self) -> ScopeId {
         self.id
     }
 
-    /// The scope.
+    /// Returns the call that the scope belongs to.
     #[must_use]
     pub fn scope(&self) -> &Scope {
         &self.scope
--- a/crates/daemon/src/sync.rs
+++ b/crates/daemon/src/sync.rs
@@ -1,9 +1,9 @@
-//! Short critical sections round the decision logic.
+//! Locking for the short critical sections around the decision logic.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a panic of another holder: no section of this crate leaves its state
-/// half changed.
+/// Locks a mutex and ignores poisoning: no critical section of this crate leaves its state
+/// inconsistent when it panics.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
