--- a/crates/daemon/src/admin/decisions.rs
+++ b/crates/daemon/src/admin/decisions.rs
@@ -1,4 +1,4 @@
-//! The page of the latest decisions: one record a line, as JSON, oldest first.
+//! The `/decisions` page: the latest decision records as JSON lines, oldest first.
 
 use salvo::http::StatusCode;
 use salvo::http::header::{CONTENT_TYPE, HeaderValue};
@@ -7,10 +7,10 @@
 use crate::decisions::DecisionLog;
 
 const JSON_LINES: HeaderValue = HeaderValue::from_static("application/x-ndjson");
-/// Query parameter that bounds the number of records.
+/// Query parameter with the maximum number of records.
 const LIMIT: &str = "limit";
 
-/// Answers with the newest records, at most as many as the query's `limit` says.
+/// Responds with the newest records, at most as many as the query parameter `limit` allows.
 pub(super) fn render(log: &DecisionLog, request: &Request, response: &mut Response) {
     if !log.is_on() {
         response.status_code(StatusCode::NOT_FOUND);
--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -1,9 +1,9 @@
-//! The gauges of `/metrics`: values that are read at the time of the report.
+//! The gauges of the `/metrics` page, whose values are read when the page is requested.
 
 use crate::metrics::{Metric, Presence, Sample, render};
 use crate::status::{AdmissionStatus, ClaimStatus, DaemonStatus, EndpointStatus};
 
-/// The page: every counter and gauge that a daemon with this status has.
+/// Renders the page: all counters and gauges that apply to a daemon with this status.
 pub(super) fn page(status: &DaemonStatus, mut samples: Vec<Sample>) -> String {
     samples.extend(gauges(status));
     let has_backend = status.admission.is_some();
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin side: health, readiness, metrics and status.
+//! The admin side: HTTP pages for health, readiness, metrics, status and decisions.
 
 mod decisions;
 mod gauges;
@@ -16,7 +16,7 @@
 
 const PROMETHEUS_TEXT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
-/// What the admin pages read from.
+/// The state that the admin pages show.
 #[derive(Clone, Debug)]
 pub(crate) struct AdminState {
     pub(crate) node: Arc<Node>,
@@ -41,7 +41,7 @@
         self.node.applied().revision
     }
 
-    /// Why this daemon can't serve now; none when it can.
+    /// Returns the reason why this daemon can't serve, or `None` if it can.
     fn unready_reason(&self) -> Option<&'static str> {
         if self.node.is_stopping() {
             return Some("stopping");
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! Gathers the status of the daemon.
+//! Collects the status of the daemon for the `/status` page.
 
 use wharfquay_core::routing::{EndpointId, EndpointState};
 use wharfquay_resources::kinds::Drain;
@@ -41,12 +41,12 @@
         let settings = &self.node.settings;
         let backend = self.backend.as_ref();
         let service = backend.map(|backend| backend.service.as_str());
-        let place = Place {
+        let placement = Placement {
             id: &settings.id,
             zone: &settings.zone,
             service,
         };
-        let drains = place.drains(snapshot);
+        let drains = placement.drains(snapshot);
         let limits = drains.iter().map(|drain| u64::from(drain.limit_ms));
         DrainStatus {
             limit_ms: limits.min(),
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// The incarnation that the endpoint's answers named.
+    /// Returns the latest incarnation that the endpoint reported in its responses.
     fn incarnation(&self, service: &str, endpoint: &EndpointId) -> Option<u64> {
         let route = self.node.forwarder.routes().get(service)?;
         route.incarnation(endpoint)
@@ -96,7 +96,7 @@
 }
 
 fn endpoint(snapshot: &Snapshot, service: &str, record: &EndpointRecord) -> EndpointStatus {
-    let place = Place {
+    let placement = Placement {
         id: record.id.as_str(),
         zone: record.zone.as_str(),
         service: Some(service),
@@ -108,7 +108,7 @@
         address: record.call_address.to_string(),
         incarnation: None,
         leaving: record.state == EndpointState::Leaving,
-        drains: names(&place.drains(snapshot)),
+        drains: names(&placement.drains(snapshot)),
     }
 }
 
@@ -116,15 +116,15 @@
     drains.iter().map(|drain| drain.name.clone()).collect()
 }
 
-/// Where a back end stands, as far as drains are concerned.
+/// The properties of a backend that decide which drains cover it.
 #[derive(Clone, Copy, Debug)]
-struct Place<'a> {
+struct Placement<'a> {
     id: &'a str,
     zone: &'a str,
     service: Option<&'a str>,
 }
 
-impl Place<'_> {
+impl Placement<'_> {
     fn drains<'a>(&self, snapshot: &'a Snapshot) -> Vec<&'a Drain> {
         let drains = snapshot.drains.values();
         drains
--- a/crates/daemon/src/body.rs
+++ b/crates/daemon/src/body.rs
@@ -1,4 +1,4 @@
-//! Message bodies as they pass through the daemon.
+//! Bodies of requests and responses that pass through the daemon.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,46 +10,47 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, Sleep};
 
-/// Largest request body that is held in memory so that the call can be tried again, in bytes.
+/// Largest request body that is held in memory, in bytes; only a call with such a body can be
+/// retried.
 pub const MAX_HELD_BODY: usize = 64 * 1024;
 
-/// Why a body ended before it was whole.
+/// An error that ended a body before it was complete.
 #[derive(Debug, Display)]
 pub enum BodyError {
     /// the sender's stream failed: {0}
     Stream(hyper::Error),
-    /// the deadline passed before the body was whole
+    /// the deadline passed before the body was complete
     DeadlinePassed,
-    /// the sender broke off
+    /// the sender aborted the body
     BrokenOff,
 }
 
 impl std::error::Error for BodyError {}
 
-/// The body of a request on its way to a back end.
+/// The body of a request to a backend or to another daemon.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// The whole body, in memory.
+    /// The complete body in memory; `None` if it is empty or was sent.
     Held(Option<Bytes>),
-    /// The first bytes of a body, and the stream that brings the rest.
+    /// The first bytes of a body and the stream with the rest.
     Streamed {
-        /// What was read already.
+        /// Bytes that were already read from the stream.
         prefix: Option<Bytes>,
-        /// What is still to come.
+        /// The rest of the body.
         rest: Incoming,
     },
-    /// A body that another task reads from its sender.
+    /// A body that another task reads from the sender.
     Fed(FedBody),
 }
 
-/// A request body that another task reads from its sender, piece by piece.
+/// A request body that another task reads from the sender and delivers in chunks.
 #[derive(Debug)]
 pub struct FedBody {
-    /// The pieces; closing the channel ends the body.
+    /// The chunks; closing the channel ends the body.
     pub pieces: mpsc::Receiver<Result<Bytes, BodyError>>,
-    /// Bytes still to come, where the sender said how many.
+    /// Number of bytes still to be received; `None` if the sender did not state the length.
     pub remaining: Option<u64>,
-    /// Whether the body has ended.
+    /// True once the body has ended.
     pub ended: bool,
 }
 
@@ -68,7 +69,7 @@
 }
 
 impl RequestBody {
-    /// A body in memory.
+    /// Creates a body from bytes in memory.
     #[must_use]
     pub fn held(bytes: Bytes) -> Self {
         Self::Held((!bytes.is_empty()).then_some(bytes))
@@ -128,25 +129,25 @@
     bytes.map_or(0, |bytes| bytes.len() as u64)
 }
 
-/// How the body of a relayed answer ended.
+/// How the body of a relayed response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// Every byte was passed on.
+    /// The whole body was relayed.
     Complete,
-    /// The sender broke off, or the deadline passed.
+    /// The sender aborted the body, or the deadline passed.
     Failed,
-    /// The receiver lost interest.
+    /// The receiver cancelled the call.
     Abandoned,
 }
 
-/// Learns how the body of an answer ended.
+/// An observer that is notified when the body of a response ends.
 pub trait BodyObserver: Send {
-    /// Called exactly once.
+    /// Called exactly once, when the body has ended or was dropped.
     fn ended(self: Box<Self>, end: BodyEnd);
 }
 
-/// The body of an answer on its way to a caller. A stream that breaks off, or whose deadline passes,
-/// ends in an error, so that the receiver never takes a part for the whole.
+/// The body of a response to a caller. If the stream is aborted or the deadline passes, the body
+/// ends with an error, which keeps the receiver from taking a truncated body for a complete one.
 pub struct AnswerBody {
     source: Source,
 }
@@ -161,12 +162,12 @@
     incoming: Incoming,
     deadline: Pin<Box<Sleep>>,
     observers: Vec<Box<dyn BodyObserver>>,
-    /// An error that is reported at the next poll.
+    /// An error to report at the next poll.
     failure: Option<BodyError>,
 }
 
 impl AnswerBody {
-    /// A body that the daemon itself wrote.
+    /// Creates a body from bytes that the daemon itself produced.
     #[must_use]
     pub fn own(bytes: impl Into<Bytes>) -> Self {
         let bytes = Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty());
@@ -175,7 +176,7 @@
         }
     }
 
-    /// A body that is passed on as it comes, until `deadline`.
+    /// Creates a body that streams `incoming` and fails at `deadline`.
     #[must_use]
     pub fn relayed(incoming: Incoming, deadline: Instant) -> Self {
         Self {
@@ -188,7 +189,7 @@
         }
     }
 
-    /// A body of which `prefix` was read already.
+    /// Creates a body from a `prefix` that was already read and the rest.
     #[must_use]
     pub fn resumed(prefix: Bytes, rest: Self) -> Self {
         Self {
@@ -196,14 +197,15 @@
         }
     }
 
-    /// Drops a body that the daemon itself wrote, for an answer that must have none.
-    pub fn remove_own(&mut self) {
+    /// Removes a body that the daemon itself produced, for a response that must not have one.
+    pub fn remove_local_body(&mut self) {
         if let Source::Own(bytes) = &mut self.source {
             *bytes = None;
         }
     }
 
-    /// Lets `observer` learn how the body ends; a body in memory ends at once.
+    /// Registers an observer for the end of the body. A body in memory counts as complete, so its
+    /// observer is called immediately.
     pub fn observe(&mut self, observer: Box<dyn BodyObserver>) {
         match &mut self.source {
             Source::Own(_) => observer.ended(BodyEnd::Complete),
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Reports an error one poll later, so that what came before it is flushed: the connection drops
+    /// Reports an error at the next poll, after the preceding bytes are flushed: hyper discards
     /// unsent bytes together with the message that it aborts.
     fn fail(
         &mut self,
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that feeds the decision logic.
+//! The clock that provides timestamps to the decision logic.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,7 +6,7 @@
 use wharfquay_core::idempotency::clock::UnixMillis;
 use wharfquay_core::time::Timestamp;
 
-/// The process's clock, with the time of day at which it was started.
+/// The steady clock of this process, with the wall-clock time at which it was started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     steady: wharfquay_clock::Clock,
@@ -14,13 +14,13 @@
 }
 
 impl Clock {
-    /// A clock whose origin is now.
+    /// Creates a clock whose origin is the current time.
     #[must_use]
     pub fn start() -> Self {
         Self::from_source(since_boot)
     }
 
-    /// As [`Self::start`], on another source of time.
+    /// Creates a clock like [`Self::start`] from another time source.
     #[must_use]
     pub fn from_source(source: TimeSource) -> Self {
         Self {
@@ -29,34 +29,34 @@
         }
     }
 
-    /// Wall-clock time of the origin, which tells this process from an earlier one of the same id:
-    /// the daemon's incarnation.
+    /// Returns the wall-clock time of the origin. It distinguishes this process from earlier ones
+    /// with the same id: it is the daemon's incarnation.
     #[must_use]
     pub const fn started_at(&self) -> UnixMillis {
         self.started_at
     }
 
-    /// The current time.
+    /// Returns the current time since the origin.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.steady.now()
     }
 
-    /// The instant at which `timestamp` is reached, for timers that start now.
+    /// Returns the tokio instant at which `timestamp` is reached, for timers that start now.
     #[must_use]
     pub fn instant(&self, timestamp: Timestamp) -> tokio::time::Instant {
         self.steady.instant(timestamp)
     }
 
-    /// Sleeps until a time; for ever when there is none.
+    /// Sleeps until a time; never returns if there is none.
     pub async fn sleep_until(&self, time: Option<Timestamp>) {
         self.steady.sleep_until(time).await;
     }
 
-    /// Waits for a future until a deadline.
+    /// Runs a future until a deadline.
     ///
     /// # Errors
-    /// [`DeadlinePassed`], after which the future is dropped.
+    /// [`DeadlinePassed`] if the future is not ready by then; it is dropped.
     pub async fn timeout_at<F: Future>(
         &self,
         deadline: Timestamp,
@@ -65,13 +65,15 @@
         self.steady.timeout_at(deadline, future).await
     }
 
-    /// Wakes what waits for deadlines when the machine was suspended, and tells for how long; never ends.
+    /// Wakes the tasks that wait for deadlines after the machine was suspended, and calls `observe`
+    /// with the length of the suspension; never returns.
     pub async fn watch_suspensions(self, observe: impl Fn(Duration)) {
         wharfquay_clock::watch_suspensions(self.steady, observe).await;
     }
 }
 
-/// This machine's wall clock; the Unix epoch when it is set before that.
+/// Returns the time of this machine's wall clock, or the Unix epoch if the clock is set to an
+/// earlier time.
 #[must_use]
 pub fn wall_clock() -> UnixMillis {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/daemon/src/connect.rs
+++ b/crates/daemon/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opening TCP connections.
+//! Opens TCP connections with the socket options of this daemon.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,17 +8,17 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Longest time that sent bytes may stay unacknowledged before the connection counts as broken.
+/// Time after which a connection with unacknowledged bytes counts as broken.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(2);
-/// Idle time before a keep-alive probe, and the time between two probes.
+/// Idle time before the first keep-alive probe, and the time between two probes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes after which the connection counts as broken.
+/// Number of unanswered probes after which a connection counts as broken.
 const KEEP_ALIVE_PROBES: u32 = 2;
 
-/// Opens a connection without delayed small writes, on which a silent peer is noticed.
+/// Opens a connection with `TCP_NODELAY` and detection of an unreachable peer.
 ///
 /// # Errors
-/// What the operating system reported, or [`io::ErrorKind::TimedOut`].
+/// The error of the operating system, or [`io::ErrorKind::TimedOut`].
 pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(timeout, connecting).await??;
@@ -27,10 +27,11 @@
     Ok(stream)
 }
 
-/// Lets the operating system end a connection whose peer went silent. Connections that a listener accepts
-/// take the options over from it.
+/// Lets the operating system close a connection whose peer has become unreachable. Connections that
+/// a listener accepts inherit these options from it.
 ///
-/// A socket that takes these options not works all the same, only slower to notice.
+/// Errors are ignored: without these options a socket still works, but detects an unreachable peer
+/// later.
 pub fn notice_silence(socket: &impl AsFd) {
     let keep_alive = TcpKeepalive::new()
         .with_time(KEEP_ALIVE_INTERVAL)
--- a/crates/daemon/src/control/claims/coordinate.rs
+++ b/crates/daemon/src/control/claims/coordinate.rs
@@ -1,4 +1,4 @@
-//! Drives one coordinator for each claimed request, from its first message to its last.
+//! Runs the coordinator of each claimed request, from its first message to its last.
 
 use std::sync::Arc;
 
@@ -16,43 +16,44 @@
 use crate::control::claims::transport::Delivery;
 use crate::control::claims::{Claims, group};
 
-/// A call whose key is to be claimed.
+/// The call for which an idempotency key is to be claimed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClaimedCall {
-    /// Key that the caller chose.
+    /// Idempotency key that the caller chose.
     pub(crate) key: IdempotencyKey,
-    /// Digest of the request.
+    /// Digest of the request, which detects the use of one key for different requests.
     pub(crate) fingerprint: Fingerprint,
-    /// Time after which the call must not be dispatched any more.
+    /// Time after which the call must not be dispatched.
     pub(crate) give_up_at: Timestamp,
 }
 
-/// What to do with a call.
+/// The decision about a claimed call.
 #[derive(Debug)]
 pub(crate) enum ClaimVerdict {
-    /// Dispatch it.
+    /// Dispatch the call.
     Dispatch(DispatchPermit),
-    /// Answer with what an earlier attempt got.
+    /// Replay the recorded response of an earlier request with the same key.
     Replay(RecordedAnswer),
-    /// Refuse it.
+    /// Refuse the call.
     Refuse(Failure),
 }
 
-/// The right to dispatch a call once. Dropped without an outcome, it leaves the outcome unknown.
+/// The right to dispatch a call once. If it is dropped without an outcome, the outcome is recorded
+/// as unknown.
 #[derive(Debug)]
 pub(crate) struct DispatchPermit {
     outcome: oneshot::Sender<ExecutionOutcome>,
 }
 
 impl DispatchPermit {
-    /// Records what became of the call.
+    /// Records the outcome of the call.
     pub(crate) fn complete(self, outcome: ExecutionOutcome) {
-        // The driver waits for the outcome as long as the permit lives.
+        // Sending can't fail: the driver waits for the outcome until the permit is dropped.
         let _ = self.outcome.send(outcome);
     }
 }
 
-/// What wakes a driver up.
+/// An input of a driver.
 enum Event {
     Delivery(Delivery),
     Completed(ExecutionOutcome),
@@ -146,15 +147,16 @@
         for effect in effects {
             match effect {
                 CoordinatorEffect::Send { to, request } => {
-                    self.claims.post(to, request, self.inbox.clone());
+                    self.claims
+                        .send_in_background(to, request, self.inbox.clone());
                 }
                 CoordinatorEffect::Dispatch => self.dispatch(),
-                CoordinatorEffect::Replay(answer) => {
-                    self.decide(ClaimVerdict::Replay(answer));
+                CoordinatorEffect::Replay(recorded) => {
+                    self.send_verdict(ClaimVerdict::Replay(recorded));
                 }
                 CoordinatorEffect::Refuse { code, retry_after } => {
                     let failure = Failure::with_retry_after(code, retry_after);
-                    self.decide(ClaimVerdict::Refuse(failure));
+                    self.send_verdict(ClaimVerdict::Refuse(failure));
                 }
             }
         }
@@ -162,24 +164,25 @@
 
     fn dispatch(&mut self) {
         let (outcome, completed) = oneshot::channel();
-        if self.decide(ClaimVerdict::Dispatch(DispatchPermit { outcome })) {
+        if self.send_verdict(ClaimVerdict::Dispatch(DispatchPermit { outcome })) {
             self.outcome = Some(completed);
             return;
         }
-        // Nobody waits for the permit any more, so nothing was dispatched with it.
+        // The caller of `claim` was cancelled before it received the permit, so the call was not
+        // dispatched.
         let now = self.claims.clock.now();
         let effects = self.coordinator.complete(now, ExecutionOutcome::NotRun);
         self.apply(effects);
     }
 
-    /// Tells the verdict; false when nobody waits for it.
-    fn decide(&mut self, verdict: ClaimVerdict) -> bool {
+    /// Sends the verdict to the caller of `claim`; returns false if it no longer waits.
+    fn send_verdict(&mut self, verdict: ClaimVerdict) -> bool {
         let waiting = self.verdict.take();
         waiting.is_some_and(|waiting| waiting.send(verdict).is_ok())
     }
 }
 
-/// The outcome of the dispatched call; never ready while none is dispatched.
+/// Waits for the outcome of the dispatched call; never completes while none is dispatched.
 async fn completion(outcome: &mut Option<oneshot::Receiver<ExecutionOutcome>>) -> ExecutionOutcome {
     match outcome {
         Some(outcome) => outcome.await.unwrap_or(ExecutionOutcome::Unknown),
--- a/crates/daemon/src/control/claims/group.rs
+++ b/crates/daemon/src/control/claims/group.rs
@@ -1,4 +1,4 @@
-//! The claim group in the configuration.
+//! Conversion of the configured claim group.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use wharfquay_resources::kinds::ClaimGroup;
 use wharfquay_resources::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
 
-/// The group in force, if one is configured.
+/// Returns the claim group in force, or `None` if none is configured.
 pub(super) fn in_force(snapshot: &Snapshot) -> Option<Group> {
     snapshot.claim_groups.get(CLAIM_GROUP_IN_USE).map(group)
 }
--- a/crates/daemon/src/control/claims/mod.rs
+++ b/crates/daemon/src/control/claims/mod.rs
@@ -1,6 +1,6 @@
 //! Claims on idempotency keys: this daemon's replica and the coordinators of its edge.
 //!
-//! The decisions are those of [`wharfquay_core::idempotency::claim`]; this module gives them clocks,
+//! The decisions are made by [`wharfquay_core::idempotency::claim`]; this module provides clocks,
 //! timers and connections.
 
 mod coordinate;
@@ -33,15 +33,16 @@
 pub(crate) use coordinate::{ClaimVerdict, ClaimedCall, DispatchPermit};
 pub(super) use replica::run as run_replica;
 
-/// Path on the control listener that takes claim messages.
+/// Path of claim messages on the control listener.
 const PATH: &str = "/wharfquay/claims";
-/// Largest claim message that is accepted, in bytes: a page of records with their answers.
+/// Largest accepted claim message, in bytes. The largest messages are pages of records with
+/// recorded responses.
 const MAXIMUM_MESSAGE: usize = envelope::MAX_STREAM_MESSAGE;
 
-/// Claims in one daemon.
+/// The claim replica of this daemon and the state that its coordinators share.
 #[derive(Debug)]
 pub struct Claims {
-    own_id: ReplicaId,
+    local_id: ReplicaId,
     replica: Mutex<Replica>,
     clock: Clock,
     snapshot: watch::Receiver<Arc<Snapshot>>,
@@ -50,16 +51,16 @@
     tasks: TaskTracker,
 }
 
-/// What the replica in this daemon holds.
+/// The state of the replica in this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// Epoch of its group; zero without a group.
+    /// Epoch (configuration number) of the replica's group; zero without a group.
     pub epoch: Epoch,
-    /// Whether it votes.
+    /// True if the replica votes on claims.
     pub voting: bool,
-    /// Keys that it remembers.
+    /// Number of keys that the replica stores.
     pub records: usize,
-    /// Bytes of answers that it keeps for repeats.
+    /// Size of the responses recorded for repeats, in bytes.
     pub content_bytes: usize,
 }
 
@@ -72,10 +73,10 @@
         peers: PeerPool,
         tasks: TaskTracker,
     ) -> Self {
-        let own_id = ReplicaId::new(id);
-        let replica = Replica::new(own_id.clone(), ReplicaSettings::default(), wall_clock());
+        let local_id = ReplicaId::new(id);
+        let replica = Replica::new(local_id.clone(), ReplicaSettings::default(), wall_clock());
         Self {
-            own_id,
+            local_id,
             replica: Mutex::new(replica),
             clock,
             snapshot,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// What the replica in this daemon holds.
+    /// Returns the state of the replica in this daemon.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let replica = lock(&self.replica);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Serves a request on the control listener.
+    /// Handles a claim message that arrives on the control listener.
     pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         if request.method() != http::Method::POST || request.uri().path() != PATH {
             return plain(StatusCode::NOT_FOUND, Bytes::new());
--- a/crates/daemon/src/control/claims/replica.rs
+++ b/crates/daemon/src/control/claims/replica.rs
@@ -1,4 +1,5 @@
-//! Drives the replica of this daemon: configuration, and the handover between groups.
+//! Runs the claim replica of this daemon: configuration changes, and the handover of records from
+//! one group to the next.
 
 use std::sync::Arc;
 
@@ -11,7 +12,7 @@
 use crate::events::{Event, log_event};
 use crate::sync::lock;
 
-/// Runs until the configuration side ends.
+/// Runs until the sender of the configuration is dropped.
 pub(in crate::control) async fn run(claims: Arc<Claims>) {
     let mut snapshot = claims.snapshot.clone();
     let (inbox, mut deliveries) = mpsc::unbounded_channel();
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Changes the replica and sends what it asks of its peers.
+    /// Applies a change to the replica and sends its requests to other replicas.
     fn update(
         self: &Arc<Self>,
         inbox: &Inbox,
@@ -64,7 +65,7 @@
             );
         }
         for PeerRequest { to, fetch } in requests {
-            self.post(to, ReplicaRequest::Fetch(fetch), inbox.clone());
+            self.send_in_background(to, ReplicaRequest::Fetch(fetch), inbox.clone());
         }
     }
 }
--- a/crates/daemon/src/control/claims/transport.rs
+++ b/crates/daemon/src/control/claims/transport.rs
@@ -1,4 +1,4 @@
-//! Claim messages to replicas: HTTP/2 requests to the control listener of the replica's daemon.
+//! Transport of claim messages: HTTP/2 requests to the control listener of the replica's daemon.
 
 use std::time::Duration;
 
@@ -13,22 +13,23 @@
 use crate::control::claims::{Claims, MAXIMUM_MESSAGE, PATH};
 use crate::events::{Event, Quoted, log_event};
 
-/// Longest time to wait for one answer; the sender's own timers send again long before.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time to wait for a reply. Coordinators and replicas resend much earlier by their own
+/// timers.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An answer and the replica that gave it.
+/// A reply and the replica that sent it.
 #[derive(Debug)]
 pub(super) struct Delivery {
     pub(super) from: ReplicaId,
     pub(super) reply: ReplicaReply,
 }
 
-/// Where answers go.
+/// The channel that receives replies.
 pub(super) type Inbox = mpsc::UnboundedSender<Delivery>;
 
 impl Claims {
-    /// Sends a message in the background; an answer that comes in time goes to `inbox`.
-    pub(super) fn post(
+    /// Sends a request in the background; a reply that arrives in time goes to `inbox`.
+    pub(super) fn send_in_background(
         self: &std::sync::Arc<Self>,
         to: ReplicaId,
         request: ReplicaRequest,
@@ -36,16 +37,16 @@
     ) {
         let claims = std::sync::Arc::clone(self);
         tokio::spawn(async move {
-            let answer = tokio::time::timeout(ANSWER_TIMEOUT, claims.ask(&to, request));
-            if let Ok(Some(reply)) = answer.await {
-                // The receiver may have ended in the meantime.
+            let reply = tokio::time::timeout(REPLY_TIMEOUT, claims.send_request(&to, request));
+            if let Ok(Some(reply)) = reply.await {
+                // The receiver may have finished in the meantime.
                 let _ = inbox.send(Delivery { from: to, reply });
             }
         });
     }
 
-    async fn ask(&self, to: &ReplicaId, request: ReplicaRequest) -> Option<ReplicaReply> {
-        if *to == self.own_id {
+    async fn send_request(&self, to: &ReplicaId, request: ReplicaRequest) -> Option<ReplicaReply> {
+        if *to == self.local_id {
             return Some(self.handle(request));
         }
         let address = self.address(to)?;
--- a/crates/daemon/src/control/configuration.rs
+++ b/crates/daemon/src/control/configuration.rs
@@ -1,7 +1,8 @@
-//! Reads the configuration from the platform: a list, then a watch, and a list again after a break.
+//! Reads the configuration from the platform: a list, then a watch, and a new list after the watch
+//! breaks.
 //!
-//! What is not valid is rejected and its last good version stays in force; a revision below the one
-//! in force is never adopted.
+//! An invalid resource is rejected and its last valid version stays in force. A revision older than
+//! the one in force is never adopted.
 
 use std::sync::Arc;
 
@@ -26,13 +27,13 @@
     published: watch::Sender<Arc<Snapshot>>,
 }
 
-/// How a watch came to its end.
+/// The reason why a watch ended.
 enum WatchEnd {
-    /// The platform ended it.
+    /// The platform closed the watch.
     Ended,
-    /// An event is missing, so that only a list can tell the configuration.
+    /// An event is missing, so the configuration has to be listed again.
     Gap,
-    /// The list was older than what is in force.
+    /// The list was older than the configuration in force, so no watch was started.
     Older,
 }
 
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Reads for ever.
+    /// Reads the configuration with a backoff between attempts; never returns.
     pub(super) async fn run(mut self) {
         let mut failures = 0;
         loop {
@@ -81,9 +82,9 @@
         Ok(WatchEnd::Ended)
     }
 
-    /// Adopts a list; false when it is older than what is in force.
+    /// Adopts a list; returns false if it is older than the configuration in force.
     fn adopt_list(&mut self, list: ObjectList) -> bool {
-        let objects = list.objects.into_iter().filter_map(stored);
+        let objects = list.objects.into_iter().filter_map(to_stored_object);
         if !self.acceptor.replace(list.version, objects) {
             let found = list.version.number();
             let in_force = self.revision().number();
@@ -97,7 +98,7 @@
         true
     }
 
-    /// Adopts an event; false when one before it is missing.
+    /// Adopts an event; returns false if an earlier event is missing.
     fn adopt_event(&mut self, event: WatchEvent) -> bool {
         let version = match &event {
             WatchEvent::Put { version, .. }
@@ -113,13 +114,13 @@
         }
         match event {
             WatchEvent::Put { object, .. } => {
-                let Some(object) = stored(object) else {
+                let Some(object) = to_stored_object(object) else {
                     return false;
                 };
                 self.acceptor.put(version, &object);
             }
             WatchEvent::Delete { object, .. } => {
-                let Some(id) = known_id(&object) else {
+                let Some(id) = id_of_known_kind(&object) else {
                     return false;
                 };
                 self.acceptor.delete(version, &id);
@@ -143,7 +144,7 @@
         self.published.send_replace(snapshot);
     }
 
-    /// Logs what was rejected, once for each version.
+    /// Logs rejected resources, once for each version.
     fn log_rejections(&mut self) {
         let rejections = &self.acceptor.acceptance().rejections;
         for rejection in rejections {
@@ -168,16 +169,16 @@
     }
 }
 
-/// An object of a kind that this program knows.
-fn stored(object: Object) -> Option<StoredObject> {
+/// Converts an object of the platform; `None`, with a log event, if its kind is unknown.
+fn to_stored_object(object: Object) -> Option<StoredObject> {
     Some(StoredObject {
-        id: known_id(&object)?,
+        id: id_of_known_kind(&object)?,
         version: object.version,
         spec: object.spec,
     })
 }
 
-fn known_id(object: &Object) -> Option<ResourceId> {
+fn id_of_known_kind(object: &Object) -> Option<ResourceId> {
     let id = resource_id(&object.key);
     if id.is_none() {
         log_event!(Event::ObjectOfUnknownKindIgnored, "object={}", object.key);
--- a/crates/daemon/src/control/endpoints.rs
+++ b/crates/daemon/src/control/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoints of each service, from gossip membership, the machine list and the leaving marks of
-//! every source.
+//! Builds the endpoint table from gossip membership, the machine list and the leaving marks of all
+//! sources.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,18 +12,19 @@
 use wharfquay_resources::kinds::DrainTarget;
 use wharfquay_resources::snapshot::Snapshot;
 
-/// One back end, reached through its daemon.
+/// A backend, which is called through its daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRecord {
-    /// Id of the daemon beside the back end.
+    /// Id of the daemon beside the backend.
     pub id: EndpointId,
-    /// Zone that it runs in.
+    /// Zone that the backend runs in.
     pub zone: Zone,
-    /// Number that grows with each restart.
+    /// Start time of the daemon in Unix milliseconds, which grows with each restart;
+    /// [`UNKNOWN_INCARNATION`] if the daemon is no member.
     pub incarnation: u64,
-    /// Whether it may get new work.
+    /// Whether the backend gets new calls.
     pub state: EndpointState,
-    /// Where its daemon takes calls.
+    /// Address at which its daemon accepts calls.
     pub call_address: SocketAddr,
 }
 
@@ -31,18 +32,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndpointTable {
     services: BTreeMap<String, Vec<EndpointRecord>>,
-    /// Daemons that stand beside no back end.
+    /// Ids of the daemons without a backend.
     edges: BTreeSet<EndpointId>,
 }
 
 impl EndpointTable {
-    /// The endpoints of a service; empty for one that is not known.
+    /// Returns the endpoints of a service; empty for an unknown service.
     #[must_use]
     pub fn of_service(&self, service: &str) -> &[EndpointRecord] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Every endpoint with the name of its service.
+    /// Returns all endpoints, each with the name of its service.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &EndpointRecord)> {
         self.services.iter().flat_map(|(service, records)| {
             let service = service.as_str();
@@ -50,8 +51,8 @@
         })
     }
 
-    /// Number of daemons that call a service: those beside a back end whose service declares to call
-    /// it, and every edge.
+    /// Returns the number of daemons that call a service: all edges, and the daemons beside a
+    /// backend whose service declares to call it.
     #[must_use]
     pub fn callers_of(&self, service: &str, snapshot: &Snapshot) -> usize {
         let calling = snapshot.services.values().filter(|caller| {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Where a machine stands, as far as drains are concerned.
+/// The properties of a machine that decide which drains cover it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Placement<'a> {
     pub(super) id: &'a EndpointId,
@@ -77,7 +78,7 @@
     pub(super) service: Option<&'a str>,
 }
 
-/// Brings the marks of the configuration's drains up to date for one machine.
+/// Sets or clears the leaving mark of one machine by the drains of the configuration.
 pub(super) fn mark_drains(
     leaving: &mut LeavingSet,
     snapshot: &Snapshot,
@@ -103,7 +104,7 @@
     }
 }
 
-/// Brings the mark of the machine list up to date for one machine.
+/// Sets or clears the leaving mark of one machine by its state on the machine list.
 pub(super) fn mark_machine(
     leaving: &mut LeavingSet,
     id: &EndpointId,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Brings the mark of the local back end's health endpoint up to date.
+/// Sets or clears the leaving mark of the local backend by its health endpoint.
 pub(super) fn mark_health(
     leaving: &mut LeavingSet,
     id: &EndpointId,
@@ -132,12 +133,13 @@
     }
 }
 
-/// Marks a daemon that was told to stop, which can't be taken back.
+/// Marks a daemon as leaving because it is stopping; this mark is never withdrawn.
+/// incarnation.
 pub(super) fn mark_shutdown(leaving: &mut LeavingSet, id: &EndpointId, incarnation: u64) {
     leaving.mark(id, incarnation, LeavingSource::Shutdown);
 }
 
-/// Brings the mark that a daemon has spread about itself up to date.
+/// Sets the leaving mark of a member that announced its stop through gossip.
 fn mark_member(leaving: &mut LeavingSet, id: &EndpointId, member: &Member) {
     if member.leaving {
         let incarnation = member.incarnation.process();
@@ -145,30 +147,30 @@
     }
 }
 
-/// The incarnation of a member, or the one of an endpoint that is no member.
+/// Returns the incarnation of a member, or [`UNKNOWN_INCARNATION`] without a member.
 pub(super) fn incarnation_of(member: Option<&Member>) -> u64 {
     member.map_or(UNKNOWN_INCARNATION, |member| member.incarnation.process())
 }
 
-/// What the endpoints follow from.
+/// The inputs of the endpoint table.
 #[derive(Clone, Copy)]
 pub(super) struct Sources<'a> {
     /// The configuration in force.
     pub(super) snapshot: &'a Snapshot,
     /// The platform's machine list.
     pub(super) machines: &'a [Machine],
-    /// The members that gossip knows.
+    /// The members known from gossip.
     pub(super) members: &'a MemberTable,
 }
 
-/// The table that follows from members, machine list, drains and the marks so far.
+/// Builds the endpoint table from members, machine list, drains and the leaving marks so far.
 ///
-/// Members come first; the machine list adds machines that are no members. A machine whose member
-/// record is dead is left out unless its service has no other endpoint, since a lagging list and a
-/// wrong suspicion are both possible.
+/// Live members take precedence; the machine list adds machines that are no members. A machine
+/// whose member is dead is left out unless its service has no other endpoint: the machine list may
+/// lag, but the failure detector may also be wrong.
 pub(super) fn build(leaving: &mut LeavingSet, sources: Sources<'_>) -> EndpointTable {
     let mut table = EndpointTable::default();
-    let mut doubtful = Vec::new();
+    let mut suspected_dead = Vec::new();
     for machine in sources.machines {
         let Some(service) = &machine.service else {
             let id = EndpointId::from(machine.id.as_str());
@@ -192,13 +194,13 @@
         };
         let record = record(leaving, sources.snapshot, placement, member, address);
         if member.is_some() {
-            doubtful.push((service.as_str(), record));
+            suspected_dead.push((service.as_str(), record));
         } else {
             table.insert(service, record);
         }
     }
     insert_members(&mut table, leaving, sources);
-    for (service, record) in doubtful {
+    for (service, record) in suspected_dead {
         if table.of_service(service).is_empty() {
             table.insert(service, record);
         }
--- a/crates/daemon/src/control/gossip/mod.rs
+++ b/crates/daemon/src/control/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! The task that drives this daemon's part in gossip membership and the configuration relay.
+//! The task that runs gossip membership and the configuration relay for this daemon.
 
 mod transport;
 
@@ -21,7 +21,7 @@
 
 use crate::clock::Clock;
 use crate::control::ControlAddresses;
-use crate::control::readers::{Reading, StoreReader};
+use crate::control::readers::{ReadResult, StoreReader};
 use crate::control::relay::{self, ConfigurationDelta};
 use crate::events::{Event, Quoted, RateLimit, log_event};
 use crate::metrics::Metrics;
@@ -31,38 +31,38 @@
 pub(crate) use transport::StreamInbox;
 use transport::{Datagrams, ReceivedStream, StreamSender};
 
-/// Entries of the machine list that are used as seeds; more would help no joining daemon.
+/// Number of entries of the machine list to use as seeds; more do not help a joining daemon.
 const MAX_LISTED_SEEDS: usize = 64;
 
-/// Where this daemon speaks with others.
+/// The socket and the addresses for messages between daemons.
 #[derive(Debug)]
 pub(crate) struct ControlSockets {
-    /// Bound to the address of the control listener.
+    /// UDP socket at the address of the control listener.
     pub(crate) datagrams: UdpSocket,
     /// Address of the control listener.
     pub(crate) control_address: SocketAddr,
-    /// Address for calls of other daemons.
+    /// Address at which this daemon accepts calls of other daemons.
     pub(crate) call_address: SocketAddr,
 }
 
-/// What the task publishes and listens to.
+/// The channels through which the task communicates with the rest of the daemon.
 pub(super) struct Channels {
-    /// The configuration in force, from the moment on when this daemon is ready.
+    /// The configuration in force; published once this daemon is ready.
     pub(super) snapshot: watch::Sender<Arc<Snapshot>>,
-    /// The members.
+    /// The members known from gossip.
     pub(super) members: watch::Sender<MemberTable>,
-    /// Control addresses of the machine list.
+    /// Control addresses by daemon id; used as seeds.
     pub(super) machines: watch::Receiver<Arc<ControlAddresses>>,
-    /// Whether this daemon was told to stop.
+    /// True once a stop of this daemon was requested.
     pub(super) stopping: watch::Receiver<bool>,
-    /// Counts the datagrams.
+    /// Counters for control messages.
     pub(super) metrics: Arc<Metrics>,
 }
 
-/// The control plane's task.
+/// The task that runs the membership node of this daemon.
 pub(super) struct GossipTask {
     clock: Clock,
-    own_id: String,
+    local_id: String,
     seeds: Vec<SocketAddr>,
     node: Node,
     datagrams: Datagrams,
@@ -71,13 +71,13 @@
     client: Arc<Client>,
     reader: Option<StoreReader>,
     held: Arc<Snapshot>,
-    /// Bounds the log lines about messages that are dropped.
+    /// Rate limit for log events about dropped messages.
     dropped: RateLimit,
     channels: Channels,
 }
 
-/// What the task goes on with.
-enum Next {
+/// An input of the task.
+enum TaskInput {
     Datagram(SocketAddr, Vec<u8>),
     Stream(ReceivedStream),
     Store(Option<SourceEvent>),
@@ -87,7 +87,7 @@
 }
 
 impl GossipTask {
-    /// A task and the inbox for messages that arrive over streams.
+    /// Creates the task and the inbox for messages that arrive over streams.
     pub(super) fn new(
         settings: &Settings,
         clock: Clock,
@@ -129,7 +129,7 @@
         let (sender, inbox) = transport::inbox();
         let task = Self {
             clock,
-            own_id: settings.id.clone(),
+            local_id: settings.id.clone(),
             seeds,
             node,
             datagrams: Datagrams::new(sockets.datagrams, Arc::clone(&channels.metrics)),
@@ -144,75 +144,77 @@
         (task, sender)
     }
 
-    /// Runs for ever.
+    /// Processes inputs; never returns.
     pub(super) async fn run(mut self) {
         loop {
-            let next = self.next().await;
-            let effects = self.take(next);
-            self.carry_out(effects).await;
+            let input = self.next_input().await;
+            let effects = self.apply_input(input);
+            self.apply_effects(effects).await;
         }
     }
 
-    async fn next(&mut self) -> Next {
+    async fn next_input(&mut self) -> TaskInput {
         let wakeup = self.node.next_wakeup();
         tokio::select! {
-            (source, bytes) = self.datagrams.receive() => Next::Datagram(source, bytes),
-            Some(stream) = self.inbox.recv() => Next::Stream(stream),
-            event = next_of(&mut self.reader) => Next::Store(event),
-            Ok(()) = self.channels.machines.changed() => Next::Machines,
-            Ok(()) = self.channels.stopping.changed() => Next::Stopping,
-            () = self.clock.sleep_until(Some(wakeup)) => Next::Timer,
+            (source, bytes) = self.datagrams.receive() => TaskInput::Datagram(source, bytes),
+            Some(stream) = self.inbox.recv() => TaskInput::Stream(stream),
+            event = next_store_event(&mut self.reader) => TaskInput::Store(event),
+            Ok(()) = self.channels.machines.changed() => TaskInput::Machines,
+            Ok(()) = self.channels.stopping.changed() => TaskInput::Stopping,
+            () = self.clock.sleep_until(Some(wakeup)) => TaskInput::Timer,
         }
     }
 
-    fn take(&mut self, next: Next) -> Vec<Effect> {
+    fn apply_input(&mut self, input: TaskInput) -> Vec<Effect> {
         let now = self.clock.now();
         let random = &mut rand::rng();
-        match next {
-            Next::Datagram(source, bytes) => self.node.receive(now, source, &bytes, random),
-            Next::Stream(stream) => self.node.receive(now, stream.source, &stream.bytes, random),
-            Next::Timer => self.node.advance(now, random),
-            Next::Stopping => self.node.leave(now, random),
-            Next::Machines => {
+        match input {
+            TaskInput::Datagram(source, bytes) => self.node.receive(now, source, &bytes, random),
+            TaskInput::Stream(stream) => {
+                self.node.receive(now, stream.source, &stream.bytes, random)
+            }
+            TaskInput::Timer => self.node.advance(now, random),
+            TaskInput::Stopping => self.node.leave(now, random),
+            TaskInput::Machines => {
                 self.update_seeds();
                 Vec::new()
             }
-            Next::Store(Some(event)) => self.take_store(event),
-            Next::Store(None) => {
+            TaskInput::Store(Some(event)) => self.apply_store_event(event),
+            TaskInput::Store(None) => {
                 self.reader = None;
                 Vec::new()
             }
         }
     }
 
-    fn take_store(&mut self, event: SourceEvent) -> Vec<Effect> {
+    fn apply_store_event(&mut self, event: SourceEvent) -> Vec<Effect> {
         let Some(reader) = &mut self.reader else {
             return Vec::new();
         };
-        match reader.take(event, &self.held) {
-            Reading::Report(report) => {
+        match reader.apply(event, &self.held) {
+            ReadResult::Report(report) => {
                 let now = self.clock.now();
                 self.node.on_store(now, &report, &mut rand::rng())
             }
-            Reading::NoContact => {
+            ReadResult::Unavailable => {
                 self.node.store_contact(false);
                 Vec::new()
             }
-            Reading::Nothing => Vec::new(),
+            ReadResult::Unusable => Vec::new(),
         }
     }
 
-    /// The settings file's seeds and the machine list's.
+    /// Sets the seeds to those of the settings file and of the machine list.
     fn update_seeds(&mut self) {
         let machines = self.channels.machines.borrow_and_update().clone();
-        let others = machines.iter().filter(|(id, _)| **id != self.own_id);
+        let others = machines.iter().filter(|(id, _)| **id != self.local_id);
         let listed = others.map(|(_, address)| *address).take(MAX_LISTED_SEEDS);
         let seeds = self.seeds.iter().copied().chain(listed);
         let seeds = seeds.map(|control_address| Seed { control_address });
         self.node.set_seeds(seeds.collect());
     }
 
-    async fn carry_out(&mut self, effects: Vec<Effect>) {
+    async fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, channel, bytes } => match channel {
@@ -221,13 +223,13 @@
                     }
                     wharfquay_membership::node::Channel::Stream => self.streams.send(to, bytes),
                 },
-                other => self.carry_out_locally(other),
+                other => self.apply_local_effect(other),
             }
         }
         self.publish_configuration();
     }
 
-    fn carry_out_locally(&mut self, effect: Effect) {
+    fn apply_local_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Send { .. } => {}
             Effect::MembersChanged => {
@@ -237,7 +239,8 @@
             Effect::DeclaredDead(id) => log_event!(Event::MemberDead, "id={id}"),
             Effect::AdoptSnapshot(snapshot) => self.adopt_snapshot(&snapshot),
             Effect::AdoptDelta(delta) => self.adopt_delta(&delta),
-            // The configuration that is published now tells of it.
+            // The subscribers learn of it from the configuration, which is published after the
+            // effects.
             Effect::Ready(_) => {}
             Effect::Read(read) => self.read_store(read),
             Effect::ReadSnapshot => {
@@ -301,7 +304,8 @@
         }
     }
 
-    /// Puts what is held in force once this daemon is ready.
+    /// Publishes the held configuration if this daemon is ready and the configuration is newer than
+    /// the published one.
     fn publish_configuration(&self) {
         if !self.node.is_ready() {
             return;
@@ -326,8 +330,9 @@
     );
 }
 
-/// The next event of the reader; never when this daemon does not read.
-async fn next_of(reader: &mut Option<StoreReader>) -> Option<SourceEvent> {
+/// Returns the next event of the store reader; never completes while this daemon does not read the
+/// store.
+async fn next_store_event(reader: &mut Option<StoreReader>) -> Option<SourceEvent> {
     match reader {
         Some(reader) => reader.next().await,
         None => std::future::pending().await,
--- a/crates/daemon/src/control/gossip/transport.rs
+++ b/crates/daemon/src/control/gossip/transport.rs
@@ -1,4 +1,4 @@
-//! Control messages on the network: datagrams, and streams for what is too large for one.
+//! Transport of control messages: datagrams, and streams for messages too large for a datagram.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,17 +18,18 @@
 use crate::metrics::{Direction, Metrics, Transport};
 use crate::peers::PeerPool;
 
-/// Path on the control listener that takes gossip and configuration messages.
+/// Path of gossip and configuration messages on the control listener.
 pub(crate) const PATH: &str = "/wharfquay/control";
-/// Control address of the sender of a streamed message.
+/// Header with the control address of the sender of a streamed message.
 const SENDER: HeaderName = HeaderName::from_static("wharfquay-control-address");
-/// Messages over streams that wait for the task; more are refused and come again by anti-entropy.
+/// Maximum number of streamed messages that wait for the task. Further ones are refused;
+/// anti-entropy transfers their content later.
 const INBOX_CAPACITY: usize = 256;
-/// Longest time for one message over a stream.
+/// Maximum time to send one message over a stream.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest datagram that is read; larger ones are cut and fail to decode.
+/// Size of the receive buffer in bytes; larger datagrams are truncated and fail to decode.
 const DATAGRAM_BUFFER: usize = 2_048;
-/// Pause after an error of the socket, so that it does not keep a core busy.
+/// Pause after a socket error; without it a persistent error would keep a core busy.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 /// A message that arrived over a stream.
@@ -40,25 +41,25 @@
     pub(super) bytes: Bytes,
 }
 
-/// Takes messages that arrive on the control listener.
+/// Receives streamed messages from the control listener.
 #[derive(Clone, Debug)]
 pub(crate) struct StreamInbox {
     sender: mpsc::Sender<ReceivedStream>,
 }
 
-/// An inbox and the end at which the task reads it.
+/// Creates an inbox and the receiver from which the task reads it.
 pub(super) fn inbox() -> (StreamInbox, mpsc::Receiver<ReceivedStream>) {
     let (sender, receiver) = mpsc::channel(INBOX_CAPACITY);
     (StreamInbox { sender }, receiver)
 }
 
 impl StreamInbox {
-    /// Whether a request carries a control message.
+    /// Returns true if a request carries a control message.
     pub(crate) fn takes(request: &Request<Incoming>) -> bool {
         request.method() == Method::POST && request.uri().path() == PATH
     }
 
-    /// Serves a request for which [`Self::takes`] holds.
+    /// Handles a request for which [`Self::takes`] returns true.
     pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let sender = request.headers().get(SENDER);
         let source = sender.and_then(|value| value.to_str().ok()?.parse().ok());
@@ -83,7 +84,7 @@
     response
 }
 
-/// The socket for datagrams.
+/// The UDP socket for control messages.
 #[derive(Debug)]
 pub(super) struct Datagrams {
     socket: UdpSocket,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The next datagram. Cancel safe.
+    /// Receives the next datagram. Cancel safe.
     pub(super) async fn receive(&mut self) -> (SocketAddr, Vec<u8>) {
         loop {
             match self.socket.recv_from(&mut self.buffer).await {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Sends a datagram; one that can't be sent counts as lost.
+    /// Sends a datagram; a failure is logged and treated like packet loss.
     pub(super) async fn send(&self, to: SocketAddr, bytes: &[u8]) {
         match self.socket.send_to(bytes, to).await {
             Ok(length) => self.count(Direction::Sent, length),
@@ -129,31 +130,31 @@
     fn count(&self, direction: Direction, bytes: usize) {
         let bytes = bytes as u64;
         self.metrics
-            .control_message(Transport::Datagram, direction, bytes);
+            .record_control_message(Transport::Datagram, direction, bytes);
     }
 }
 
-/// Sends messages over streams, each in a task of its own.
+/// Sends messages over streams, each in a separate task.
 #[derive(Debug)]
 pub(super) struct StreamSender {
     peers: Arc<PeerPool>,
     tasks: TaskTracker,
-    own_address: SocketAddr,
+    local_address: SocketAddr,
 }
 
 impl StreamSender {
-    pub(super) fn new(peers: PeerPool, tasks: TaskTracker, own_address: SocketAddr) -> Self {
+    pub(super) fn new(peers: PeerPool, tasks: TaskTracker, local_address: SocketAddr) -> Self {
         Self {
             peers: Arc::new(peers),
             tasks,
-            own_address,
+            local_address,
         }
     }
 
-    /// Sends a message; one that does not arrive counts as lost.
+    /// Sends a message; a failure is logged and treated like packet loss.
     pub(super) fn send(&self, to: SocketAddr, bytes: Vec<u8>) {
         let request = Request::post(format!("http://{to}{PATH}"))
-            .header(SENDER, self.own_address.to_string())
+            .header(SENDER, self.local_address.to_string())
             .body(RequestBody::held(bytes.into()));
         let Ok(request) = request else {
             return;
--- a/crates/daemon/src/control/health.rs
+++ b/crates/daemon/src/control/health.rs
@@ -1,5 +1,5 @@
-//! Reads the health endpoint of the local back end, which may lag or mislead: it is one of several
-//! sources for whether the back end is leaving.
+//! Polls the health endpoint of the local backend. The endpoint may lag or be wrong, so it is only
+//! one of several sources for whether the backend is leaving.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::connect::connect;
 use crate::events::{Event, Quoted, log_event};
 
-/// Longest answer of a health endpoint that is read, in bytes.
-const MAXIMUM_ANSWER: usize = 16 * 1024;
+/// Largest accepted response of a health endpoint, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// Reads the health endpoint again and again.
+/// Polls the health endpoint and publishes whether the backend is leaving.
 pub(super) struct HealthPoller {
     pub(super) address: SocketAddr,
     pub(super) path: String,
@@ -27,7 +27,7 @@
     pub(super) leaving: watch::Sender<bool>,
 }
 
-/// What a health endpoint says; other fields are ignored.
+/// The response of a health endpoint; other fields are ignored.
 #[derive(Debug, Deserialize)]
 struct Health {
     state: HealthState,
@@ -40,21 +40,21 @@
     Leaving,
 }
 
-/// Why a health endpoint could not be read.
+/// An error that prevented reading the health endpoint.
 #[derive(Debug, Display)]
 enum HealthError {
-    /// no answer in time
+    /// no response before the timeout
     Timeout,
-    /// no connection: {0}
+    /// cannot connect: {0}
     Connect(std::io::Error),
-    /// no whole answer: {0}
+    /// no complete response: {0}
     Exchange(Box<dyn std::error::Error + Send + Sync>),
-    /// the answer is no health report: {0}
+    /// the response is not a health report: {0}
     Malformed(serde_json::Error),
 }
 
 impl HealthPoller {
-    /// Reads for ever. An endpoint that can't be read changes nothing.
+    /// Polls the endpoint; never returns. A failed read leaves the published state unchanged.
     pub(super) async fn run(self) {
         loop {
             let read = tokio::time::timeout(self.interval, self.read());
@@ -78,11 +78,11 @@
             .map_err(exchange_error)?;
         let exchange = async move {
             let response = sender.send_request(request).await.map_err(exchange_error)?;
-            let body = Limited::new(response.into_body(), MAXIMUM_ANSWER);
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
             let body = body.collect().await.map_err(HealthError::Exchange)?;
             Ok(body.to_bytes())
         };
-        // The connection ends with the exchange, when its sender is dropped.
+        // The connection closes after the exchange, when its sender is dropped.
         let (body, _) = tokio::join!(exchange, connection);
         let health: Health = serde_json::from_slice(&body?).map_err(HealthError::Malformed)?;
         Ok(health.state)
--- a/crates/daemon/src/control/machines.rs
+++ b/crates/daemon/src/control/machines.rs
@@ -1,5 +1,5 @@
-//! Polls the platform's machine list and keeps the table of endpoints, together with what gossip
-//! knows of the members.
+//! Polls the platform's machine list and maintains the endpoint table from it and from gossip
+//! membership.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,48 +18,50 @@
 use crate::control::endpoints::{self, EndpointTable, Placement};
 use crate::events::{Event, PlatformHealth, log_event};
 
-/// Polls are spread by up to this share of the interval, so that daemons don't poll together.
+/// Width of the random range of poll intervals, as a share of the interval. The jitter keeps
+/// daemons from polling simultaneously.
 const JITTER: f64 = 0.2;
 
-/// Polls the machine list and publishes what follows from it, from the drains and from the health of
-/// the local back end.
-pub(super) struct Poller {
+/// Polls the machine list and publishes the endpoint table, the control addresses and whether the
+/// local backend is leaving.
+pub(super) struct MachineListPoller {
     pub(super) client: Arc<Client>,
     pub(super) interval: Duration,
-    pub(super) own: OwnPlace,
+    pub(super) local: LocalDaemon,
     pub(super) sources: Sources,
     pub(super) outputs: Outputs,
     pub(super) platform: Arc<PlatformHealth>,
 }
 
-/// Where this daemon stands.
-pub(super) struct OwnPlace {
+/// The id, zone and service of this daemon.
+pub(super) struct LocalDaemon {
     pub(super) id: EndpointId,
     pub(super) zone: String,
     pub(super) service: Option<String>,
 }
 
-/// What else tells of endpoints.
+/// The inputs besides the machine list.
 pub(super) struct Sources {
     pub(super) snapshot: watch::Receiver<Arc<Snapshot>>,
-    /// The members; none where the daemon takes no part in gossip.
+    /// The members known from gossip; empty without a control listener.
     pub(super) members: watch::Receiver<MemberTable>,
-    /// Whether the back end's health endpoint says that it is leaving.
+    /// True if the backend's health endpoint reports that the backend is leaving.
     pub(super) health: watch::Receiver<bool>,
-    /// Whether this daemon was told to stop.
+    /// True once a stop of this daemon was requested.
     pub(super) stopping: watch::Receiver<bool>,
 }
 
-/// Where the results go.
+/// The channels for the results.
 pub(super) struct Outputs {
     pub(super) endpoints: watch::Sender<Arc<EndpointTable>>,
     pub(super) leaving: watch::Sender<bool>,
     pub(super) addresses: watch::Sender<Arc<ControlAddresses>>,
 }
 
-impl Poller {
-    /// Polls until the daemon ends. The last list that was read stays in use while the platform is
-    /// down; a new configuration, a change of health and a stop are applied to it at once.
+impl MachineListPoller {
+    /// Polls until the sender of the configuration is dropped. The last list that was read stays in
+    /// use while the platform is unavailable; changes of configuration, members, health and a stop
+    /// are applied to it immediately.
     pub(super) async fn run(mut self) {
         let mut leaving = LeavingSet::new();
         let mut list = MachineList::default();
@@ -68,7 +70,7 @@
             tokio::select! {
                 found = &mut reading => {
                     if let Some(found) = found {
-                        take_over(&mut list, found);
+                        replace_unless_older(&mut list, found);
                     }
                     reading = Box::pin(self.read_after(self.next_wait(), list.version));
                 }
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Reads the list after a wait; `None` when its version is still `known` or that fails.
+    /// Reads the list after a wait; `None` if its version is still `known` or the read fails.
     fn read_after(
         &self,
         wait: Duration,
@@ -106,39 +108,39 @@
         let members = self.sources.members.borrow().clone();
         let incarnation = self.incarnation(&members);
         let health = *self.sources.health.borrow();
-        endpoints::mark_health(leaving, &self.own.id, health, incarnation);
+        endpoints::mark_health(leaving, &self.local.id, health, incarnation);
         let sources = endpoints::Sources {
             snapshot: &snapshot,
             machines,
             members: &members,
         };
         if *self.sources.stopping.borrow() {
-            endpoints::mark_shutdown(leaving, &self.own.id, incarnation);
+            endpoints::mark_shutdown(leaving, &self.local.id, incarnation);
         }
         let table = endpoints::build(leaving, sources);
-        let own = self.is_leaving(leaving, &snapshot, incarnation);
+        let local = self.is_leaving(leaving, &snapshot, incarnation);
         replace_if_changed(&self.outputs.endpoints, Arc::new(table));
-        replace_if_changed(&self.outputs.leaving, own);
+        replace_if_changed(&self.outputs.leaving, local);
         let addresses = control_addresses(machines, &members);
         replace_if_changed(&self.outputs.addresses, Arc::new(addresses));
     }
 
-    /// The incarnation of this daemon.
+    /// Returns the incarnation of this daemon.
     fn incarnation(&self, members: &MemberTable) -> u64 {
-        let zone = ZoneName::from(self.own.zone.as_str());
-        let id = MemberId::from(self.own.id.as_str());
+        let zone = ZoneName::from(self.local.zone.as_str());
+        let id = MemberId::from(self.local.id.as_str());
         endpoints::incarnation_of(members.get(&zone, &id))
     }
 
-    /// Whether this daemon's own back end is leaving, be it on the list or not.
+    /// Returns true if the local backend is leaving, whether it is on the machine list or not.
     fn is_leaving(&self, leaving: &mut LeavingSet, snapshot: &Snapshot, incarnation: u64) -> bool {
         let placement = Placement {
-            id: &self.own.id,
-            zone: &self.own.zone,
-            service: self.own.service.as_deref(),
+            id: &self.local.id,
+            zone: &self.local.zone,
+            service: self.local.service.as_deref(),
         };
         endpoints::mark_drains(leaving, snapshot, placement, incarnation);
-        leaving.is_leaving(&self.own.id, incarnation)
+        leaving.is_leaving(&self.local.id, incarnation)
     }
 }
 
@@ -147,14 +149,15 @@
     async fn changed(&mut self) -> Result<(), watch::error::RecvError> {
         tokio::select! {
             changed = self.snapshot.changed() => changed,
-            () = may_change(&mut self.members) => Ok(()),
-            () = may_change(&mut self.health) => Ok(()),
-            () = may_change(&mut self.stopping) => Ok(()),
+            () = changed_or_pending(&mut self.members) => Ok(()),
+            () = changed_or_pending(&mut self.health) => Ok(()),
+            () = changed_or_pending(&mut self.stopping) => Ok(()),
         }
     }
 }
 
-/// The control addresses of the machine list; the members' own word goes first.
+/// Returns the control addresses of the machine list, overridden by those that members announce
+/// themselves.
 fn control_addresses(machines: &[Machine], members: &MemberTable) -> ControlAddresses {
     let listed = machines.iter();
     let listed = listed.map(|machine| (machine.id.clone(), machine.control_address));
@@ -166,15 +169,15 @@
     addresses
 }
 
-/// Waits for a change, for ever where nothing publishes one.
-async fn may_change<T>(source: &mut watch::Receiver<T>) {
+/// Waits for a change; never completes once the sender is dropped.
+async fn changed_or_pending<T>(source: &mut watch::Receiver<T>) {
     if source.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Takes over a list unless it is older than the one in force.
-fn take_over(list: &mut MachineList, found: MachineList) {
+/// Replaces the list unless the new one is older.
+fn replace_unless_older(list: &mut MachineList, found: MachineList) {
     if found.version < list.version {
         let (found, in_force) = (found.version, list.version);
         log_event!(
@@ -186,7 +189,7 @@
     *list = found;
 }
 
-/// Reads the list after `wait`; `None` when its version is still `known` or it can't be read.
+/// Reads the list after `wait`; `None` if its version is still `known` or the read fails.
 async fn read(
     client: Arc<Client>,
     platform: Arc<PlatformHealth>,
@@ -196,11 +199,11 @@
     tokio::time::sleep(wait).await;
     match client.machines_unless(known).await {
         Ok(list) => {
-            platform.answered();
+            platform.record_success();
             list
         }
         Err(error) => {
-            platform.failed(&error);
+            platform.record_failure(&error);
             None
         }
     }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,6 +1,6 @@
 //! The control side: the configuration in force and the endpoints of each service.
 //!
-//! The rest of the daemon sees [`ControlView`] only, whatever fills it.
+//! The rest of the daemon only uses [`ControlView`] and does not depend on the sources behind it.
 
 pub mod claims;
 mod configuration;
@@ -38,31 +38,31 @@
 
 pub use endpoints::{EndpointRecord, EndpointTable};
 
-/// Time in which a leaving mark reaches the other daemons of a small deployment; a stopping daemon
-/// goes on to refuse calls for as long.
+/// Time in which the announcement of a stop reaches the other daemons of a small deployment. A
+/// stopping daemon stays up and refuses calls for at least this long.
 const ANNOUNCEMENT_TIME: Duration = Duration::from_millis(200);
 
-/// Where each daemon of the machine list takes control messages.
+/// Control addresses of the daemons by id, from the machine list and gossip.
 pub type ControlAddresses = BTreeMap<String, SocketAddr>;
 
-/// What the rest of the daemon sees of the control side.
+/// The state that the control side publishes to the rest of the daemon.
 #[derive(Clone, Debug)]
 pub struct ControlView {
-    /// The configuration in force; its revision is zero before the first one.
+    /// The configuration in force; its revision is zero before the first one is adopted.
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
     /// The endpoints of each service.
     pub endpoints: watch::Receiver<Arc<EndpointTable>>,
-    /// Whether this daemon's own back end is leaving.
+    /// True while the local backend is leaving.
     pub leaving: watch::Receiver<bool>,
     /// Claims on idempotency keys.
     pub claims: Arc<Claims>,
-    /// The daemons that gossip knows.
+    /// The members known from gossip; empty without a control listener.
     pub members: watch::Receiver<MemberTable>,
-    /// Whether the platform answers.
+    /// Whether the platform responds.
     pub platform: Arc<PlatformHealth>,
-    /// Takes control messages that arrive over streams; absent without a control listener.
+    /// Receives control messages from streams; `None` without a control listener.
     pub(crate) inbox: Option<StreamInbox>,
-    /// Tells the other daemons that this one leaves.
+    /// Set to true to announce to the other daemons that this one is stopping.
     stopping: watch::Sender<bool>,
 }
 
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Spreads the mark that this daemon leaves; returns when the others may be taken to know it.
+    /// Announces that this daemon is stopping. Returns the time at which the other daemons can be
+    /// expected to have received the announcement.
     pub(crate) fn announce_stop(&self) -> Instant {
         self.stopping.send_replace(true);
         let now = Instant::now();
@@ -87,7 +88,7 @@
     }
 }
 
-/// Starts the tasks that keep the view up to date until `stop`.
+/// Starts the tasks that update the view until `stop` is cancelled.
 #[must_use]
 pub(crate) fn start(
     settings: &Settings,
@@ -124,10 +125,10 @@
     };
     let inbox = start_reading(settings, clock, &client, sockets, channels, tasks, stop);
     let backend = settings.backend.as_ref();
-    let poller = machines::Poller {
+    let poller = machines::MachineListPoller {
         client,
         interval: Duration::from_millis(settings.platform.poll_interval_ms),
-        own: machines::OwnPlace {
+        local: machines::LocalDaemon {
             id: EndpointId::from(settings.id.as_str()),
             zone: settings.zone.clone(),
             service: backend.map(|backend| backend.service.clone()),
@@ -162,7 +163,7 @@
     }
 }
 
-/// Reads the back end's health where the settings say that it has an endpoint.
+/// Returns the poller of the backend's health endpoint, or `None` if none is configured.
 fn health_poller(
     settings: &Settings,
     leaving: watch::Sender<bool>,
@@ -176,8 +177,8 @@
     })
 }
 
-/// Gets the configuration from the other daemons, or straight from the store where there is no
-/// control listener.
+/// Starts to receive the configuration from other daemons, or to read it from the store if there is
+/// no control listener.
 fn start_reading(
     settings: &Settings,
     clock: Clock,
--- a/crates/daemon/src/control/readers.rs
+++ b/crates/daemon/src/control/readers.rs
@@ -1,7 +1,7 @@
-//! Reading the store while this daemon is one of its zone's readers.
+//! Reads the store while this daemon is one of its zone's readers.
 //!
-//! What the store holds is checked before it is relayed: a rejected resource keeps the form that is
-//! in force here, which came from the other daemons when this one started.
+//! The content is validated before it is relayed: a rejected resource keeps the version that is in
+//! force here, which this daemon received from the other daemons at its start.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,52 +19,52 @@
 use super::relay::{self, ConfigurationDelta};
 use crate::events::{Event, Quoted, log_event};
 
-/// Longest wait of a reader before it tries the store again.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum backoff of a reader between two attempts to read the store.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What a reader learnt.
+/// The result of an event of the store.
 #[derive(Debug)]
-pub(super) enum Reading {
-    /// The store answered: hand this to the relay.
+pub(super) enum ReadResult {
+    /// The store responded; the report is for the relay.
     Report(StoreReport),
-    /// The store can't be read.
-    NoContact,
-    /// The store answered with nothing that could be used.
-    Nothing,
+    /// The store is unavailable.
+    Unavailable,
+    /// The store responded, but its content can't be used.
+    Unusable,
 }
 
-/// A reader of the store.
+/// A reader of the store and the objects that it has read.
 #[derive(Debug)]
 pub(super) struct StoreReader {
     source: RunningSource,
     objects: BTreeMap<ResourceId, StoredObject>,
-    /// The relay has asked for a whole configuration.
-    whole_wanted: bool,
+    /// True if the relay requested a full snapshot that was not reported yet.
+    snapshot_requested: bool,
 }
 
 impl StoreReader {
-    /// Starts to read.
+    /// Starts to read the store in the background.
     pub(super) fn start(client: Arc<Client>) -> Self {
         Self {
             source: source::spawn(client, source_settings()),
             objects: BTreeMap::new(),
-            whole_wanted: false,
+            snapshot_requested: false,
         }
     }
 
-    /// The next event. Cancel safe.
+    /// Returns the next event of the store. Cancel safe.
     pub(super) async fn next(&mut self) -> Option<SourceEvent> {
         self.source.next().await
     }
 
-    /// Asks for a whole snapshot.
+    /// Requests a full snapshot from the store.
     pub(super) fn request_snapshot(&mut self) {
-        self.whole_wanted = true;
+        self.snapshot_requested = true;
         self.source.request_snapshot();
     }
 
-    /// Takes an event in; `in_force` is the configuration held here.
-    pub(super) fn take(&mut self, event: SourceEvent, in_force: &Snapshot) -> Reading {
+    /// Applies an event; `in_force` is the configuration that this daemon holds.
+    pub(super) fn apply(&mut self, event: SourceEvent, in_force: &Snapshot) -> ReadResult {
         match event {
             SourceEvent::Snapshot(snapshot) => {
                 let revision = snapshot.revision;
@@ -78,11 +78,11 @@
                 self.report(revision, in_force)
             }
             SourceEvent::Current { revision } => {
-                Reading::Report(StoreReport::Revision(revision.number()))
+                ReadResult::Report(StoreReport::Revision(revision.number()))
             }
             SourceEvent::Unavailable { error, .. } => {
                 log_event!(Event::ConfigurationReadFailed, "error={}", Quoted(error));
-                Reading::NoContact
+                ReadResult::Unavailable
             }
             SourceEvent::OlderStore { seen, answered } => {
                 let (seen, answered) = (seen.number(), answered.number());
@@ -90,11 +90,11 @@
                     Event::ConfigurationOlderIgnored,
                     "found={answered} in_force={seen}"
                 );
-                Reading::Report(StoreReport::Revision(answered))
+                ReadResult::Report(StoreReport::Revision(answered))
             }
             SourceEvent::DivergedStore { revision } => {
                 log_event!(Event::StoreDiverged, "revision={}", revision.number());
-                Reading::Nothing
+                ReadResult::Unusable
             }
         }
     }
@@ -107,7 +107,7 @@
         }
         for rejected in snapshot.rejected {
             let id = conversion::resource_id(&rejected.key);
-            self.put_rejected(rejected.version, id);
+            self.put_without_spec(rejected.version, id);
         }
     }
 
@@ -119,7 +119,7 @@
             }
             SourceChange::Rejected(rejected) => {
                 let id = conversion::resource_id(&rejected.key);
-                self.put_rejected(rejected.version, id);
+                self.put_without_spec(rejected.version, id);
             }
             SourceChange::DeleteUnknown(_) => {}
         }
@@ -135,8 +135,9 @@
         self.objects.insert(id, object);
     }
 
-    /// An object that is no resource stands without a spec, so that its last good form is kept.
-    fn put_rejected(&mut self, version: Revision, id: Option<ResourceId>) {
+    /// Stores an object that can't be converted without a spec. Acceptance then rejects it and
+    /// keeps its last valid version.
+    fn put_without_spec(&mut self, version: Revision, id: Option<ResourceId>) {
         let Some(id) = id else {
             return;
         };
@@ -148,36 +149,39 @@
         self.objects.insert(id, object);
     }
 
-    /// The report of a revision: what differs from the configuration in force, so that the peers need
-    /// no whole configuration either; the whole one where the relay wants it or nothing is in force.
-    fn report(&mut self, revision: Revision, in_force: &Snapshot) -> Reading {
+    /// Creates the report of a revision: a delta to the configuration in force, which spares the
+    /// peers a full snapshot. A full snapshot is reported if the relay requested one or nothing is
+    /// in force.
+    fn report(&mut self, revision: Revision, in_force: &Snapshot) -> ReadResult {
         if revision <= in_force.revision {
-            return Reading::Report(StoreReport::Revision(revision.number()));
+            return ReadResult::Report(StoreReport::Revision(revision.number()));
         }
         let objects: Vec<StoredObject> = self.objects.values().cloned().collect();
         let acceptance = accept(in_force, revision, &objects);
         log_rejections(&acceptance);
         let accepted = acceptance.snapshot;
-        let whole = std::mem::take(&mut self.whole_wanted) || in_force.revision == Revision::ZERO;
+        let whole =
+            std::mem::take(&mut self.snapshot_requested) || in_force.revision == Revision::ZERO;
         let encoded = if whole {
             snapshot_report(&accepted)
         } else {
             delta_report(in_force, &accepted)
         };
         match encoded {
-            Ok(report) => Reading::Report(report),
+            Ok(report) => ReadResult::Report(report),
             Err(error) => {
                 log_event!(Event::ConfigurationNotEncoded, "error={}", Quoted(error));
-                Reading::Nothing
+                ReadResult::Unusable
             }
         }
     }
 }
 
-/// A few readers may ask more often than the clients that everybody has.
+/// Returns the settings of a reader. Its maximum backoff is shorter than that of other clients,
+/// because a zone has only a few readers.
 fn source_settings() -> SourceSettings {
     let mut settings = SourceSettings::default();
-    settings.backoff.maximum = LONGEST_BACKOFF;
+    settings.backoff.maximum = MAX_BACKOFF;
     settings
 }
 
--- a/crates/daemon/src/control/relay.rs
+++ b/crates/daemon/src/control/relay.rs
@@ -1,21 +1,22 @@
-//! The configuration on the wire between daemons: snapshots, and deltas between two of them.
+//! Encoding of the configuration that daemons relay to each other: snapshots, and deltas between
+//! two of them.
 
 use serde::{Deserialize, Serialize};
 use wharfquay_membership::message::Payload;
 use wharfquay_resources::kinds::{Resource, ResourceId};
 use wharfquay_resources::snapshot::{Revision, Snapshot};
 
-/// What changed between two accepted configurations.
+/// The difference between two accepted configurations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct ConfigurationDelta {
     /// New and changed resources.
     pub(super) put: Vec<Resource>,
-    /// Resources that are gone.
+    /// Ids of the resources that no longer exist.
     pub(super) deleted: Vec<ResourceId>,
 }
 
 impl ConfigurationDelta {
-    /// What leads from one configuration to another.
+    /// Computes the delta that turns `before` into `after`.
     pub(super) fn between(before: &Snapshot, after: &Snapshot) -> Self {
         let changed = |resource: &Resource| before.get(&resource.id()).as_ref() != Some(resource);
         let gone = |id: &ResourceId| after.get(id).is_none();
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Applies the change and sets the revision.
+    /// Applies the delta to a configuration and sets its revision.
     pub(super) fn apply(self, snapshot: &mut Snapshot, revision: Revision) {
         for id in &self.deleted {
             snapshot.remove(id);
@@ -40,7 +41,7 @@
     }
 }
 
-/// Every resource of a configuration.
+/// Returns all resources of a configuration.
 pub(super) fn resources(snapshot: &Snapshot) -> impl Iterator<Item = Resource> {
     let services = snapshot.services.values().cloned().map(Resource::Service);
     let kinds = snapshot.request_kinds.values().cloned();
@@ -54,20 +55,20 @@
         .chain(groups.map(Resource::ClaimGroup))
 }
 
-/// Encodes a configuration or a change of it.
+/// Encodes a configuration or a delta as CBOR.
 ///
 /// # Errors
-/// A text that says what CBOR can't express.
+/// The message of the CBOR encoder.
 pub(super) fn encode<T: Serialize>(value: &T) -> Result<Payload, String> {
     let mut bytes = Vec::new();
     ciborium::into_writer(value, &mut bytes).map_err(|error| error.to_string())?;
     Ok(Payload::from(bytes))
 }
 
-/// Decodes what [`encode`] made.
+/// Decodes the output of [`encode`].
 ///
 /// # Errors
-/// A text that says what does not fit.
+/// The message of the CBOR decoder.
 pub(super) fn decode<T: for<'de> Deserialize<'de>>(payload: &Payload) -> Result<T, String> {
     ciborium::from_reader(payload.as_bytes()).map_err(|error| error.to_string())
 }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Putting a daemon together: listeners, control, and the orderly stop.
+//! Startup and graceful shutdown of a daemon: listeners, control side and background tasks.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 use crate::listener::BoundListener;
 use crate::listeners::{Addresses, Listeners, StartError};
 use crate::metrics::{Direction, Metrics, Transport};
-use crate::node::{Applied, EventLimits, Node};
+use crate::node::{AppliedConfiguration, EventLimits, Node};
 use crate::outbound::routes::RouteTable;
 use crate::outbound::{Forwarder, OutboundHandler};
 use crate::pause::PauseDetector;
@@ -40,22 +40,22 @@
 use crate::settings::{BackendSettings, Settings};
 use crate::sync::lock;
 
-/// How often a stop looks whether the last call has ended.
+/// Interval at which shutdown checks whether the last call in flight has completed.
 const DRAIN_POLL: Duration = Duration::from_millis(5);
-/// Time for connections to close once no call is in flight.
+/// Maximum time for connections to close after the calls in flight have completed.
 const CLOSE_GRACE: Duration = Duration::from_millis(500);
-/// Connections to the back end before the configuration says how many.
-const FIRST_CONNECTION_LIMIT: usize = 16;
+/// Connection limit of the backend until the first configuration is applied.
+const INITIAL_CONNECTION_LIMIT: usize = 16;
 
-/// Starts daemons.
+/// Entry point that starts a daemon in this process.
 #[derive(Debug)]
 pub struct Daemon;
 
 impl Daemon {
-    /// Binds the listeners and starts to serve.
+    /// Binds the listeners and starts serving.
     ///
     /// # Errors
-    /// [`StartError`] names the settings field and the address that can't be used.
+    /// [`StartError`] with the settings field and the address that can't be bound.
     pub async fn start(settings: Settings) -> Result<RunningDaemon, StartError> {
         let listeners = Listeners::bind(&settings).await?;
         let addresses = listeners.addresses();
@@ -108,7 +108,7 @@
         forwarder,
         scopes: Arc::new(ScopeTable::default()),
         metrics,
-        pauses: PauseDetector::new(clock.now()),
+        pause_detector: PauseDetector::new(clock.now()),
         applied: Mutex::default(),
         decisions,
         event_limits: EventLimits::default(),
@@ -119,7 +119,7 @@
 
 fn build_backend(node: &Node, settings: &BackendSettings) -> Arc<LocalBackend> {
     let connect_timeout = node.settings.limits.connect_timeout();
-    let limit = FIRST_CONNECTION_LIMIT;
+    let limit = INITIAL_CONNECTION_LIMIT;
     Arc::new(LocalBackend {
         service: settings.service.clone(),
         gate: AdmissionGate::new(AdmissionSettings::default(), node.clock),
@@ -128,7 +128,7 @@
     })
 }
 
-/// A daemon that serves.
+/// A running daemon.
 #[derive(Debug)]
 pub struct RunningDaemon {
     addresses: Addresses,
@@ -139,19 +139,19 @@
 }
 
 impl RunningDaemon {
-    /// The addresses that it listens on.
+    /// Returns the addresses that the daemon listens on.
     #[must_use]
     pub const fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// The counters.
+    /// Returns the counters of the daemon.
     #[must_use]
     pub fn metrics(&self) -> &Metrics {
         &self.node.metrics
     }
 
-    /// Refuses new work, waits for the calls in flight up to the configured limit and ends.
+    /// Refuses new calls, waits for the calls in flight up to the configured drain limit and stops.
     pub async fn shutdown(self) {
         self.node.stopping.store(true, Ordering::Relaxed);
         let announced = self.node.control.announce_stop();
@@ -168,7 +168,7 @@
         log_event!(Event::Stopped, "calls_cut={left}");
     }
 
-    /// Waits for the calls in flight; gives how many were left at the limit.
+    /// Waits for the calls in flight; returns how many were left at the drain limit.
     async fn drain(&self) -> usize {
         let limit = Instant::now() + self.node.settings.limits.drain_limit();
         while self.node.calls_in_flight() > 0 && Instant::now() < limit {
@@ -195,14 +195,15 @@
         );
     }
 
-    /// Applies each new configuration and endpoint table, and runs the timers.
+    /// Spawns the tasks that apply new configurations and endpoint tables, and those that run
+    /// timers.
     fn spawn_updates(&self) {
         let node = Arc::clone(&self.node);
         let backend = self.backend.clone();
         self.spawn_until_stop(async move { apply_updates(&node, backend.as_deref()).await });
         let node = Arc::clone(&self.node);
-        self.spawn_until_stop(async move { node.run_beats().await });
-        // The line about it is written by the beats, which see a suspension as a pause.
+        self.spawn_until_stop(async move { node.run_pause_detector().await });
+        // The pause detector logs a suspension, because it sees it as a pause.
         let clock = self.node.clock;
         self.spawn_until_stop(async move { clock.watch_suspensions(|_| {}).await });
         let observed = events::observe(Arc::clone(&self.node), self.backend.clone());
@@ -252,8 +253,12 @@
                     let received = request.body().size_hint().lower();
                     let response = control.serve(request).await;
                     let sent = response.body().size_hint().lower();
-                    metrics.control_message(Transport::Stream, Direction::Received, received);
-                    metrics.control_message(Transport::Stream, Direction::Sent, sent);
+                    metrics.record_control_message(
+                        Transport::Stream,
+                        Direction::Received,
+                        received,
+                    );
+                    metrics.record_control_message(Transport::Stream, Direction::Sent, sent);
                     response
                 }
             });
@@ -329,7 +334,7 @@
             backend.configure(service);
             configured = Some(service.clone());
         }
-        *lock(&node.applied) = Applied {
+        *lock(&node.applied) = AppliedConfiguration {
             revision: current.revision,
             endpoints: table,
         };
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -1,5 +1,5 @@
-//! Records of what the edge decided about its latest requests, for `/decisions` and
-//! `wharfquay replay`.
+//! Records of the edge's decisions about its latest requests, for `/decisions` and `wharfquay
+//! replay`.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -18,7 +18,7 @@
 use crate::control::EndpointTable;
 use crate::sync::lock;
 
-/// The latest decisions of one edge, bounded in number.
+/// The latest decision records of one edge, bounded in number.
 #[derive(Debug)]
 pub(crate) struct DecisionLog {
     daemon: String,
@@ -28,7 +28,7 @@
 }
 
 impl DecisionLog {
-    /// A log of at most `capacity` records; with 0, nothing is recorded.
+    /// Creates a log of at most `capacity` records; with 0, nothing is recorded.
     pub(crate) fn new(
         daemon: &str,
         capacity: usize,
@@ -42,19 +42,19 @@
         })
     }
 
-    /// Whether decisions are recorded.
+    /// Returns true if decisions are recorded.
     pub(crate) const fn is_on(&self) -> bool {
         self.capacity > 0
     }
 
-    /// The newest `limit` records, oldest first.
+    /// Returns the newest `limit` records, oldest first.
     pub(crate) fn newest(&self, limit: usize) -> Vec<Arc<DecisionRecord>> {
         let records = lock(&self.records);
         let skipped = records.len().saturating_sub(limit);
         records.iter().skip(skipped).cloned().collect()
     }
 
-    /// Starts the record of a request; `request` is called only while records are on.
+    /// Starts the record of a request; `request` is only called if decisions are recorded.
     pub(crate) fn trace(
         self: &Arc<Self>,
         origin: OriginId,
@@ -102,26 +102,26 @@
     }
 }
 
-/// The record of one request in the making. It is stored when its last clone is dropped, if a
-/// decision was noted by then.
+/// The record of one request under construction. It is stored when its last clone is dropped, if a
+/// decision was recorded by then.
 #[derive(Clone, Debug)]
 pub(crate) struct DecisionTrace(Option<Arc<OpenRecord>>);
 
 impl DecisionTrace {
-    /// Records nothing.
+    /// A trace that records nothing.
     pub(crate) const OFF: Self = Self(None);
 
-    /// Whether the request is recorded.
+    /// Returns true if the request is recorded.
     pub(crate) const fn is_on(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Notes how the request is treated; `treatment` is called only while records are on.
+    /// Records how the request is treated; `treatment` is only called if the request is recorded.
     pub(crate) fn treated(&self, treatment: impl FnOnce() -> Treatment) {
         self.change(|state| state.record.decision.treatment = Some(treatment()));
     }
 
-    /// Notes a refusal that follows from the configuration alone.
+    /// Records a refusal that follows from the configuration alone.
     pub(crate) fn refused(&self, code: ResultCode) {
         self.change(|state| {
             state.record.decision.refused = Some(code.number());
@@ -129,7 +129,7 @@
         });
     }
 
-    /// Notes the level that the request was compared with, and the result.
+    /// Records the admission level that the request was compared with, and the result.
     pub(crate) fn level_checked(&self, level: AdmissionLevel, is_admitted: bool) {
         self.change(|state| {
             state.record.circumstances.level = level;
@@ -139,7 +139,7 @@
         });
     }
 
-    /// Notes the first endpoint that the request was sent to.
+    /// Records the first endpoint that the request was sent to.
     pub(crate) fn endpoint_chosen(&self, endpoint: &EndpointId) {
         let Some(open) = &self.0 else {
             return;
--- a/crates/daemon/src/edge/claimed.rs
+++ b/crates/daemon/src/edge/claimed.rs
@@ -88,7 +88,7 @@
         give_up_at: give_up_at(&call.context, node.clock.now()),
     };
     let verdict = node.control.claims.claim(claimed).await;
-    node.metrics.claimed(match &verdict {
+    node.metrics.record_claim(match &verdict {
         ClaimVerdict::Dispatch(_) => ClaimResult::Dispatch,
         ClaimVerdict::Replay(_) => ClaimResult::Replay,
         ClaimVerdict::Refuse(_) => ClaimResult::Refuse,
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -113,7 +113,9 @@
         } else {
             Admission::Admitted
         };
-        self.node.metrics.decided(Side::Edge, priority, admission);
+        self.node
+            .metrics
+            .record_admission(Side::Edge, priority, admission);
     }
 
     /// Logs a request that must take effect at most once and whose outcome is unknown.
--- a/crates/daemon/src/events/endpoints.rs
+++ b/crates/daemon/src/events/endpoints.rs
@@ -1,4 +1,4 @@
-//! What changed between two endpoint tables.
+//! Logs the changes between two endpoint tables.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 
 type ByName<'a> = BTreeMap<(&'a str, &'a str), &'a EndpointRecord>;
 
-/// Most changes of one table that are written one by one.
-const MAXIMUM_LINES: usize = 32;
+/// Maximum number of changes that are logged individually.
+const MAX_INDIVIDUAL_EVENTS: usize = 32;
 
-/// The changes between two tables, as the events that tell them.
+/// The changes between two tables: the event to log, the service and the endpoint.
 type Changes<'a> = Vec<(Event, &'a str, &'a EndpointRecord)>;
 
-/// Writes one event for each endpoint that came, left, is leaving or returned; one for all of them
-/// when they are many.
+/// Logs one event for each endpoint that was added, removed, is leaving or returned, or a single
+/// event with their numbers if there are many.
 pub(super) fn log_changes(before: &EndpointTable, after: &EndpointTable) {
     let changes = changes(before, after);
-    if changes.len() > MAXIMUM_LINES {
+    if changes.len() > MAX_INDIVIDUAL_EVENTS {
         log_counts(&changes);
         return;
     }
--- a/crates/daemon/src/events/mod.rs
+++ b/crates/daemon/src/events/mod.rs
@@ -1,4 +1,4 @@
-//! Log events: one line of key=value pairs each, `event=` first.
+//! Log events: each is one line of `key=value` pairs that starts with `event=`.
 
 mod catalogue;
 mod endpoints;
@@ -13,7 +13,7 @@
 pub use platform::PlatformHealth;
 pub use rate_limit::RateLimit;
 
-/// Writes an event with its fields, given as a format string of `key=value` pairs.
+/// Logs an event; its fields are a format string of `key=value` pairs with its arguments.
 macro_rules! log_event {
     ($event:expr) => {
         $crate::events::write($event, None)
@@ -24,7 +24,7 @@
 }
 pub(crate) use log_event;
 
-/// Writes an event.
+/// Logs an event at its level.
 pub(crate) fn write(event: Event, fields: Option<fmt::Arguments<'_>>) {
     let name = event.name();
     match fields {
@@ -33,7 +33,8 @@
     }
 }
 
-/// A value in double quotes on one line: quotes, line ends and other control characters are escaped.
+/// Displays a value in double quotes on one line; quotes, line ends and other control characters
+/// are escaped.
 #[derive(Clone, Copy, Debug)]
 pub struct Quoted<T>(pub T);
 
--- a/crates/daemon/src/events/observer.rs
+++ b/crates/daemon/src/events/observer.rs
@@ -1,4 +1,4 @@
-//! Watches a daemon and writes an event at each change of its state.
+//! Watches the state of a daemon and logs an event for each change.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,16 +12,17 @@
 use crate::inbound::LocalBackend;
 use crate::node::Node;
 
-/// Time between two looks at what sends no notice of its changes: the level and the calls in flight.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which the admission level and the calls in flight are polled, whose changes send no
+/// notification.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Watches until the control side ends.
+/// Watches until the control side stops.
 pub(crate) async fn observe(node: Arc<Node>, backend: Option<Arc<LocalBackend>>) {
     let mut snapshot = node.control.snapshot.clone();
     let mut table = node.control.endpoints.clone();
     let mut leaving = node.control.leaving.clone();
-    let mut looks = tokio::time::interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut polls = tokio::time::interval(POLL_INTERVAL);
+    polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut observer = Observer::default();
     loop {
         observer.revision(snapshot.borrow_and_update().revision);
@@ -34,7 +35,7 @@
             changed = snapshot.changed() => changed,
             changed = table.changed() => changed,
             changed = leaving.changed() => changed,
-            _ = looks.tick() => Ok(()),
+            _ = polls.tick() => Ok(()),
         };
         if changed.is_err() {
             return;
@@ -42,7 +43,7 @@
     }
 }
 
-/// The state that was written last.
+/// The state that was logged last.
 #[derive(Debug, Default)]
 struct Observer {
     revision: Revision,
--- a/crates/daemon/src/events/platform.rs
+++ b/crates/daemon/src/events/platform.rs
@@ -1,4 +1,4 @@
-//! Whether the platform answers, written to the log when that changes.
+//! Tracks whether the platform responds and logs changes.
 
 use std::fmt::Display;
 use std::sync::Mutex;
@@ -7,21 +7,21 @@
 use crate::events::{Event, Quoted, log_event};
 use crate::sync::lock;
 
-/// Whether the platform answered last time; it counts as available before the first attempt.
+/// Whether the platform responded to the last read. Before the first read it counts as available.
 #[derive(Debug, Default)]
 pub struct PlatformHealth {
     unavailable_since: Mutex<Option<Instant>>,
 }
 
 impl PlatformHealth {
-    /// Whether the last attempt was answered.
+    /// Returns true if the platform responded to the last read.
     #[must_use]
     pub fn is_available(&self) -> bool {
         lock(&self.unavailable_since).is_none()
     }
 
-    /// Notes an attempt that the platform answered.
-    pub fn answered(&self) {
+    /// Records a read to which the platform responded.
+    pub fn record_success(&self) {
         let since = lock(&self.unavailable_since).take();
         if let Some(since) = since {
             let after_ms = since.elapsed().as_millis();
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Notes an attempt without an answer.
-    pub fn failed(&self, error: &dyn Display) {
+    /// Records a read without a response.
+    pub fn record_failure(&self, error: &dyn Display) {
         let mut since = lock(&self.unavailable_since);
         if since.is_none() {
             *since = Some(Instant::now());
--- a/crates/daemon/src/events/rate_limit.rs
+++ b/crates/daemon/src/events/rate_limit.rs
@@ -1,14 +1,14 @@
-//! A bound on how often an event is written.
+//! A rate limit for log events.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use crate::sync::lock;
 
-/// Shortest time between two lines of one rate-limited event.
+/// Minimum time between two log lines of one rate-limited event.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lets one event through per interval and counts those that it holds back.
+/// Allows one event per second and counts the suppressed ones.
 #[derive(Debug, Default)]
 pub struct RateLimit {
     state: Mutex<State>,
@@ -21,7 +21,8 @@
 }
 
 impl RateLimit {
-    /// Whether an event at `now` may be written; if so, how many were held back since the last one.
+    /// Returns `None` if an event at `now` must be suppressed; otherwise the number of events that
+    /// were suppressed since the last allowed one.
     pub fn allow(&self, now: Instant) -> Option<u64> {
         let mut state = lock(&self.state);
         let too_early = state
--- a/crates/daemon/src/inbound/handler.rs
+++ b/crates/daemon/src/inbound/handler.rs
@@ -96,7 +96,7 @@
         let wire = value.and_then(|value| WireContext::decode(value.as_bytes()).ok());
         let context = wire.and_then(|wire| wire.into_context(now).ok());
         let mut context = context.ok_or_else(|| Failure::new(ResultCode::InvalidContext))?;
-        context.deadline = context.deadline - self.node.pauses.suspected_wait(now);
+        context.deadline = context.deadline - self.node.pause_detector.possible_wait(now);
         Ok(context)
     }
 
@@ -134,7 +134,7 @@
             Err(_) => Admission::Refused,
         };
         let metrics = &self.node.metrics;
-        metrics.decided(Side::Inbound, context.priority, admission);
+        metrics.record_admission(Side::Inbound, context.priority, admission);
         let permit = admitted?;
         let scope = self.node.scopes.open(context, permit.ticket());
         let deadline = self.node.clock.instant(deadline);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon: inbound, outbound, control and admin sides round the decision logic.
+//! The daemon: edge, inbound, outbound, control and admin sides around the decision logic.
 //!
-//! Every decision is taken by `wharfquay_core`; this crate turns sockets and timers into its inputs
-//! and carries out its effects.
+//! All decisions are made by `wharfquay_core`, which performs no I/O. This crate turns network
+//! messages and timers into its inputs and executes its effects.
 
 mod admin;
 pub mod answer;
--- a/crates/daemon/src/listener.rs
+++ b/crates/daemon/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Binds a TCP listener and accepts its connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use crate::events::{Event, Quoted, log_event};
 use crate::metrics::Metrics;
 
-/// Pause after a failed accept, so that a lack of file descriptors does not keep a core busy.
+/// Pause after a failed accept; without it a lack of file descriptors would keep a core busy.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// A bound listener and its address.
+/// A bound listener and its actual address.
 #[derive(Debug)]
 pub(crate) struct BoundListener {
     pub(crate) listener: TcpListener,
@@ -27,7 +27,8 @@
         Ok(Self { listener, address })
     }
 
-    /// Hands each accepted connection to `serve` until `stop`; failed accepts end nothing.
+    /// Passes each accepted connection to `serve` until `stop` is cancelled. A failed accept is
+    /// logged and counted, and accepting continues.
     pub(crate) async fn accept_until(
         self,
         stop: CancellationToken,
@@ -41,12 +42,12 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    // A connection that can't be set up this way still works, only slower.
+                    // A connection without this option still works, but small writes are delayed.
                     let _ = stream.set_nodelay(true);
                     serve(stream);
                 }
                 Err(error) => {
-                    metrics.accept_failed();
+                    metrics.record_accept_error();
                     let address = self.address;
                     log_event!(
                         Event::AcceptFailed,
--- a/crates/daemon/src/listeners.rs
+++ b/crates/daemon/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of one daemon: which there are and where they are bound.
+//! The listeners of one daemon and the addresses that they are bound to.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,34 +10,35 @@
 use crate::listener::BoundListener;
 use crate::settings::{ListenSettings, Settings};
 
-/// Why a daemon can't start.
+/// An error that prevents the start of a daemon.
 #[derive(Debug, Display)]
 pub enum StartError {
     /// {field}: can't listen on {address}: {source}
     Listen {
-        /// The settings field that names the address.
+        /// Settings field that specifies the address.
         field: &'static str,
-        /// The address.
+        /// Address that can't be bound.
         address: SocketAddr,
-        /// What the operating system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl std::error::Error for StartError {}
 
-/// Addresses that a daemon listens on, with the ports that the operating system chose.
+/// Addresses that a daemon listens on, with the ports that the operating system chose; `None` for
+/// listeners that are not configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Addresses {
-    /// For callers.
+    /// Listener for requests of callers.
     pub edge: Option<SocketAddr>,
-    /// For other daemons.
+    /// Listener for calls of other daemons.
     pub inbound: Option<SocketAddr>,
-    /// For the local back end's own calls.
+    /// Listener for the calls of the local backend.
     pub outbound: Option<SocketAddr>,
-    /// For control messages of other daemons.
+    /// Listener for control messages of other daemons.
     pub control: Option<SocketAddr>,
-    /// For operators.
+    /// Listener for the admin pages.
     pub admin: Option<SocketAddr>,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl Listeners {
-    /// Binds the listeners that the settings name.
+    /// Binds the listeners that the settings specify.
     pub(crate) async fn bind(settings: &Settings) -> Result<Self, StartError> {
         let control = settings.control.as_ref();
         let control = control.map(|control| ListenSettings {
@@ -66,7 +67,8 @@
         })
     }
 
-    /// The socket for datagrams at the address of the control listener, where there is one.
+    /// Binds the UDP socket at the address of the control listener; `None` without a control
+    /// listener.
     pub(crate) async fn control_sockets(&self) -> Result<Option<ControlSockets>, StartError> {
         let Some(address) = self.control.as_ref().map(|bound| bound.address) else {
             return Ok(None);
@@ -86,7 +88,7 @@
         }))
     }
 
-    /// The addresses that are bound.
+    /// Returns the bound addresses.
     pub(crate) fn addresses(&self) -> Addresses {
         let address = |bound: &Option<BoundListener>| bound.as_ref().map(|bound| bound.address);
         Addresses {
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log output: one line of key=value pairs for each event.
+//! Log output: one line of `key=value` pairs for each event.
 
 use std::io::Write;
 
@@ -9,10 +9,10 @@
 
 const EVENT_KEY: &str = "event=";
 
-/// Starts logging to standard error. The handle must be kept while logging is wanted.
+/// Starts logging to standard error. Logging lasts until the returned handle is dropped.
 ///
 /// # Errors
-/// When `level` is no log specification, or another logger is installed already.
+/// An error if `level` is no valid log specification or another logger is already installed.
 pub fn start(level: &str) -> Result<LoggerHandle, FlexiLoggerError> {
     Logger::try_with_str(level)?
         .log_to_stderr()
@@ -35,8 +35,8 @@
     writer.write_all(line.as_bytes())
 }
 
-/// One log line: the event, the time, the level, and the event's fields. A message that is no event,
-/// such as a library's, becomes a `library_message`.
+/// Formats one log line: event, time, level and the event's fields. A message that is no event,
+/// such as that of a library, becomes the event `library_message`.
 #[must_use]
 pub fn line(time: &str, level: Level, target: &str, message: &str) -> String {
     let event = message.strip_prefix(EVENT_KEY);
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! wharfquayd: one daemon beside each back end, and the same program as an edge.
+//! wharfquayd: the daemon that runs beside each backend or, with other settings, as an edge.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -19,10 +19,10 @@
 Exit status: 0 done, 1 failed, 2 bad arguments or settings.
 ";
 
-/// Exit status for bad arguments, bad settings and ports in use.
-const BAD_USE: u8 = 2;
+/// Exit status for invalid arguments, invalid settings and ports in use.
+const EXIT_USAGE: u8 = 2;
 
-/// What the command line asks for.
+/// The action that the command line requests.
 enum Command {
     Show(String),
     Run(Options),
@@ -41,7 +41,7 @@
             ExitCode::SUCCESS
         }
         Ok(Command::Run(options)) => run(&options),
-        Err(error) => bad_use(&format!("{error}\n{USAGE}")),
+        Err(error) => usage_error(&format!("{error}\n{USAGE}")),
     }
 }
 
@@ -75,7 +75,7 @@
 fn run(options: &Options) -> ExitCode {
     let settings = match settings::load(&options.config, &options.overrides) {
         Ok(settings) => settings,
-        Err(error) => return bad_use(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
     if options.check {
         println!("{}: ok", options.config.display());
@@ -83,7 +83,7 @@
     }
     let _logger = match logging::start(&settings.log.level) {
         Ok(logger) => logger,
-        Err(error) => return bad_use(&format!("log.level: {error}")),
+        Err(error) => return usage_error(&format!("log.level: {error}")),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(settings.limits.worker_threads as usize)
@@ -91,7 +91,7 @@
         .build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(error) => return failed(&format!("no runtime: {error}")),
+        Err(error) => return failed(&format!("can't start the async runtime: {error}")),
     };
     runtime.block_on(serve(settings))
 }
@@ -102,11 +102,11 @@
         signal(SignalKind::interrupt()),
     ) {
         (Ok(terminate), Ok(interrupt)) => (terminate, interrupt),
-        (Err(error), _) | (_, Err(error)) => return failed(&format!("no signals: {error}")),
+        (Err(error), _) | (_, Err(error)) => return failed(&format!("signal setup: {error}")),
     };
     let daemon = match Daemon::start(settings).await {
         Ok(daemon) => daemon,
-        Err(error) => return bad_use(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
     wait_for(terminate, interrupt).await;
     daemon.shutdown().await;
@@ -123,9 +123,9 @@
     }
 }
 
-fn bad_use(message: &str) -> ExitCode {
+fn usage_error(message: &str) -> ExitCode {
     eprintln!("wharfquayd: {message}");
-    ExitCode::from(BAD_USE)
+    ExitCode::from(EXIT_USAGE)
 }
 
 fn failed(message: &str) -> ExitCode {
--- a/crates/daemon/src/metrics/catalogue.rs
+++ b/crates/daemon/src/metrics/catalogue.rs
@@ -1,16 +1,16 @@
-//! The names of all metrics, in one table; `docs/OPERATIONS.md` lists the same.
+//! The catalogue of all metrics. `docs/OPERATIONS.md` lists the same table.
 
-/// How a metric's value moves.
+/// The Prometheus type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It only grows.
+    /// A value that only increases.
     Counter,
-    /// It goes up and down.
+    /// A value that increases and decreases.
     Gauge,
 }
 
 impl Kind {
-    /// The name in the text form of Prometheus.
+    /// Returns the name of the type in the Prometheus text format.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -20,12 +20,12 @@
     }
 }
 
-/// Which daemons have a metric.
+/// The daemons that export a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// Every daemon.
+    /// All daemons.
     Always,
-    /// Daemons beside a back end.
+    /// Only daemons beside a backend.
     BesideBackend,
 }
 
@@ -38,40 +38,40 @@
         }
 
         impl Metric {
-            /// Every metric, in the order of the page.
+            /// All metrics, in the order of the `/metrics` page.
             pub const ALL: &'static [Self] = &[$( Self::$variant, )+];
 
-            /// Its name.
+            /// Returns the exported name.
             #[must_use]
             pub const fn name(self) -> &'static str {
                 match self { $( Self::$variant => $name, )+ }
             }
 
-            /// How its value moves.
+            /// Returns the Prometheus type.
             #[must_use]
             pub const fn kind(self) -> Kind {
                 match self { $( Self::$variant => Kind::$kind, )+ }
             }
 
-            /// What it counts.
+            /// Returns the unit of the value.
             #[must_use]
             pub const fn unit(self) -> &'static str {
                 match self { $( Self::$variant => $unit, )+ }
             }
 
-            /// Names of its labels, separated by spaces.
+            /// Returns the names of the labels, separated by spaces.
             #[must_use]
             pub const fn labels(self) -> &'static str {
                 match self { $( Self::$variant => $labels, )+ }
             }
 
-            /// Which daemons have it.
+            /// Returns which daemons export the metric.
             #[must_use]
             pub const fn presence(self) -> Presence {
                 match self { $( Self::$variant => Presence::$presence, )+ }
             }
 
-            /// What it means.
+            /// Returns the help text.
             #[must_use]
             pub const fn help(self) -> &'static str {
                 match self { $( Self::$variant => $help, )+ }
@@ -91,7 +91,7 @@
         "Retries sent.";
     Claims = "wharfquay_claims_total", Counter, "claims", "verdict", Always,
         "Claims on idempotency keys that this edge asked for, by verdict.";
-    BodiesCut = "wharfquay_answer_bodies_cut_total", Counter, "answers", "", Always,
+    TruncatedBodies = "wharfquay_answer_bodies_cut_total", Counter, "answers", "", Always,
         "Answers whose body broke off.";
     AcceptErrors = "wharfquay_accept_errors_total", Counter, "connections", "", Always,
         "Connections that could not be accepted.";
--- a/crates/daemon/src/metrics/mod.rs
+++ b/crates/daemon/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Counters of one daemon.
+//! Counters of one daemon, exported on its `/metrics` page.
 
 mod catalogue;
 mod render;
@@ -11,21 +11,21 @@
 pub use catalogue::{Kind, Metric, Presence};
 pub use render::{Sample, render};
 
-/// The side of the daemon at which a call ended.
+/// The side of the daemon at which a call completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// Requests of callers.
     Edge,
-    /// Calls of other daemons for the local back end.
+    /// Calls of other daemons to the local backend.
     Inbound,
-    /// Calls of the local back end.
+    /// Calls of the local backend.
     Outbound,
 }
 
 impl Side {
     const ALL: [Self; 3] = [Self::Edge, Self::Inbound, Self::Outbound];
 
-    /// The name in metrics and log events.
+    /// Returns the name in metrics and log events.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -36,12 +36,12 @@
     }
 }
 
-/// What was decided about a call of some priority.
+/// The admission decision about a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It went on.
+    /// The call was admitted.
     Admitted,
-    /// It was refused.
+    /// The call was refused.
     Refused,
 }
 
@@ -56,12 +56,12 @@
     }
 }
 
-/// What came of a claim on an idempotency key.
+/// The result of a claim on an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
     /// The call may be dispatched.
     Dispatch,
-    /// The answer of an earlier attempt is on record.
+    /// The response to an earlier request with the same key is recorded.
     Replay,
     /// The call is refused.
     Refuse,
@@ -79,12 +79,12 @@
     }
 }
 
-/// How a control message travels.
+/// The transport of a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// As one datagram.
+    /// A UDP datagram.
     Datagram,
-    /// As the body of a request or an answer.
+    /// The body of an HTTP/2 request or response.
     Stream,
 }
 
@@ -99,12 +99,12 @@
     }
 }
 
-/// Which way a control message goes.
+/// The direction of a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// To this daemon.
+    /// Received by this daemon.
     Received,
-    /// From this daemon.
+    /// Sent by this daemon.
     Sent,
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// Number and size of control messages.
+/// Number and total size of control messages.
 #[derive(Debug, Default)]
 struct Traffic {
     messages: AtomicU64,
@@ -130,7 +130,7 @@
 const SIDES: usize = Side::ALL.len();
 const ADMISSIONS: usize = Admission::ALL.len();
 
-/// Counters of one daemon.
+/// The counters of one daemon.
 #[derive(Debug)]
 pub struct Metrics {
     results: [[AtomicU64; CODES]; SIDES],
@@ -138,7 +138,7 @@
     claims: [AtomicU64; ClaimResult::ALL.len()],
     cancelled: [AtomicU64; SIDES],
     retries: AtomicU64,
-    bodies_cut: AtomicU64,
+    truncated_bodies: AtomicU64,
     accept_errors: AtomicU64,
     control: [[Traffic; Direction::ALL.len()]; Transport::ALL.len()],
 }
@@ -153,7 +153,7 @@
             claims: std::array::from_fn(|_| AtomicU64::new(0)),
             cancelled: std::array::from_fn(|_| AtomicU64::new(0)),
             retries: AtomicU64::new(0),
-            bodies_cut: AtomicU64::new(0),
+            truncated_bodies: AtomicU64::new(0),
             accept_errors: AtomicU64::new(0),
             control: Default::default(),
         }
@@ -169,80 +169,80 @@
 }
 
 impl Metrics {
-    /// Counts the end of a call.
-    pub fn call_ended(&self, side: Side, code: ResultCode) {
+    /// Counts a completed call.
+    pub fn record_completion(&self, side: Side, code: ResultCode) {
         let position = ResultCode::ALL.iter().position(|known| *known == code);
         if let Some(position) = position {
             count(&self.results[side as usize][position]);
         }
     }
 
-    /// Counts a call of a priority that was admitted or refused.
-    pub fn decided(&self, side: Side, priority: Priority, admission: Admission) {
+    /// Counts an admission decision about a call of this priority.
+    pub fn record_admission(&self, side: Side, priority: Priority, admission: Admission) {
         count(&self.admissions[side as usize][priority.index()][admission as usize]);
     }
 
     /// Counts a claim on an idempotency key.
-    pub fn claimed(&self, result: ClaimResult) {
+    pub fn record_claim(&self, result: ClaimResult) {
         count(&self.claims[result as usize]);
     }
 
-    /// Counts a call whose caller went away before its answer.
-    pub fn call_cancelled(&self, side: Side) {
+    /// Counts a call whose caller disconnected before the response.
+    pub fn record_cancellation(&self, side: Side) {
         count(&self.cancelled[side as usize]);
     }
 
-    /// Calls at this side whose caller went away before their answer.
+    /// Returns the number of calls at this side whose caller disconnected before the response.
     #[must_use]
     pub fn cancelled(&self, side: Side) -> u64 {
         read(&self.cancelled[side as usize])
     }
 
     /// Counts a retry.
-    pub fn retried(&self) {
+    pub fn record_retry(&self) {
         count(&self.retries);
     }
 
-    /// Counts an answer whose body broke off.
-    pub fn body_cut(&self) {
-        count(&self.bodies_cut);
+    /// Counts a response whose body was truncated.
+    pub fn record_truncated_body(&self) {
+        count(&self.truncated_bodies);
     }
 
     /// Counts a connection that could not be accepted.
-    pub fn accept_failed(&self) {
+    pub fn record_accept_error(&self) {
         count(&self.accept_errors);
     }
 
-    /// Counts a control message and its length.
-    pub fn control_message(&self, transport: Transport, direction: Direction, bytes: u64) {
+    /// Counts a control message of this length in bytes.
+    pub fn record_control_message(&self, transport: Transport, direction: Direction, bytes: u64) {
         let traffic = &self.control[transport as usize][direction as usize];
         count(&traffic.messages);
         traffic.bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Calls that ended with this code at this side.
+    /// Returns the number of calls that completed with this result code at this side.
     #[must_use]
     pub fn results(&self, side: Side, code: ResultCode) -> u64 {
         let position = ResultCode::ALL.iter().position(|known| *known == code);
         position.map_or(0, |position| read(&self.results[side as usize][position]))
     }
 
-    /// Retries sent so far.
+    /// Returns the number of retries sent so far.
     #[must_use]
     pub fn retries(&self) -> u64 {
         read(&self.retries)
     }
 
-    /// The value of every counter; counters with labels have a sample once they are above zero.
+    /// Returns samples of all counters. Counters with labels have no sample while they are zero.
     #[must_use]
     pub fn samples(&self) -> Vec<Sample> {
         let mut samples = vec![
             Sample::plain(Metric::Retries, read(&self.retries)),
-            Sample::plain(Metric::BodiesCut, read(&self.bodies_cut)),
+            Sample::plain(Metric::TruncatedBodies, read(&self.truncated_bodies)),
             Sample::plain(Metric::AcceptErrors, read(&self.accept_errors)),
         ];
-        let mut labelled = self.results_samples();
-        labelled.extend(self.cancelled_samples());
+        let mut labelled = self.result_samples();
+        labelled.extend(self.cancellation_samples());
         labelled.extend(self.admission_samples());
         labelled.extend(self.claim_samples());
         labelled.extend(self.control_samples());
@@ -250,7 +250,7 @@
         samples
     }
 
-    fn results_samples(&self) -> Vec<Sample> {
+    fn result_samples(&self) -> Vec<Sample> {
         let mut samples = Vec::new();
         for side in Side::ALL {
             for (code, counter) in ResultCode::ALL.iter().zip(&self.results[side as usize]) {
@@ -267,7 +267,7 @@
         samples
     }
 
-    fn cancelled_samples(&self) -> [Sample; SIDES] {
+    fn cancellation_samples(&self) -> [Sample; SIDES] {
         Side::ALL.map(|side| {
             let labels = format!("side=\"{}\"", side.name());
             Sample::labelled(Metric::CallsCancelled, labels, self.cancelled(side))
--- a/crates/daemon/src/metrics/render.rs
+++ b/crates/daemon/src/metrics/render.rs
@@ -1,22 +1,22 @@
-//! Metrics in the text form that Prometheus reads.
+//! Renders metrics in the Prometheus text format.
 
 use std::fmt::Write;
 
 use crate::metrics::catalogue::Metric;
 
-/// One value of a metric.
+/// One value of a metric, for one combination of labels.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// The metric.
+    /// Metric that the value belongs to.
     pub metric: Metric,
-    /// Its labels as `name="value"`, separated by commas; empty without labels.
+    /// Labels as `name="value"`, separated by commas; empty without labels.
     pub labels: String,
-    /// The value.
+    /// Current value, in the unit of the metric.
     pub value: u64,
 }
 
 impl Sample {
-    /// A value without labels.
+    /// Creates a sample without labels.
     #[must_use]
     pub const fn plain(metric: Metric, value: u64) -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A value with labels.
+    /// Creates a sample with labels.
     #[must_use]
     pub const fn labelled(metric: Metric, labels: String, value: u64) -> Self {
         Self {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The metrics with their samples, in the order of the catalogue.
+/// Renders the metrics in the given order, each with help text, type and samples.
 #[must_use]
 pub fn render(metrics: impl Iterator<Item = Metric>, samples: &[Sample]) -> String {
     let mut text = String::with_capacity(8_192);
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! What the sides of one daemon share.
+//! State that the edge, inbound and outbound sides of one daemon share.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,20 +16,20 @@
 use crate::events::{Event, RateLimit, log_event};
 use crate::metrics::{Metrics, Side};
 use crate::outbound::Forwarder;
-use crate::pause::{BEAT_INTERVAL, PauseDetector};
+use crate::pause::{PauseDetector, TICK_INTERVAL};
 use crate::scopes::ScopeTable;
 use crate::settings::Settings;
 use crate::sync::lock;
 
-/// The configuration and the endpoints that calls are routed by; what was published last comes here a
-/// moment later.
+/// The configuration and the endpoints that calls are routed by. They lag briefly behind those that
+/// the control side published last.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Applied {
+pub(crate) struct AppliedConfiguration {
     pub(crate) revision: Revision,
     pub(crate) endpoints: Arc<EndpointTable>,
 }
 
-/// What the sides of one daemon share.
+/// State that the edge, inbound and outbound sides of one daemon share.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) settings: Settings,
@@ -38,15 +38,15 @@
     pub(crate) forwarder: Forwarder,
     pub(crate) scopes: Arc<ScopeTable>,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) pauses: PauseDetector,
-    pub(crate) applied: Mutex<Applied>,
+    pub(crate) pause_detector: PauseDetector,
+    pub(crate) applied: Mutex<AppliedConfiguration>,
     pub(crate) decisions: Arc<DecisionLog>,
     pub(crate) event_limits: EventLimits,
     pub(crate) stopping: AtomicBool,
     pub(crate) in_flight: Arc<AtomicUsize>,
 }
 
-/// Bounds on the log lines about calls.
+/// Rate limits of log events about single calls.
 #[derive(Debug, Default)]
 pub(crate) struct EventLimits {
     malformed: RateLimit,
@@ -56,7 +56,8 @@
 }
 
 impl EventLimits {
-    /// Writes the event of a request that can't be served as it is; most codes have none.
+    /// Logs a request that is malformed, too large or has an invalid context; other codes are not
+    /// logged.
     fn log_bad_request(&self, side: Side, code: ResultCode) {
         let (event, limit) = match code {
             ResultCode::MalformedRequest => (Event::RequestMalformed, &self.malformed),
@@ -72,10 +73,10 @@
 }
 
 impl Node {
-    /// The configuration in force.
+    /// Returns the configuration in force.
     ///
     /// # Errors
-    /// [`ResultCode::NotReady`] before the first one was adopted.
+    /// [`ResultCode::NotReady`] until the first configuration is adopted.
     pub(crate) fn configuration(&self) -> Result<Arc<Snapshot>, Failure> {
         let snapshot = self.control.snapshot.borrow().clone();
         if snapshot.revision == Revision::ZERO {
@@ -84,34 +85,35 @@
         Ok(snapshot)
     }
 
-    /// Feeds the pause detector; never returns.
-    pub(crate) async fn run_beats(&self) {
+    /// Sends ticks to the pause detector and logs pause_detector; never returns.
+    pub(crate) async fn run_pause_detector(&self) {
         loop {
-            tokio::time::sleep(BEAT_INTERVAL).await;
-            if let Some(length) = self.pauses.beat(self.clock.now()) {
+            tokio::time::sleep(TICK_INTERVAL).await;
+            if let Some(length) = self.pause_detector.tick(self.clock.now()) {
                 let length_ms = length.as_millis();
                 log_event!(Event::ProcessPaused, "length_ms={length_ms}");
             }
         }
     }
 
-    /// The configuration and the endpoints that calls are routed by.
-    pub(crate) fn applied(&self) -> Applied {
+    /// Returns the configuration and the endpoints that calls are routed by.
+    pub(crate) fn applied(&self) -> AppliedConfiguration {
         lock(&self.applied).clone()
     }
 
-    /// Whether a stop was asked for.
+    /// Returns true once a stop was requested.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Counts a call until the returned value is dropped.
+    /// Counts a call as in flight until the returned guard is dropped.
     pub(crate) fn begin_call(&self) -> CallInFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         CallInFlight(Arc::clone(&self.in_flight))
     }
 
-    /// Counts the call at `side` as cancelled unless it is reported as responded.
+    /// Returns a guard that counts the call at `side` as cancelled if it is dropped before the
+    /// response exists.
     pub(crate) fn cancellation_guard(&self, side: Side) -> CancellationGuard {
         CancellationGuard {
             metrics: Arc::clone(&self.metrics),
@@ -120,12 +122,12 @@
         }
     }
 
-    /// Calls that have not ended.
+    /// Returns the number of calls that have not completed.
     pub(crate) fn calls_in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Turns the end of a call into its answer and counts it.
+    /// Converts the result of a call into its response, and counts and logs the completion.
     pub(crate) fn finish(
         &self,
         side: Side,
@@ -134,7 +136,7 @@
     ) -> Response<AnswerBody> {
         let mut response = ended.unwrap_or_else(Failure::into_response);
         let code = result(response.headers()).unwrap_or(ResultCode::MalformedAnswer);
-        self.metrics.call_ended(side, code);
+        self.metrics.record_completion(side, code);
         self.event_limits.log_bad_request(side, code);
         log_event!(
             Event::CallEnded,
@@ -145,17 +147,17 @@
             code.outcome().as_str(),
         );
         if *method == Method::HEAD {
-            response.body_mut().remove_own();
+            response.body_mut().remove_local_body();
         }
         if code == ResultCode::Answered {
-            let observer = CutCounter(Arc::clone(&self.metrics));
+            let observer = TruncationCounter(Arc::clone(&self.metrics));
             response.body_mut().observe(Box::new(observer));
         }
         response
     }
 }
 
-/// A call that has not ended; a stop waits for it.
+/// Counts a call as in flight until it is dropped; shutdown waits for calls in flight.
 #[derive(Debug)]
 pub(crate) struct CallInFlight(Arc<AtomicUsize>);
 
@@ -166,11 +168,12 @@
 }
 
 impl BodyObserver for CallInFlight {
-    /// The drop that follows ends the call.
+    /// Does nothing: the drop that follows ends the count.
     fn ended(self: Box<Self>, _end: BodyEnd) {}
 }
 
-/// Counts a call whose caller went away before its answer: the future that holds this is dropped.
+/// Counts a call as cancelled if it is dropped before [`Self::responded`] is called, which happens
+/// when the caller disconnects and the handler's future is dropped.
 #[derive(Debug)]
 pub(crate) struct CancellationGuard {
     metrics: Arc<Metrics>,
@@ -179,7 +182,7 @@
 }
 
 impl CancellationGuard {
-    /// The call has its answer.
+    /// Records that the call has its response.
     pub(crate) fn responded(mut self) {
         self.responded = true;
     }
@@ -188,19 +191,19 @@
 impl Drop for CancellationGuard {
     fn drop(&mut self) {
         if !self.responded {
-            self.metrics.call_cancelled(self.side);
+            self.metrics.record_cancellation(self.side);
         }
     }
 }
 
-/// Counts answers that broke off.
+/// Counts responses whose body was truncated.
 #[derive(Debug)]
-struct CutCounter(Arc<Metrics>);
+struct TruncationCounter(Arc<Metrics>);
 
-impl BodyObserver for CutCounter {
+impl BodyObserver for TruncationCounter {
     fn ended(self: Box<Self>, end: BodyEnd) {
         if end == BodyEnd::Failed {
-            self.0.body_cut();
+            self.0.record_truncated_body();
         }
     }
 }
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -171,7 +171,7 @@
                 return Err(attempts.final_failure(failure));
             };
             attempts.retries += 1;
-            self.metrics.retried();
+            self.metrics.record_retry();
             if !after.is_zero() {
                 tokio::time::sleep(after).await;
             }
--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading what a request of a caller or a back end asks for.
+//! Reads the service name and the head size of requests.
 
 use http::Request;
 use http::header::{self, HeaderMap};
@@ -7,13 +7,13 @@
 
 use crate::answer::Failure;
 
-/// Bytes that a header line has besides its name and its value.
-const HEADER_LINE_EXTRA: usize = 4;
+/// Bytes of a header line besides name and value: the colon, a space and the line end.
+const HEADER_LINE_OVERHEAD: usize = 4;
 
-/// The service that a request is for: the service header, or else the host.
+/// Returns the service that a request is addressed to: the service header or, without it, the host.
 ///
 /// # Errors
-/// [`ResultCode::MalformedRequest`] when the request names none.
+/// [`ResultCode::MalformedRequest`] if the request names no service.
 pub(crate) fn service_name<B>(request: &Request<B>) -> Result<String, Failure> {
     let headers = request.headers();
     let named = text(headers, &names::SERVICE).map(str::to_owned);
@@ -34,10 +34,10 @@
     host.rsplit_once(':').map_or(host, |(name, _)| name)
 }
 
-/// Refuses a request whose head is larger than `limit` bytes.
+/// Rejects a request whose head is larger than `limit` bytes.
 ///
 /// # Errors
-/// [`ResultCode::RequestTooLarge`].
+/// [`ResultCode::RequestTooLarge`] if path and headers exceed the limit.
 pub(crate) fn check_head_size<B>(request: &Request<B>, limit: u32) -> Result<(), Failure> {
     let line = request
         .uri()
@@ -46,7 +46,7 @@
     let headers: usize = request
         .headers()
         .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_LINE_EXTRA)
+        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD)
         .sum();
     if line + headers > limit as usize {
         return Err(Failure::new(ResultCode::RequestTooLarge));
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP on an accepted connection.
+//! Serves HTTP on accepted connections.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -18,23 +18,25 @@
 
 const STREAM_WINDOW: u32 = 1024 * 1024;
 const CONNECTION_WINDOW: u32 = 8 * 1024 * 1024;
-/// Longest time that a caller may take to send the head of a request.
+/// Maximum time in which a caller must send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Heads up to this many times the limit are read, so that the refusal can carry a result code.
-const HEAD_SLACK: u32 = 4;
-/// Cancelled streams that may wait to be noticed; callers that give up together are no attack.
-const PENDING_RESETS: usize = 1_024;
+/// Request heads of up to this many times the limit are read, which allows a refusal with a result
+/// code.
+const HEAD_LIMIT_FACTOR: u32 = 4;
+/// Maximum number of reset streams that the server has not processed yet. The limit is generous
+/// because many callers that time out simultaneously are no attack.
+const MAX_PENDING_RESETS: usize = 1_024;
 
-/// Which protocols a listener speaks.
+/// The protocols that a listener accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Protocols {
-    /// HTTP/1.1 and HTTP/2, told apart by the first bytes.
+    /// HTTP/1.1 and HTTP/2, distinguished by the first bytes.
     Any,
     /// HTTP/2 only.
     Http2,
 }
 
-/// Builds the server of one listener.
+/// Creates the connection builder of one listener.
 pub(crate) fn builder(
     protocols: Protocols,
     limits: &LimitSettings,
@@ -47,19 +49,19 @@
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size((limits.header_bytes * HEAD_SLACK) as usize);
+        .max_buf_size((limits.header_bytes * HEAD_LIMIT_FACTOR) as usize);
     builder
         .http2()
         .timer(TokioTimer::new())
         .initial_stream_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
         .max_concurrent_streams(limits.streams_per_peer)
-        .max_pending_accept_reset_streams(PENDING_RESETS)
-        .max_header_list_size(limits.header_bytes * HEAD_SLACK);
+        .max_pending_accept_reset_streams(MAX_PENDING_RESETS)
+        .max_header_list_size(limits.header_bytes * HEAD_LIMIT_FACTOR);
     builder
 }
 
-/// Serves one connection until it ends; after `stop` no further request is taken from it.
+/// Serves one connection until it closes; after `stop` is cancelled no further request is accepted.
 pub(crate) async fn serve<H, F>(
     builder: auto::Builder<TokioExecutor>,
     stream: TcpStream,
@@ -70,8 +72,8 @@
     F: Future<Output = Response<AnswerBody>> + Send + 'static,
 {
     let service = service_fn(move |request| {
-        let answer = handle(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handle(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     let ended = tokio::select! {
--- a/crates/daemon/src/settings/load.rs
+++ b/crates/daemon/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a settings file.
+//! Loads and validates a settings file.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,18 +9,18 @@
 
 use super::Settings;
 
-const ADDRESS_FORM: &str = "ip:port, for instance 127.0.0.1:7000";
+const ADDRESS_FORMAT: &str = "ip:port, for instance 127.0.0.1:7000";
 const LOG_LEVELS: &[&str] = &["off", "error", "warn", "info", "debug", "trace"];
 const NAME_LENGTH: RangeInclusive<usize> = 1..=128;
 
-/// Why settings can't be used.
+/// An error that makes settings unusable.
 #[derive(Debug, Display)]
 pub enum SettingsError {
     /// {file}: can't be read: {source}
     Read {
         /// The settings file.
         file: String,
-        /// What the operating system reported.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// {file}:{line}: {field}: {problem}
@@ -31,7 +31,7 @@
         line: usize,
         /// The field, as a path from the root of the file.
         field: String,
-        /// What is wrong and what is allowed.
+        /// The error and the allowed values.
         problem: String,
     },
     /// {file}: {field}: given {given} (allowed: {allowed})
@@ -40,24 +40,25 @@
         file: String,
         /// The field, as a path from the root of the file.
         field: String,
-        /// The value that was given.
+        /// The specified value.
         given: String,
-        /// The values that are allowed.
+        /// The allowed values.
         allowed: String,
     },
     /// --set {given}: not an override (allowed: key=value, for instance log.level=debug)
     Override {
-        /// The override that was given.
+        /// The specified override.
         given: String,
     },
 }
 
 impl std::error::Error for SettingsError {}
 
-/// Reads settings from a file, applies `overrides` of the form `key=value` and checks the result.
+/// Reads settings from a file, applies `overrides` of the form `key=value` and validates the
+/// result.
 ///
 /// # Errors
-/// [`SettingsError`] names the file, the field, the given value and what is allowed.
+/// [`SettingsError`] with the file, the field, the specified value and the allowed values.
 pub fn load(path: &Path, overrides: &[String]) -> Result<Settings, SettingsError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
@@ -67,7 +68,7 @@
     parse(&file, &text, overrides)
 }
 
-/// Parses and checks the text of a settings file; `file` is used in errors.
+/// Parses and validates the text of a settings file; `file` is its name in error messages.
 ///
 /// # Errors
 /// As [`load`].
@@ -115,7 +116,7 @@
     Ok(())
 }
 
-/// A TOML value, or the text itself where it is none.
+/// Parses a TOML value; text that is not valid TOML becomes a string value.
 fn parse_value(text: &str) -> toml::Value {
     let document = format!("value = {text}");
     let parsed = toml::from_str::<toml::Table>(&document).ok();
@@ -135,7 +136,7 @@
     }
 }
 
-/// The field whose line holds the end of `before`, with the table that it stands in.
+/// Returns the path of the field, including its table, on whose line `before` ends.
 fn field_at(text: &str, before: &str) -> String {
     let line_start = before.rfind('\n').map_or(0, |position| position + 1);
     let line = text[line_start..].lines().next().unwrap_or_default();
@@ -152,7 +153,7 @@
     }
 }
 
-/// Reads one ip:port.
+/// Deserializes an address of the form ip:port.
 pub(super) fn socket_address<'de, D>(deserializer: D) -> Result<SocketAddr, D::Error>
 where
     D: Deserializer<'de>,
@@ -161,7 +162,7 @@
     parse_address::<D::Error>(&text)
 }
 
-/// Reads a list of ip:port.
+/// Deserializes a list of addresses of the form ip:port.
 pub(super) fn socket_addresses<'de, D>(deserializer: D) -> Result<Vec<SocketAddr>, D::Error>
 where
     D: Deserializer<'de>,
@@ -175,10 +176,10 @@
 
 fn parse_address<E: serde::de::Error>(text: &str) -> Result<SocketAddr, E> {
     text.parse()
-        .map_err(|_| E::custom(format!("given \"{text}\" (allowed: {ADDRESS_FORM})")))
+        .map_err(|_| E::custom(format!("given \"{text}\" (allowed: {ADDRESS_FORMAT})")))
 }
 
-/// Checks what the types alone can't.
+/// Validates constraints that the field types do not express.
 struct Checker<'a> {
     file: &'a str,
 }
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -1,103 +1,103 @@
-//! State of one daemon, as its `/status` page shows it in JSON.
+//! Types of the `/status` page, which shows the state of one daemon as JSON.
 
 use serde::{Deserialize, Serialize};
 
-/// State of one daemon.
+/// The state of one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// Name of the daemon.
+    /// Id of the daemon.
     pub id: String,
-    /// Zone that it runs in.
+    /// Zone that the daemon runs in.
     pub zone: String,
-    /// Service of its back end; null at an edge.
+    /// Service of its backend; null at an edge.
     pub service: Option<String>,
-    /// Whether it can serve.
+    /// True if the daemon can serve calls.
     pub ready: bool,
-    /// Why it can't; null when it can.
+    /// Reason why the daemon can't serve; null if it can.
     pub unready_reason: Option<String>,
-    /// Whether a stop was asked for.
+    /// True once a stop was requested.
     pub stopping: bool,
-    /// Whether its back end is marked as leaving.
+    /// True if its backend is marked as leaving.
     pub leaving: bool,
-    /// Progress of that drain; null while the back end is not leaving.
+    /// Progress of the drain; null while the backend is not leaving.
     pub drain: Option<DrainStatus>,
-    /// Revision in force; 0 before the first one.
+    /// Revision of the configuration in force; 0 before the first one.
     pub revision: u64,
-    /// Whether the platform answered the last read of the machine list.
+    /// True if the platform responded to the last read of the machine list.
     pub platform_available: bool,
-    /// Calls that have not ended.
+    /// Number of calls that have not completed.
     pub calls_in_flight: usize,
-    /// Daemons with an open connection for calls.
+    /// Number of daemons to which a connection for calls is open.
     pub peers_connected: usize,
-    /// Daemons that gossip takes for alive, this one included; 0 without a control listener.
+    /// Number of live members in gossip, including this daemon; 0 without a control listener.
     pub members_live: usize,
-    /// The endpoint table, in order of service.
+    /// The endpoint table, sorted by service.
     pub endpoints: Vec<EndpointStatus>,
-    /// Admission at the back end; null at an edge.
+    /// Admission at the backend; null at an edge.
     pub admission: Option<AdmissionStatus>,
-    /// The daemon's replica of the claim group.
+    /// The claim replica of this daemon.
     pub claims: ClaimStatus,
 }
 
-/// A drain of the daemon's own back end.
+/// The drain of the local backend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainStatus {
-    /// Names of the drains that cover the back end; empty when only the machine list or the health
-    /// endpoint says so.
+    /// Names of the drains that cover the backend; empty if only the machine list or the health
+    /// endpoint marks it as leaving.
     pub drains: Vec<String>,
-    /// Longest time that calls in flight may take by the shortest of these drains, in milliseconds;
+    /// Time limit for the calls in flight, in milliseconds: the shortest limit of these drains;
     /// null without a drain.
     pub limit_ms: Option<u64>,
-    /// Calls that are still to end.
+    /// Number of calls that have not completed.
     pub calls_left: usize,
 }
 
-/// One back end, as this daemon knows it.
+/// A backend in the endpoint table of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointStatus {
-    /// Service that it belongs to.
+    /// Service that the backend belongs to.
     pub service: String,
-    /// Id of the daemon beside it.
+    /// Id of the daemon beside the backend.
     pub id: String,
-    /// Zone that it runs in.
+    /// Zone that the backend runs in.
     pub zone: String,
-    /// Where its daemon takes calls, as ip:port.
+    /// Address at which its daemon accepts calls, as ip:port.
     pub address: String,
-    /// Unix time in milliseconds at which its daemon started; 0 where that is not known yet, null
-    /// before calls are routed to it.
+    /// Unix time in milliseconds at which its daemon started; 0 if that is not known yet, null
+    /// until calls are routed to it.
     pub incarnation: Option<u64>,
-    /// Whether it gets no new work from here.
+    /// True if the backend is leaving and gets no new calls from this daemon.
     pub leaving: bool,
-    /// Names of the drains that cover it.
+    /// Names of the drains that cover the backend.
     pub drains: Vec<String>,
 }
 
-/// Admission at the back end.
+/// Admission at the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionStatus {
     /// Admission level, 0 (closed) to 32768 (open).
     pub level: u16,
-    /// Calls in execution.
+    /// Number of calls in execution.
     pub in_flight: u32,
-    /// Concurrency limit in force.
+    /// Maximum number of calls in execution.
     pub limit: u32,
-    /// Calls that wait.
+    /// Number of calls that wait for admission.
     pub queued: u32,
-    /// Open connections to the back end.
+    /// Number of open connections to the backend.
     pub open_connections: usize,
-    /// Calls in execution that may make calls of their own.
+    /// Number of calls in execution on whose behalf the backend may make calls.
     pub open_scopes: usize,
 }
 
-/// The daemon's replica of the claim group.
+/// The claim replica of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimStatus {
     /// Epoch of the claim group in force; 0 without one.
     pub epoch: u64,
-    /// Whether the daemon holds a replica that votes in it.
+    /// True if the replica of this daemon votes in the claim group.
     pub voting: bool,
-    /// Keys that the replica remembers.
+    /// Number of idempotency keys that the replica stores.
     pub records: usize,
-    /// Bytes of answers that it keeps for repeats.
+    /// Size of the responses that the replica stores for repeats, in bytes.
     pub content_bytes: usize,
 }
--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -52,11 +52,11 @@
     let health = PlatformHealth::default();
     assert!(health.is_available());
     for _ in 0..2 {
-        health.failed(&"no answer");
+        health.record_failure(&"no answer");
         assert!(!health.is_available());
     }
     for _ in 0..2 {
-        health.answered();
+        health.record_success();
         assert!(health.is_available());
     }
 }
