--- a/crates/daemon/src/backend_pool/mod.rs
+++ b/crates/daemon/src/backend_pool/mod.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns a connection that is ready for a request: an idle or a new one. At the connection
-    /// limit it waits up to 20 ms for a connection to become idle or to close.
+    /// limit it waits briefly for a connection to become idle or to close.
     ///
     /// # Errors
     /// [`BackendError::ConnectionLimit`] or [`BackendError::ConnectFailed`]; the backend received
--- a/crates/daemon/src/body.rs
+++ b/crates/daemon/src/body.rs
@@ -256,8 +256,8 @@
 
 impl Drop for Relayed {
     fn drop(&mut self) {
-        let whole = self.failure.is_none() && self.incoming.is_end_stream();
-        self.end(if whole {
+        let is_complete = self.failure.is_none() && self.incoming.is_end_stream();
+        self.end(if is_complete {
             BodyEnd::Complete
         } else {
             BodyEnd::Abandoned
--- a/crates/daemon/src/control/claims/mod.rs
+++ b/crates/daemon/src/control/claims/mod.rs
@@ -54,7 +54,8 @@
 /// The state of the replica in this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// Epoch (configuration number) of the replica's group; zero without a group.
+    /// Epoch of the replica's claim group, which grows with each change of the group's members;
+    /// zero without a group.
     pub epoch: Epoch,
     /// True if the replica votes on claims.
     pub voting: bool,
--- a/crates/daemon/src/control/endpoints.rs
+++ b/crates/daemon/src/control/endpoints.rs
@@ -63,7 +63,7 @@
         self.edges.len() + beside_back_ends.sum::<usize>()
     }
 
-    /// Adds an endpoint.
+    /// Adds an endpoint to those of its service.
     pub fn insert(&mut self, service: &str, record: EndpointRecord) {
         let records = self.services.entry(service.to_owned()).or_default();
         records.push(record);
--- a/crates/daemon/src/control/gossip/transport.rs
+++ b/crates/daemon/src/control/gossip/transport.rs
@@ -55,11 +55,11 @@
 
 impl StreamInbox {
     /// Returns true if a request carries a control message.
-    pub(crate) fn takes(request: &Request<Incoming>) -> bool {
+    pub(crate) fn accepts(request: &Request<Incoming>) -> bool {
         request.method() == Method::POST && request.uri().path() == PATH
     }
 
-    /// Handles a request for which [`Self::takes`] returns true.
+    /// Handles a request for which [`Self::accepts`] returns true.
     pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let sender = request.headers().get(SENDER);
         let source = sender.and_then(|value| value.to_str().ok()?.parse().ok());
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -70,7 +70,7 @@
     /// Serves a request on the control listener.
     pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         match &self.inbox {
-            Some(inbox) if StreamInbox::takes(&request) => inbox.serve(request).await,
+            Some(inbox) if StreamInbox::accepts(&request) => inbox.serve(request).await,
             _ => self.claims.serve(request).await,
         }
     }
--- a/crates/daemon/src/control/readers.rs
+++ b/crates/daemon/src/control/readers.rs
@@ -160,9 +160,9 @@
         let acceptance = accept(in_force, revision, &objects);
         log_rejections(&acceptance);
         let accepted = acceptance.snapshot;
-        let whole =
+        let full_snapshot =
             std::mem::take(&mut self.snapshot_requested) || in_force.revision == Revision::ZERO;
-        let encoded = if whole {
+        let encoded = if full_snapshot {
             snapshot_report(&accepted)
         } else {
             delta_report(in_force, &accepted)
--- a/crates/daemon/src/control/relay.rs
+++ b/crates/daemon/src/control/relay.rs
@@ -19,12 +19,12 @@
     /// Computes the delta that turns `before` into `after`.
     pub(super) fn between(before: &Snapshot, after: &Snapshot) -> Self {
         let changed = |resource: &Resource| before.get(&resource.id()).as_ref() != Some(resource);
-        let gone = |id: &ResourceId| after.get(id).is_none();
+        let deleted_id = |id: &ResourceId| after.get(id).is_none();
         Self {
             put: resources(after).filter(changed).collect(),
             deleted: resources(before)
                 .map(|resource| resource.id())
-                .filter(gone)
+                .filter(deleted_id)
                 .collect(),
         }
     }
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -117,12 +117,12 @@
     }
 
     /// Records how the request is treated; `treatment` is only called if the request is recorded.
-    pub(crate) fn treated(&self, treatment: impl FnOnce() -> Treatment) {
+    pub(crate) fn record_treatment(&self, treatment: impl FnOnce() -> Treatment) {
         self.change(|state| state.record.decision.treatment = Some(treatment()));
     }
 
     /// Records a refusal that follows from the configuration alone.
-    pub(crate) fn refused(&self, code: ResultCode) {
+    pub(crate) fn record_refusal(&self, code: ResultCode) {
         self.change(|state| {
             state.record.decision.refused = Some(code.number());
             state.is_decided = true;
@@ -130,7 +130,7 @@
     }
 
     /// Records the admission level that the request was compared with, and the result.
-    pub(crate) fn level_checked(&self, level: AdmissionLevel, is_admitted: bool) {
+    pub(crate) fn record_level_check(&self, level: AdmissionLevel, is_admitted: bool) {
         self.change(|state| {
             state.record.circumstances.level = level;
             state.record.decision.refused =
@@ -140,7 +140,7 @@
     }
 
     /// Records the first endpoint that the request was sent to.
-    pub(crate) fn endpoint_chosen(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_endpoint(&self, endpoint: &EndpointId) {
         let Some(open) = &self.0 else {
             return;
         };
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -156,7 +156,7 @@
         let time_to_deadline_ms = time_to_deadline_ms(kind, headers)?;
         let budget = snapshot.retry_budget_for(kind);
         let retries = budget.map_or(0, |budget| budget.retries_per_request);
-        trace.treated(|| Treatment {
+        trace.record_treatment(|| Treatment {
             request_kind: kind.name.clone(),
             priority: kind.priority,
             deadline_ms: time_to_deadline_ms,
@@ -190,7 +190,7 @@
 
 /// Returns a refusal that follows from the configuration and adds it to the decision record.
 fn refuse(trace: &DecisionTrace, code: ResultCode) -> Failure {
-    trace.refused(code);
+    trace.record_refusal(code);
     Failure::new(code)
 }
 
--- a/crates/daemon/src/inbound/gate.rs
+++ b/crates/daemon/src/inbound/gate.rs
@@ -58,7 +58,7 @@
 /// A call that requests admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Key by which the call is refused before or after other calls.
+    /// Admission key of the call: its position in the order in which calls are refused.
     pub key: AdmissionKey,
     /// Deadline of the call, after which a response is useless to the caller.
     pub deadline: Timestamp,
--- a/crates/daemon/src/inbound/handler.rs
+++ b/crates/daemon/src/inbound/handler.rs
@@ -49,8 +49,8 @@
 
     /// Returns the number of connections that calls may use concurrently.
     fn call_connections(&self, service: &Service) -> u32 {
-        let kept = u32::from(self.reads_health);
-        service.connections.saturating_sub(kept).max(1)
+        let reserved = u32::from(self.reads_health);
+        service.connections.saturating_sub(reserved).max(1)
     }
 }
 
--- a/crates/daemon/src/outbound/attempt.rs
+++ b/crates/daemon/src/outbound/attempt.rs
@@ -199,7 +199,7 @@
     fn observe(&mut self, outcome: OutcomeClass, overloaded: bool) {
         self.ended = true;
         let now = self.clock.now();
-        let seen = Observation {
+        let observation = Observation {
             latency: now.saturating_since(self.started),
             outcome,
             error_answer: self.error_answer,
@@ -212,8 +212,12 @@
             level: self.metadata.map(|metadata| metadata.level),
         };
         let incarnation = self.metadata.map(|metadata| metadata.incarnation);
-        self.route
-            .observe(now, &self.target.id, incarnation.unwrap_or_default(), seen);
+        self.route.observe(
+            now,
+            &self.target.id,
+            incarnation.unwrap_or_default(),
+            observation,
+        );
     }
 }
 
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -187,7 +187,7 @@
         let admitted = levels.admits(now, &call.service, kind, key);
         if call.trace.is_on() {
             let level = levels.level(now, &call.service, kind);
-            call.trace.level_checked(level, admitted.is_ok());
+            call.trace.record_level_check(level, admitted.is_ok());
         }
         drop(levels);
         admitted.map_err(|refusal| {
@@ -236,16 +236,16 @@
             .ok_or_else(|| Failure::new(ResultCode::RequestTooLarge))?;
         let grant = lock(&call.account.ledger).grant(call.account.children);
         let allowance = grant.allowance();
-        let end = attempt::send(&self.peers, &self.clock, call, target, allowance, sent).await;
-        settle(&call.account, grant, end.allowance);
-        if let Some(metadata) = &end.metadata {
+        let outcome = attempt::send(&self.peers, &self.clock, call, target, allowance, sent).await;
+        settle(&call.account, grant, outcome.allowance);
+        if let Some(metadata) = &outcome.metadata {
             self.record_path_level(call, target, metadata);
         }
-        if let Some(unsent) = end.unsent {
+        if let Some(unsent) = outcome.unsent {
             body.restore(unsent);
         }
-        flight.record_metadata(end.metadata);
-        match end.result {
+        flight.record_metadata(outcome.metadata);
+        match outcome.result {
             Ok(response) => {
                 flight.record_response(response.status());
                 Ok(self.relay(call, response, flight))
@@ -312,9 +312,9 @@
     }
 }
 
-fn settle(account: &RetryAccount, grant: Grant, end: GrantOutcome) {
+fn settle(account: &RetryAccount, grant: Grant, outcome: GrantOutcome) {
     let mut ledger = lock(&account.ledger);
-    match end {
+    match outcome {
         GrantOutcome::Unspent => ledger.settle(grant, grant.allowance()),
         GrantOutcome::Returned(returned) => ledger.settle(grant, returned),
         GrantOutcome::Lost => ledger.lose(grant),
@@ -330,7 +330,7 @@
     picked: &Result<Target, Failure>,
 ) {
     match picked {
-        Ok(target) => call.trace.endpoint_chosen(&target.id),
+        Ok(target) => call.trace.record_endpoint(&target.id),
         Err(failure) => trace_refusal(call, route, now, *failure),
     }
 }
@@ -343,10 +343,11 @@
     // No usable endpoint admits the key, but the endpoints' common level may be more open than each
     // usable endpoint. The record gets a level that refuses the key.
     let key = AdmissionLevel::new(call.context.admission_key().number());
-    call.trace.level_checked(route.level(now).fold(key), false);
+    call.trace
+        .record_level_check(route.level(now).fold(key), false);
 }
 
-/// Returns whether a call may be retried: a body that can't be sent again makes it at-most-once.
+/// Returns the repeatability of a call: at most once if its body can't be sent again.
 const fn effective_repeatability(call: &OutgoingCall, body: &CallBody) -> Repeatability {
     if body.can_repeat() {
         call.context.repeatability
--- a/crates/daemon/src/outbound/routes.rs
+++ b/crates/daemon/src/outbound/routes.rs
@@ -165,14 +165,14 @@
         now: Timestamp,
         endpoint: &EndpointId,
         incarnation: u64,
-        seen: Observation,
+        observation: Observation,
     ) {
         let mut state = lock(&self.state);
         state.heard_incarnation(now, endpoint, incarnation);
-        if seen.outcome == wharfquay_core::outcome::OutcomeClass::Run {
+        if observation.outcome == wharfquay_core::outcome::OutcomeClass::Run {
             state.budget.record_success(now);
         }
-        state.router.observe(now, endpoint, seen);
+        state.router.observe(now, endpoint, observation);
     }
 
     /// Returns the latest known incarnation of an endpoint, or `None` if the endpoint is not
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -20,11 +20,17 @@
 use crate::events::{Event, Quoted, log_event};
 use crate::sync::lock;
 
+/// HTTP/2 flow-control window of each stream, in bytes.
 const STREAM_WINDOW: u32 = 1024 * 1024;
+/// HTTP/2 flow-control window of each connection, in bytes.
 const CONNECTION_WINDOW: u32 = 8 * 1024 * 1024;
+/// Time between two HTTP/2 keep-alive pings.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
+/// Time after which a connection with an unacknowledged ping is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum delay after the first failed connection attempt; it doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(5);
+/// Maximum delay between two connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// An error that prevented a response of a peer.
@@ -196,9 +202,9 @@
     }
 }
 
-/// Returns whether the peer may have processed the stream that ended with an error. It has not if
-/// it refused the stream, or closed the connection with a GOAWAY frame whose last stream precedes
-/// this one; hyper reports a remote GOAWAY as the error of a stream only in the latter case.
+/// Classifies the error of a stream. The peer did not process the stream if it refused the stream,
+/// or closed the connection with a GOAWAY frame whose last stream precedes this one; hyper reports
+/// a remote GOAWAY as the error of a stream only in the latter case.
 fn classify(error: &hyper::Error) -> PeerError {
     let cause = error.source().and_then(|source| source.downcast_ref());
     let unprocessed = cause.is_some_and(|cause: &h2::Error| {
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -16,7 +16,9 @@
 use crate::events::{Event, Quoted, log_event};
 use crate::settings::LimitSettings;
 
+/// HTTP/2 flow-control window of each stream, in bytes.
 const STREAM_WINDOW: u32 = 1024 * 1024;
+/// HTTP/2 flow-control window of each connection, in bytes.
 const CONNECTION_WINDOW: u32 = 8 * 1024 * 1024;
 /// Maximum time in which a caller must send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -33,7 +33,7 @@
     pub control: Option<ControlSettings>,
     /// Access to the platform's object API.
     pub platform: PlatformSettings,
-    /// Logging.
+    /// Settings of the log output.
     #[serde(default)]
     pub log: LogSettings,
     /// Size limits, timeouts and concurrency limits of this process.
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -79,7 +79,7 @@
     pub level: u16,
     /// Number of calls in execution.
     pub in_flight: u32,
-    /// Maximum number of calls in execution.
+    /// Concurrency limit in force: the maximum number of calls in execution.
     pub limit: u32,
     /// Number of calls that wait for admission.
     pub queued: u32,
--- a/crates/daemon/tests/backend_pool.rs
+++ b/crates/daemon/tests/backend_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to the back end: kept after a whole answer, closed after any other end.
+//! Tests of the backend connection pool: a connection is reused after a complete response and
+//! closed otherwise.
 
 mod support;
 
@@ -7,15 +8,15 @@
 
 use http::Request;
 use http_body_util::BodyExt;
-use support::NobodyListens;
+use support::UnusedPort;
 use support::backend::BackendStub;
 use wharfquay_clock::since_boot;
 use wharfquay_daemon::backend_pool::{BackendError, BackendPool, Lease};
 use wharfquay_daemon::body::{BodyEnd, BodyObserver, RequestBody};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for something that must happen.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum wait for an expected state.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
 fn request(path: &str) -> Request<RequestBody> {
     Request::builder()
@@ -25,20 +26,21 @@
         .unwrap()
 }
 
-/// Runs one call on a lease up to the end of its body and reports `end`.
+/// Runs one call on a lease up to the end of the response body and reports `end` to the lease.
 async fn exchange(backend: &BackendStub, mut lease: Lease, path: &str, end: BodyEnd) {
     let response = lease.send(request(path)).await.unwrap();
-    if path == "/cut" {
-        backend.cut.notify_one();
+    if path == "/truncate" {
+        backend.truncate.notify_one();
     }
     let body = response.into_body().collect().await;
     assert_eq!(body.is_ok(), end == BodyEnd::Complete || path == "/echo");
     Box::new(lease).ended(end);
 }
 
-/// The next call must not be refused because the connection of the last one is about to be ready.
+/// Guards against a refusal by the connection limit while the connection of the previous call is
+/// about to become ready.
 #[tokio::test]
-async fn a_connection_is_kept_after_a_whole_answer() {
+async fn a_connection_is_reused_after_a_complete_response() {
     let backend = BackendStub::start().await;
     let pool = BackendPool::new(backend.address, 1, CONNECT_TIMEOUT);
     for _ in 0..100 {
@@ -48,16 +50,16 @@
     assert_eq!(backend.connections(), 1);
 }
 
-/// After a surge the connections that only it needed must not stay open.
+/// Guards against connections that stay open after the surge that needed them.
 #[tokio::test]
-async fn connections_that_rested_too_long_are_closed() {
+async fn connections_idle_for_too_long_are_closed() {
     let backend = BackendStub::start().await;
-    let longest_rest = Duration::from_millis(40);
+    let max_idle_time = Duration::from_millis(40);
     let pool = BackendPool::with_longest_rest(
         backend.address,
         8,
         CONNECT_TIMEOUT,
-        longest_rest,
+        max_idle_time,
         since_boot,
     );
     let mut leases = Vec::new();
@@ -68,7 +70,7 @@
         exchange(&backend, lease, "/echo", BodyEnd::Complete).await;
     }
     assert_eq!(pool.open_connections(), 3);
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_WAIT;
     while pool.open_connections() > 0 {
         assert!(Instant::now() < end, "{} open", pool.open_connections());
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -82,16 +84,17 @@
     since_boot() + Duration::from_millis(SUSPENDED_MS.load(Ordering::Relaxed))
 }
 
-/// The other side has closed it meanwhile, though the steady clock stood still.
+/// During a suspension of the machine the backend may close an idle connection, although the steady
+/// clock does not advance. Reusing the connection would fail the next call.
 #[tokio::test]
-async fn a_connection_that_rested_through_a_suspension_is_not_used_again() {
+async fn a_connection_idle_through_a_suspension_is_not_reused() {
     let backend = BackendStub::start().await;
-    let longest_rest = Duration::from_secs(5);
+    let max_idle_time = Duration::from_secs(5);
     let pool = BackendPool::with_longest_rest(
         backend.address,
         8,
         CONNECT_TIMEOUT,
-        longest_rest,
+        max_idle_time,
         suspendable,
     );
     for (suspended_ms, connections) in [(0, 1), (0, 1), (5_000, 2)] {
@@ -103,13 +106,13 @@
 }
 
 #[tokio::test]
-async fn a_connection_is_closed_after_any_other_end() {
+async fn a_connection_is_closed_after_an_incomplete_response() {
     let backend = BackendStub::start().await;
     let pool = BackendPool::new(backend.address, 1, CONNECT_TIMEOUT);
     let ends = [
         ("/echo", BodyEnd::Failed),
         ("/echo", BodyEnd::Abandoned),
-        ("/cut", BodyEnd::Failed),
+        ("/truncate", BodyEnd::Failed),
     ];
     for (number, (path, end)) in ends.into_iter().enumerate() {
         exchange(&backend, pool.checkout().await.unwrap(), path, end).await;
@@ -121,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn the_limit_is_kept() {
+async fn the_connection_limit_is_enforced() {
     let backend = BackendStub::start().await;
     let pool = BackendPool::new(backend.address, 2, CONNECT_TIMEOUT);
     let first = pool.checkout().await.unwrap();
@@ -141,9 +144,9 @@
 }
 
 #[tokio::test]
-async fn a_back_end_that_is_down_counts_no_connection() {
-    let nobody = NobodyListens::bind();
-    let address = nobody.address();
+async fn failed_connection_attempts_do_not_count_against_the_limit() {
+    let unused_port = UnusedPort::bind();
+    let address = unused_port.address();
     let pool = BackendPool::new(address, 1, CONNECT_TIMEOUT);
     for _ in 0..3 {
         assert_eq!(
--- a/crates/daemon/tests/call_path.rs
+++ b/crates/daemon/tests/call_path.rs
@@ -1,15 +1,16 @@
-//! The path of a call: caller, edge, the back end's daemon, back end, and on through its own calls.
+//! Tests of the call path: caller, edge, the backend's daemon, backend, and on through downstream
+//! calls.
 
 mod support;
 
 use http::{Method, StatusCode};
-use support::backend::PIECE;
+use support::backend::CHUNK;
 use support::client::Call;
 use support::deployment::{Deployment, request_kind, standard_resources};
 use wharfquay_core::outcome::ResultCode;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_answers_come_back() {
+async fn complete_responses_are_relayed() {
     let deployment = Deployment::start(&["booking"]).await;
     let body = "x".repeat(200_000);
     let cases = [
@@ -29,21 +30,21 @@
             Call::post("booking", "/echo", body.clone()),
             format!("POST /echo {body}"),
         ),
-        (Call::get("booking", "/long"), PIECE.repeat(64)),
+        (Call::get("booking", "/long"), CHUNK.repeat(64)),
     ];
     for (call, expected) in cases {
         let shown = format!("{} {}", call.method, call.path);
-        let answer = deployment.send(call).await;
-        assert_eq!(answer.status, StatusCode::OK, "{shown}");
-        assert_eq!(answer.code(), Some(ResultCode::Answered), "{shown}");
-        assert_eq!(answer.header("wharfquay-outcome"), Some("run"), "{shown}");
-        assert_eq!(answer.text(), expected, "{shown}");
+        let response = deployment.send(call).await;
+        assert_eq!(response.status, StatusCode::OK, "{shown}");
+        assert_eq!(response.code(), Some(ResultCode::Answered), "{shown}");
+        assert_eq!(response.header("wharfquay-outcome"), Some("run"), "{shown}");
+        assert_eq!(response.text(), expected, "{shown}");
     }
 }
 
-/// Answers to HEAD have no body, be they the back end's or the daemon's own.
+/// Responses to HEAD have no body, whether they come from the backend or from the daemon itself.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_to_head_have_no_body() {
+async fn responses_to_head_have_no_body() {
     let mut resources = standard_resources(&["booking"]);
     resources.push(request_kind("booking", "HEAD", true));
     let deployment = Deployment::start_with(&["booking"], &resources).await;
@@ -57,20 +58,20 @@
             let mut call = Call::get(service, path);
             call.method = Method::HEAD;
             call.http2 = http2;
-            let answer = deployment.send(call).await;
-            assert_eq!(answer.code(), Some(code), "{path} http2={http2}");
-            assert_eq!(answer.text(), "", "{path} http2={http2}");
+            let response = deployment.send(call).await;
+            assert_eq!(response.code(), Some(code), "{path} http2={http2}");
+            assert_eq!(response.text(), "", "{path} http2={http2}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_chain_of_three_services_answers() {
+async fn a_chain_of_three_services_responds() {
     let deployment = Deployment::start(&["booking", "slot", "record"]).await;
     let call = Call::get("booking", "/call/slot/call/record/echo");
-    let answer = deployment.send(call).await;
-    assert_eq!(answer.code(), Some(ResultCode::Answered));
-    assert_eq!(answer.text(), "GET /echo ");
+    let response = deployment.send(call).await;
+    assert_eq!(response.code(), Some(ResultCode::Answered));
+    assert_eq!(response.text(), "GET /echo ");
     let origins: Vec<_> = deployment
         .members
         .iter()
--- a/crates/daemon/tests/cancellation.rs
+++ b/crates/daemon/tests/cancellation.rs
@@ -1,4 +1,5 @@
-//! Callers that give up: what waits is withdrawn, what runs is cancelled, nothing is mixed up.
+//! Tests of callers that disconnect: waiting calls are withdrawn, running calls are cancelled, and
+//! no response reaches another caller.
 
 mod support;
 
@@ -10,10 +11,10 @@
 use wharfquay_daemon::metrics::Side;
 use wharfquay_resources::kinds::Resource;
 
-/// Connections that the back end of these tests accepts.
+/// Connection limit of the backend in these tests.
 const CONNECTIONS: u32 = 8;
 
-/// One service whose back end executes `slots` calls at a time.
+/// One service whose backend executes `slots` calls concurrently.
 fn resources(slots: u32, connections: u32) -> Vec<Resource> {
     let Resource::Service(mut booking) = service("booking", &[]) else {
         unreachable!("a service was made");
@@ -35,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_cancels_the_whole_chain() {
+async fn a_caller_that_disconnects_cancels_the_whole_chain() {
     for http2 in [false, true] {
         let deployment = Deployment::start(&["booking", "slot", "record"]).await;
         let mut call = Call::post("booking", "/call/slot/call/record/slow/60000", "");
@@ -89,17 +90,17 @@
         admission(&deployment).await["queued"] == 0
     })
     .await;
-    let answer = running.await.unwrap().unwrap();
-    assert_eq!(answer.text(), "slow answer");
+    let response = running.await.unwrap().unwrap();
+    assert_eq!(response.text(), "slow response");
     let next = deployment.send(Call::post("booking", "/next", "")).await;
-    assert_eq!(next.text(), "answer to /next");
+    assert_eq!(next.text(), "response to /next");
     assert_eq!(deployment.members[0].backend.executions("/waiting"), 0);
 }
 
-/// The race of a cancellation with a dispatch, over and over: each call runs at most once, and the
-/// slot is never lost.
+/// Repeats the race of a cancellation with a dispatch: each call runs at most once, and the slot is
+/// always released.
 #[tokio::test(flavor = "multi_thread")]
-async fn cancellations_that_race_a_dispatch_lose_no_slot() {
+async fn cancellations_that_race_a_dispatch_leak_no_slot() {
     let deployment = Deployment::start_with(&["booking"], &resources(1, CONNECTIONS)).await;
     let edge = deployment.edge_address();
     for round in 0..100_u64 {
@@ -119,28 +120,29 @@
     assert_eq!(next.code(), Some(ResultCode::Answered));
 }
 
-/// Answers that were abandoned at the head, in the body or by deadline must not reach others.
+/// Responses that were abandoned at the head, in the body or by their deadline must not reach other
+/// callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn abandoned_answers_reach_nobody_else() {
+async fn abandoned_responses_reach_no_other_caller() {
     let deployment = Deployment::start_with(&["booking"], &resources(4, CONNECTIONS)).await;
     let edge = deployment.edge_address();
     for round in 0..50_u64 {
         let slow = Call::post("booking", "/slow/20", "").header("wharfquay-deadline-ms", "10");
-        let long = client::send_head(edge, Call::post("booking", "/cut", ""));
+        let long = client::send_head(edge, Call::post("booking", "/truncate", ""));
         let (late, long) = tokio::join!(client::send(edge, slow), long);
         drop(long);
         assert_ne!(late.unwrap().code(), Some(ResultCode::Answered));
         let own = format!("/own/{round}");
-        let answer = deployment.send(Call::post("booking", &own, "")).await;
-        assert_eq!(answer.text(), format!("answer to {own}"));
+        let response = deployment.send(Call::post("booking", &own, "")).await;
+        assert_eq!(response.text(), format!("response to {own}"));
     }
     let open = admission(&deployment).await["open_connections"].as_u64();
     assert!(open.unwrap() <= u64::from(CONNECTIONS), "{open:?}");
 }
 
-/// A call above the connection limit waits for its turn without a connection.
+/// A call above the connection limit waits in the admission queue and holds no connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_connection_limit_is_kept() {
+async fn the_connection_limit_is_enforced() {
     let deployment = Deployment::start_with(&["booking"], &resources(1, 1)).await;
     let edge = deployment.edge_address();
     let first = tokio::spawn(client::send(edge, Call::post("booking", "/slow/200", "")));
@@ -149,15 +151,15 @@
     })
     .await;
     let second = deployment.send(Call::post("booking", "/second", "")).await;
-    assert_eq!(second.text(), "answer to /second");
-    assert_eq!(first.await.unwrap().unwrap().text(), "slow answer");
+    assert_eq!(second.text(), "response to /second");
+    assert_eq!(first.await.unwrap().unwrap().text(), "slow response");
     let calls = (0..50).map(|_| client::send(edge, Call::post("booking", "/echo", "x")));
     let calls: Vec<_> = calls.map(tokio::spawn).collect();
     for call in calls {
-        let answer = call.await.unwrap().unwrap();
-        let refused = answer.code().unwrap().outcome() == OutcomeClass::NotRun;
-        assert!(refused || answer.text() == "POST /echo x", "{answer:?}");
-        assert_ne!(answer.code(), Some(ResultCode::ConnectionLimit));
+        let response = call.await.unwrap().unwrap();
+        let refused = response.code().unwrap().outcome() == OutcomeClass::NotRun;
+        assert!(refused || response.text() == "POST /echo x", "{response:?}");
+        assert_ne!(response.code(), Some(ResultCode::ConnectionLimit));
     }
     assert_eq!(deployment.members[0].backend.call_connections(), 1);
 }
--- a/crates/daemon/tests/claims_processes.rs
+++ b/crates/daemon/tests/claims_processes.rs
@@ -1,5 +1,5 @@
-//! The same idempotency key sent again, with daemons that are processes of their own: through two
-//! edges, and while replicas are killed, replaced and frozen.
+//! Tests that repeat an idempotency key with daemons in separate processes: through two edges, and
+//! while replicas are killed, replaced and paused.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use support::backend::BackendStub;
-use support::client::{self, Answer, Call};
+use support::client::{self, Call, ClientResponse};
 use support::deployment::{machine, member_text, standard_resources};
 use support::platform::PlatformStub;
 use support::process::Process;
@@ -20,7 +20,7 @@
 const CLOCK_SKEW_MS: u32 = 100;
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Two edges, one back end with its daemon, and three daemons that hold the replicas.
+/// Two edges, one backend with its daemon, and three daemons that hold the claim replicas.
 struct Mesh {
     name: &'static str,
     platform: PlatformStub,
@@ -63,20 +63,21 @@
             let replica = mesh.start_replica(number);
             mesh.replicas.push(replica);
         }
-        mesh.wait_until_each_replica_is_dispensable().await;
+        mesh.wait_until_any_two_replicas_suffice().await;
         mesh
     }
 
-    /// Each replica votes, and both edges reach it: with any one frozen, the other two are a majority.
-    async fn wait_until_each_replica_is_dispensable(&self) {
+    /// Waits until claims succeed at both edges with any one replica paused, which shows that every
+    /// replica votes and is reachable.
+    async fn wait_until_any_two_replicas_suffice(&self) {
         for replica in &self.replicas {
-            replica.freeze().await;
+            replica.pause().await;
             self.wait_until_claims_succeed().await;
-            replica.thaw();
+            replica.resume();
         }
     }
 
-    /// Starts a replica's daemon and lists it.
+    /// Starts the daemon of a replica and adds it to the machine list.
     fn start_replica(&self, number: usize) -> Process {
         let id = replica_id(number);
         let backend = self.replica_backend.address;
@@ -94,12 +95,12 @@
         self.replicas[number] = self.start_replica(number);
     }
 
-    /// Fresh keys get through at both edges.
+    /// Waits until calls with new keys succeed at both edges.
     async fn wait_until_claims_succeed(&self) {
         for edge in 0..self.edges.len() {
             support::eventually("claims succeed", async || {
-                let answer = self.send(edge, &fresh_key(), "/ready").await;
-                answer.code() == Some(ResultCode::Answered)
+                let response = self.send(edge, &fresh_key(), "/ready").await;
+                response.code() == Some(ResultCode::Answered)
             })
             .await;
         }
@@ -109,7 +110,7 @@
         self.edges[edge].address("edge")
     }
 
-    /// Whether a replica votes in an epoch.
+    /// Returns true if a replica votes in an epoch.
     async fn votes_in(&self, number: usize, epoch: u64) -> bool {
         let admin = self.replicas[number].address("admin");
         let status = client::send(admin, Call::get("admin", "/status")).await;
@@ -118,26 +119,26 @@
         status["claims"]["epoch"] == epoch && status["claims"]["voting"] == true
     }
 
-    async fn send(&self, edge: usize, key: &str, path: &str) -> Answer {
+    async fn send(&self, edge: usize, key: &str, path: &str) -> ClientResponse {
         client::send(self.edge(edge), keyed(key, path))
             .await
             .unwrap()
     }
 
     async fn assert_answered(&self, edge: usize, key: &str, path: &str, step: &str) {
-        let answer = self.send(edge, key, path).await;
-        assert_eq!(answer.code(), Some(ResultCode::Answered), "{step}");
-        assert_eq!(answer.text(), format!("answer to {path}"), "{step}");
+        let response = self.send(edge, key, path).await;
+        assert_eq!(response.code(), Some(ResultCode::Answered), "{step}");
+        assert_eq!(response.text(), format!("response to {path}"), "{step}");
         assert_eq!(self.backend.executions(path), 1, "{step}");
     }
 
     async fn assert_refused(&self, edge: usize, key: &str, path: &str, expected: ResultCode) {
-        let answer = self.send(edge, key, path).await;
-        assert_eq!(answer.code(), Some(expected), "{path}");
-        assert_eq!(answer.status, expected.http_status(), "{path}");
+        let response = self.send(edge, key, path).await;
+        assert_eq!(response.code(), Some(expected), "{path}");
+        assert_eq!(response.status, expected.http_status(), "{path}");
         let wants_retry = expected.wants_retry_after();
         assert_eq!(
-            answer.header("retry-after").is_some(),
+            response.header("retry-after").is_some(),
             wants_retry,
             "{path}"
         );
@@ -162,7 +163,8 @@
     (first..first + REPLICAS).map(replica_id).collect()
 }
 
-/// The group of the replicas from `first` on, which follows the one of those before.
+/// Returns the claim group of the replicas from number `first` on, whose predecessor is the group
+/// that starts one number earlier.
 fn claim_group(first: usize) -> Resource {
     Resource::ClaimGroup(ClaimGroup {
         name: "default".to_owned(),
@@ -188,9 +190,9 @@
     for round in 0..20 {
         let (key, path) = (fresh_key(), format!("/pay/{round}"));
         let (first, second) = tokio::join!(mesh.send(0, &key, &path), mesh.send(1, &key, &path));
-        for answer in [first, second] {
-            assert_eq!(answer.code(), Some(ResultCode::Answered), "round {round}");
-            assert_eq!(answer.text(), format!("answer to {path}"));
+        for response in [first, second] {
+            assert_eq!(response.code(), Some(ResultCode::Answered), "round {round}");
+            assert_eq!(response.text(), format!("response to {path}"));
         }
         assert_eq!(mesh.backend.executions(&path), 1, "round {round}");
         mesh.assert_answered(round % 2, &key, &path, "repeat").await;
@@ -208,14 +210,14 @@
     let (old, path) = (fresh_key(), "/old");
     mesh.assert_answered(0, &old, path, "first").await;
 
-    mesh.replicas[0].freeze().await;
-    mesh.assert_answered(1, &old, path, "repeat, one replica frozen")
+    mesh.replicas[0].pause().await;
+    mesh.assert_answered(1, &old, path, "repeat, one replica paused")
         .await;
     let key = fresh_key();
-    mesh.assert_answered(0, &key, "/frozen", "fresh key, one replica frozen")
+    mesh.assert_answered(0, &key, "/paused", "fresh key, one replica paused")
         .await;
-    mesh.assert_answered(1, &key, "/frozen", "its repeat").await;
-    mesh.replicas[0].thaw();
+    mesh.assert_answered(1, &key, "/paused", "its repeat").await;
+    mesh.replicas[0].resume();
 
     mesh.replace_replica(1);
     mesh.wait_until_claims_succeed().await;
@@ -226,12 +228,13 @@
     mesh.assert_answered(0, &old, path, "repeat, two replicas replaced")
         .await;
 
-    // Only the two that started anew answer: they can't have a record and must not vote.
-    mesh.replicas[0].freeze().await;
+    // Only the two restarted replicas respond. They have lost their records and must not vote on
+    // keys from before their restart.
+    mesh.replicas[0].pause().await;
     mesh.assert_refused(1, &old, path, ResultCode::ClaimUndetermined)
         .await;
     assert_eq!(mesh.backend.executions(path), 1);
-    mesh.assert_answered(0, &fresh_key(), "/anew", "fresh key")
+    mesh.assert_answered(0, &fresh_key(), "/restarted", "fresh key")
         .await;
 
     mesh.replicas[1].kill();
@@ -241,7 +244,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_group_knows_what_the_one_before_did() {
+async fn a_new_claim_group_takes_over_the_records_of_the_previous_one() {
     let mut mesh = Mesh::start("regroup").await;
     let (answered, lost) = (fresh_key(), fresh_key());
     mesh.assert_answered(0, &answered, "/before", "first").await;
@@ -264,7 +267,7 @@
     assert_eq!(mesh.backend.executions("/drop"), 1);
     mesh.wait_until_claims_succeed().await;
 
-    // Only the added one is left: what it answers was handed over to it.
+    // Only the added replica is left; it replays a record that it received in the handover.
     mesh.replicas[1].kill();
     mesh.replicas[2].kill();
     mesh.assert_answered(0, &answered, "/before", "repeat at the added replica")
@@ -273,21 +276,21 @@
         .await;
 }
 
-/// Sends a key through both edges at once until one of them answers, or a bound is reached; gives
-/// the result codes.
-async fn insist(edges: [SocketAddr; 2], path: String) -> Vec<Option<ResultCode>> {
+/// Sends a key concurrently through both edges until one of them relays a response, at most five
+/// times, and returns the result codes.
+async fn send_until_answered(edges: [SocketAddr; 2], path: String) -> Vec<Option<ResultCode>> {
     let key = fresh_key();
     let send = |edge| client::send(edge, keyed(&key, &path));
     let mut codes = Vec::new();
     while codes.len() < 10 && !codes.contains(&Some(ResultCode::Answered)) {
         let (first, second) = tokio::join!(send(edges[0]), send(edges[1]));
-        codes.extend([first, second].map(|answer| answer.unwrap().code()));
+        codes.extend([first, second].map(|response| response.unwrap().code()));
     }
     codes
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_keys_take_effect_once_while_replicas_come_and_go() {
+async fn many_keys_take_effect_once_while_replicas_pause_and_restart() {
     let mut mesh = Mesh::start("many").await;
     let edges = [mesh.edge(0), mesh.edge(1)];
     let mut callers = tokio::task::JoinSet::new();
@@ -295,12 +298,12 @@
         let replica = round % REPLICAS;
         for number in 0..20 {
             let path = format!("/many/{round}/{number}");
-            callers.spawn(async move { (path.clone(), insist(edges, path).await) });
+            callers.spawn(async move { (path.clone(), send_until_answered(edges, path).await) });
         }
         if round % 2 == 0 {
-            mesh.replicas[replica].freeze().await;
+            mesh.replicas[replica].pause().await;
             tokio::time::sleep(Duration::from_millis(100)).await;
-            mesh.replicas[replica].thaw();
+            mesh.replicas[replica].resume();
         } else {
             mesh.replace_replica(replica);
             mesh.wait_until_claims_succeed().await;
@@ -312,7 +315,7 @@
         let executions = mesh.backend.executions(&path);
         assert!(
             executions <= 1,
-            "{path}: {executions} executions, told {codes:?}"
+            "{path}: {executions} executions, result codes {codes:?}"
         );
         if codes.contains(&Some(ResultCode::Answered)) {
             assert_eq!(executions, 1, "{path}");
@@ -324,7 +327,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_uncertain_attempt_is_never_repeated() {
+async fn an_attempt_with_unknown_outcome_is_never_executed_again() {
     let mesh = Mesh::start("uncertain").await;
     let (key, path) = (fresh_key(), "/slow/300");
     let call = keyed(&key, path);
@@ -333,10 +336,10 @@
         mesh.backend.executions(path) == 1
     })
     .await;
-    mesh.edges[0].freeze().await;
+    mesh.edges[0].pause().await;
     mesh.assert_refused(1, &key, path, ResultCode::ClaimUncertain)
         .await;
-    mesh.edges[0].thaw();
+    mesh.edges[0].resume();
     let _ = first.await.unwrap();
     assert_eq!(mesh.backend.executions(path), 1);
 
@@ -349,16 +352,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_outcome_outlives_the_caller_and_a_refusal_frees_the_key() {
+async fn the_outcome_is_recorded_without_the_caller_and_a_refusal_releases_the_key() {
     let mesh = Mesh::start("outcome").await;
     let (key, path) = (fresh_key(), "/slow/200");
     let call = tokio::time::timeout(
         Duration::from_millis(100),
         client::send(mesh.edge(0), keyed(&key, path)),
     );
-    assert!(call.await.is_err(), "the caller goes away");
+    assert!(call.await.is_err(), "the caller disconnects");
     let repeat = mesh.send(1, &key, path).await;
-    assert_eq!(repeat.text(), "slow answer");
+    assert_eq!(repeat.text(), "slow response");
     assert_eq!(mesh.backend.executions(path), 1);
 
     let (key, path) = (fresh_key(), "/refuse");
@@ -370,15 +373,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_answer_is_passed_on_once() {
+async fn a_large_response_is_relayed_once_and_not_replayed() {
     let mesh = Mesh::start("large").await;
     let key = fresh_key();
     let body = "x".repeat(20_000);
     let call = |body: &str| {
         Call::post("booking", "/echo", body.to_owned()).header("idempotency-key", &key)
     };
-    let answer = client::send(mesh.edge(0), call(&body)).await.unwrap();
-    assert_eq!(answer.text(), format!("POST /echo {body}"));
+    let response = client::send(mesh.edge(0), call(&body)).await.unwrap();
+    assert_eq!(response.text(), format!("POST /echo {body}"));
     let repeat = client::send(mesh.edge(1), call(&body)).await.unwrap();
     assert_eq!(repeat.code(), Some(ResultCode::AnsweredEarlier));
     assert_eq!(repeat.status, 409);
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration in force follows the platform, through its faults, and never goes back.
+//! Tests that the configuration in force follows the platform despite faults and never returns to
+//! an older revision.
 
 mod support;
 
@@ -15,7 +16,7 @@
     status["revision"].as_u64().unwrap()
 }
 
-async fn reaches(deployment: &Deployment, wanted: u64) {
+async fn wait_for_revision(deployment: &Deployment, wanted: u64) {
     support::eventually("the revision is in force", async || {
         revision(deployment).await == wanted
     })
@@ -41,17 +42,17 @@
         ResultCode::UnknownService
     );
     platform.put(&put_kind());
-    reaches(&deployment, platform.version()).await;
+    wait_for_revision(&deployment, platform.version()).await;
     assert_eq!(code_of(&deployment, "/echo").await, ResultCode::Answered);
     platform.delete("request_kind", "booking_put");
-    reaches(&deployment, platform.version()).await;
+    wait_for_revision(&deployment, platform.version()).await;
     assert_eq!(
         code_of(&deployment, "/echo").await,
         ResultCode::UnknownService
     );
 }
 
-/// An invalid write must neither come into force nor take away what was there.
+/// An invalid write must neither come into force nor remove the version in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_write_leaves_the_last_good_version_in_force() {
     let specs = [
@@ -66,49 +67,49 @@
         deployment
             .platform
             .put_raw("request_kind", "booking_get", spec.clone());
-        reaches(&deployment, deployment.platform.version()).await;
-        let answer = deployment.send(Call::get("booking", "/echo")).await;
-        assert_eq!(answer.code(), Some(ResultCode::Answered), "{spec}");
+        wait_for_revision(&deployment, deployment.platform.version()).await;
+        let response = deployment.send(Call::get("booking", "/echo")).await;
+        assert_eq!(response.code(), Some(ResultCode::Answered), "{spec}");
     }
     deployment.platform.put_raw("colour", "red", json!({}));
     deployment.platform.put(&put_kind());
-    reaches(&deployment, deployment.platform.version()).await;
+    wait_for_revision(&deployment, deployment.platform.version()).await;
     assert_eq!(code_of(&deployment, "/echo").await, ResultCode::Answered);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_platform_that_is_down_changes_nothing_and_is_read_again_later() {
+async fn an_unavailable_platform_changes_nothing_and_is_read_again_later() {
     let deployment = Deployment::start(&["booking"]).await;
     let platform = &deployment.platform;
     platform.set_down(true);
     for _ in 0..20 {
-        let answer = deployment.send(Call::post("booking", "/echo", "x")).await;
-        assert_eq!(answer.code(), Some(ResultCode::Answered));
+        let response = deployment.send(Call::post("booking", "/echo", "x")).await;
+        assert_eq!(response.code(), Some(ResultCode::Answered));
     }
     platform.put(&put_kind());
     platform.set_down(false);
-    reaches(&deployment, platform.version()).await;
+    wait_for_revision(&deployment, platform.version()).await;
     assert_eq!(code_of(&deployment, "/echo").await, ResultCode::Answered);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_event_that_is_missing_is_made_up_for_by_a_list() {
+async fn a_missing_watch_event_is_recovered_by_a_list() {
     let deployment = Deployment::start(&["booking"]).await;
     let platform = &deployment.platform;
-    platform.put_unseen(&put_kind());
+    platform.put_without_event(&put_kind());
     platform.put(&service("slot", &[]));
-    reaches(&deployment, platform.version()).await;
+    wait_for_revision(&deployment, platform.version()).await;
     assert_eq!(code_of(&deployment, "/echo").await, ResultCode::Answered);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_comes_back_older_is_ignored() {
+async fn a_store_restored_to_an_older_revision_is_ignored() {
     let deployment = Deployment::start(&["booking"]).await;
     let platform = &deployment.platform;
     let before = platform.version();
     platform.put(&put_kind());
     let newest = platform.version();
-    reaches(&deployment, newest).await;
+    wait_for_revision(&deployment, newest).await;
     platform.restore(before);
     for _ in 0..50 {
         assert_eq!(revision(&deployment).await, newest);
@@ -123,5 +124,5 @@
             ..booking
         }));
     }
-    reaches(&deployment, newest + 2).await;
+    wait_for_revision(&deployment, newest + 2).await;
 }
--- a/crates/daemon/tests/control_processes.rs
+++ b/crates/daemon/tests/control_processes.rs
@@ -1,4 +1,4 @@
-//! Gossip and configuration relay between daemons that are processes of their own.
+//! Tests of gossip and configuration relay between daemons in separate processes.
 
 mod support;
 
@@ -18,7 +18,7 @@
 const PER_ZONE: usize = 3;
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Two zones of daemons; the machine list stays empty.
+/// Daemons in two zones; the machine list stays empty.
 struct Mesh {
     name: &'static str,
     platform: PlatformStub,
@@ -47,7 +47,7 @@
         mesh
     }
 
-    /// Starts a daemon whose settings name the daemons that run as seeds.
+    /// Starts a daemon with the running daemons as its seeds.
     fn start_daemon(&self, number: usize) -> Process {
         let id = format!("booking-{number}");
         let platform = self.platform.address;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Every daemon routes to this many endpoints.
+    /// Waits until every daemon has this many endpoints.
     async fn wait_until_known(&self, endpoints: usize) {
         for daemon in &self.daemons {
             eventually(&format!("{endpoints} endpoints are known"), async || {
@@ -87,8 +87,8 @@
 }
 
 async fn status(admin: SocketAddr) -> Value {
-    let answer = client::send(admin, Call::get("admin", "/status")).await;
-    let text = answer.map(|answer| answer.text()).unwrap_or_default();
+    let response = client::send(admin, Call::get("admin", "/status")).await;
+    let text = response.map(|response| response.text()).unwrap_or_default();
     serde_json::from_str(&text).unwrap_or_default()
 }
 
@@ -107,7 +107,8 @@
     let newest = mesh.platform.version();
     mesh.wait_until_in_force(newest).await;
     mesh.platform.set_down(true);
-    // One zone at once, then the other: in the end nobody has kept its memory.
+    // Restart all daemons of one zone, then those of the other; afterwards no daemon has kept its
+    // state.
     for zone in 0..ZONES.len() {
         let members: Vec<usize> = (zone..mesh.daemons.len()).step_by(ZONES.len()).collect();
         for &number in &members {
@@ -146,6 +147,6 @@
     };
     let in_time = tokio::time::timeout(Duration::from_secs(2), others_know).await;
     assert!(in_time.is_ok(), "the stop took longer to be known");
-    let readers = mesh.platform.most_watches();
+    let readers = mesh.platform.max_watches();
     assert!(readers <= 6, "{readers} readers of the platform");
 }
--- a/crates/daemon/tests/decisions.rs
+++ b/crates/daemon/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The records of decisions: what `/decisions` serves, and that the decision function reproduces it.
+//! Tests of decision records: `/decisions` serves them, and the decision function reproduces them.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use support::body::TestBody;
-use support::client::{self, Answer, Call};
+use support::client::{self, Call, ClientResponse};
 use support::deployment::{edge_settings, machine, request_kind, standard_resources};
 use support::platform::PlatformStub;
 use tokio::net::TcpListener;
@@ -23,13 +23,14 @@
 use wharfquay_resources::kinds::{ClaimGroup, Resource};
 use wharfquay_resources::snapshot::Snapshot;
 
-/// A level at which only priority 0 passes.
+/// An admission level that admits only priority 0.
 const STRICT_LEVEL: u16 = 4_096;
 
-/// Priority of every request kind: a level that was heard takes longest to reopen for it.
-const LEAST_IMPORTANT: u8 = 7;
+/// Priority of every request kind: after a strict level was received, this priority is admitted
+/// again last.
+const LOWEST_PRIORITY: u8 = 7;
 
-/// A daemon beside a back end, as far as an edge sees it: it answers, and reports a strict level.
+/// Starts an emulated daemon beside a backend that responds and reports a strict admission level.
 async fn start_peer() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -37,7 +38,7 @@
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             let service = service_fn(|_request: Request<Incoming>| async {
-                Ok::<_, Infallible>(answer_with_strict_level())
+                Ok::<_, Infallible>(response_with_strict_level())
             });
             tokio::spawn(async move {
                 let _ = hyper::server::conn::http2::Builder::new(TokioExecutor::new())
@@ -49,7 +50,7 @@
     address
 }
 
-fn answer_with_strict_level() -> Response<TestBody> {
+fn response_with_strict_level() -> Response<TestBody> {
     let level = AdmissionLevel::new(STRICT_LEVEL);
     let metadata = WireAnswer {
         returned: RetryAllowance::NONE,
@@ -63,16 +64,16 @@
     Response::builder()
         .header("wharfquay-result", ResultCode::Answered.number())
         .header("wharfquay-answer", metadata.encode())
-        .body(TestBody::whole("ok".to_owned()))
+        .body(TestBody::complete("ok".to_owned()))
         .unwrap()
 }
 
-/// Services, kinds and a kind that needs an idempotency key.
+/// Returns services, request kinds and a kind that requires an idempotency key.
 fn resources() -> Vec<Resource> {
     let mut resources = standard_resources(&["booking"]);
     for resource in &mut resources {
         if let Resource::RequestKind(kind) = resource {
-            kind.priority = LEAST_IMPORTANT;
+            kind.priority = LOWEST_PRIORITY;
         }
     }
     let Resource::RequestKind(mut keyed) = request_kind("booking", "PUT", false) else {
@@ -126,7 +127,7 @@
         edge
     }
 
-    async fn page(&self, path: &str) -> Answer {
+    async fn page(&self, path: &str) -> ClientResponse {
         let admin = self.daemon.addresses().admin.unwrap();
         client::send(admin, Call::get("admin", path)).await.unwrap()
     }
@@ -145,12 +146,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_decision_is_recorded_as_the_decision_function_takes_it() {
+async fn every_decision_is_recorded_as_the_decision_function_computes_it() {
     let edge = Edge::start(100).await;
     let calls = [
         (Call::get("booking", "/a?x=1"), ResultCode::Answered),
-        // The answer reported a level that the priority does not pass: first for the path of this
-        // kind, and then, for the next kind, at every endpoint of the service.
+        // The response reported a level that does not admit the priority. It applies first to the
+        // path of this request kind and then, for the next kind, to every endpoint of the service.
         (
             Call::get("booking", "/b").header("wharfquay-deadline-ms", "900"),
             ResultCode::RefusedByLevel,
@@ -167,7 +168,7 @@
             },
             ResultCode::MissingIdempotencyKey,
         ),
-        // Refused before the configuration is asked, so not recorded.
+        // Rejected before the configuration is consulted, so not recorded.
         (
             Call::get("booking", "/f").header("wharfquay-deadline-ms", "soon"),
             ResultCode::MalformedRequest,
@@ -178,7 +179,7 @@
         assert_eq!(edge.send(call).await, Some(expected), "{path}");
     }
     let records = edge.decisions("/decisions").await;
-    let told: Vec<(&str, Option<u16>, bool)> = records
+    let recorded: Vec<(&str, Option<u16>, bool)> = records
         .iter()
         .map(|record| {
             (
@@ -190,7 +191,7 @@
         .collect();
     let refused = |code: ResultCode| Some(code.number());
     assert_eq!(
-        told,
+        recorded,
         [
             ("/a", None, true),
             ("/b", refused(ResultCode::RefusedByLevel), false),
@@ -235,19 +236,19 @@
         assert_eq!(paths, expected, "{page}");
     }
     for limit in ["-1", "x", ""] {
-        let answer = edge.page(&format!("/decisions?limit={limit}")).await;
-        assert_eq!(answer.status, http::StatusCode::BAD_REQUEST, "{limit}");
-        assert!(answer.text().contains("allowed"), "{}", answer.text());
+        let response = edge.page(&format!("/decisions?limit={limit}")).await;
+        assert_eq!(response.status, http::StatusCode::BAD_REQUEST, "{limit}");
+        assert!(response.text().contains("allowed"), "{}", response.text());
     }
     edge.daemon.shutdown().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_records_the_page_says_so() {
+async fn without_records_the_page_responds_with_not_found() {
     let edge = Edge::start(0).await;
     edge.send(Call::get("booking", "/a")).await;
-    let answer = edge.page("/decisions").await;
-    assert_eq!(answer.status, http::StatusCode::NOT_FOUND);
-    assert!(answer.text().contains("admin.decision_records"));
+    let response = edge.page("/decisions").await;
+    assert_eq!(response.status, http::StatusCode::NOT_FOUND);
+    assert!(response.text().contains("admin.decision_records"));
     edge.daemon.shutdown().await;
 }
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Back ends that leave: nothing in flight is cut off, nothing new arrives.
+//! Tests of leaving backends: calls in flight complete, and no new calls arrive.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use wharfquay_resources::kinds::{Drain, DrainTarget, Resource};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_lets_calls_in_flight_end_and_refuses_new_ones() {
+async fn a_stop_lets_calls_in_flight_complete_and_refuses_new_ones() {
     let mut deployment = Deployment::start(&["booking"]).await;
     let edge = deployment.edge_address();
     let call = Call::post("booking", "/slow/300", "");
@@ -22,24 +22,24 @@
     .await;
     let stop = tokio::spawn(member.daemon.shutdown());
     support::eventually("new calls are refused", async || {
-        let answer = deployment.send(Call::post("booking", "/new", "")).await;
-        answer.code() != Some(ResultCode::Answered)
+        let response = deployment.send(Call::post("booking", "/new", "")).await;
+        response.code() != Some(ResultCode::Answered)
     })
     .await;
     let executed = member.backend.executions("/new");
     for _ in 0..10 {
-        let answer = deployment.send(Call::post("booking", "/new", "")).await;
-        let code = answer.code().unwrap();
+        let response = deployment.send(Call::post("booking", "/new", "")).await;
+        let code = response.code().unwrap();
         assert_eq!(code.outcome().as_str(), "not-run", "{code:?}");
     }
     assert_eq!(member.backend.executions("/new"), executed);
-    let answer = in_flight.await.unwrap().unwrap();
-    assert_eq!(answer.text(), "slow answer");
+    let response = in_flight.await.unwrap().unwrap();
+    assert_eq!(response.text(), "slow response");
     stop.await.unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_daemon_says_that_it_is_leaving() {
+async fn a_stopping_daemon_reports_that_it_is_leaving() {
     let mut deployment = Deployment::start(&["booking"]).await;
     let edge = deployment.edge_address();
     let in_flight = tokio::spawn(client::send(edge, Call::post("booking", "/slow/300", "")));
@@ -57,13 +57,14 @@
         status["leaving"] == true && status["endpoints"][0]["leaving"] == true
     })
     .await;
-    assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow answer");
+    assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow response");
     stop.await.unwrap();
 }
 
-/// A chain must be able to go on below a back end whose daemon is being stopped.
+/// A call in flight must still be able to make downstream calls while the daemon of its backend
+/// stops.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_lets_calls_in_flight_make_calls_of_their_own() {
+async fn a_stop_lets_calls_in_flight_make_downstream_calls() {
     let mut deployment = Deployment::start(&["booking", "slot"]).await;
     let edge = deployment.edge_address();
     let call = Call::post("booking", "/call/slot/slow/300", "");
@@ -75,12 +76,12 @@
     .await;
     let booking = deployment.members.remove(0);
     tokio::join!(booking.daemon.shutdown(), async {
-        assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow answer");
+        assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow response");
     });
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_edge_refuses_new_requests_and_ends_those_in_flight() {
+async fn a_stopping_edge_refuses_new_requests_and_completes_those_in_flight() {
     let deployment = Deployment::start(&["booking"]).await;
     let edge = deployment.edge_address();
     let slow = Call::post("booking", "/slow/300", "");
@@ -91,11 +92,11 @@
     .await;
     let stop = tokio::spawn(deployment.edge.shutdown());
     support::eventually("new requests are refused", async || {
-        let answer = client::send(edge, Call::post("booking", "/new", "")).await;
-        answer.is_ok_and(|answer| answer.code() == Some(ResultCode::Draining))
+        let response = client::send(edge, Call::post("booking", "/new", "")).await;
+        response.is_ok_and(|response| response.code() == Some(ResultCode::Draining))
     })
     .await;
-    assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow answer");
+    assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow response");
     stop.await.unwrap();
 }
 
@@ -107,9 +108,9 @@
     Stop,
 }
 
-/// Whatever says that one of two back ends leaves, every call goes to the other one.
+/// If any source marks one of two backends as leaving, all calls go to the other one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_back_end_gets_no_new_work_and_no_call_fails() {
+async fn a_leaving_backend_gets_no_new_calls_and_no_call_fails() {
     let sources = [
         Source::MachineList,
         Source::BackendDrain,
@@ -138,8 +139,8 @@
         let mut quiet_rounds = 0;
         let mut rounds = 0;
         while quiet_rounds < 20 {
-            let answer = deployment.send(Call::post("booking", "/work", "")).await;
-            assert_eq!(answer.code(), Some(ResultCode::Answered), "{source:?}");
+            let response = deployment.send(Call::post("booking", "/work", "")).await;
+            assert_eq!(response.code(), Some(ResultCode::Answered), "{source:?}");
             let executed = leaving.backend.executions("/work");
             quiet_rounds = if executed == last {
                 quiet_rounds + 1
--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -1,4 +1,4 @@
-//! Log events: their form, and which of them a daemon in a process of its own writes.
+//! Tests of log events: their format, and the events that a daemon in a separate process logs.
 
 mod support;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_rate_limited_event_tells_how_many_were_held_back() {
+fn a_rate_limited_event_reports_how_many_were_suppressed() {
     let limit = RateLimit::default();
     let start = Instant::now();
     let at = |millis| limit.allow(start + Duration::from_millis(millis));
@@ -48,11 +48,11 @@
 }
 
 #[test]
-fn the_platform_is_available_until_an_attempt_fails() {
+fn the_platform_is_available_until_a_read_fails() {
     let health = PlatformHealth::default();
     assert!(health.is_available());
     for _ in 0..2 {
-        health.record_failure(&"no answer");
+        health.record_failure(&"no response");
         assert!(!health.is_available());
     }
     for _ in 0..2 {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The names after `event=` in the sources of a crate.
+/// Collects the names after `event=` in the sources of a crate.
 fn names_in_sources(directory: &Path, names: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Crates without access to the catalogue, and modules that don't use it, keep to its names.
+/// Crates and modules that log without the catalogue must use only event names of the catalogue.
 #[test]
 fn every_event_in_the_sources_is_in_the_catalogue() {
     let mut names = BTreeSet::new();
@@ -93,7 +93,7 @@
         .iter()
         .map(|event| event.name().to_owned())
         .collect();
-    assert_eq!(known.len(), Event::ALL.len(), "a name stands twice");
+    assert_eq!(known.len(), Event::ALL.len(), "duplicate event name");
     let unknown: Vec<&String> = names.difference(&known).collect();
     assert!(
         unknown.is_empty(),
@@ -101,7 +101,7 @@
     );
 }
 
-/// A daemon in a process of its own, and the lines that it has written.
+/// A daemon in a separate process and the log lines that it has written.
 struct LoggedDaemon {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
@@ -129,7 +129,7 @@
         Self { child, lines }
     }
 
-    /// The lines of one event.
+    /// Returns the lines of one event.
     fn of(&self, event: Event) -> Vec<String> {
         let prefix = format!("event={} ", event.name());
         let lines = self.lines.lock().unwrap();
@@ -146,7 +146,7 @@
         self.of(event)
     }
 
-    /// Every line has the name, the level and the fields of an event of the catalogue.
+    /// Checks that every line has the name, the level and the fields of an event in the catalogue.
     fn check_lines(&self) {
         for line in self.lines.lock().unwrap().iter() {
             check_line(line);
@@ -168,7 +168,7 @@
     pairs.find(|(name, _)| *name == key).unwrap().1
 }
 
-/// The keys of a line; values in quotes may contain anything.
+/// Returns the keys of a line; quoted values may contain any character.
 fn keys(line: &str) -> Vec<String> {
     let mut keys = Vec::new();
     let mut rest = line;
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edge_writes_the_events_of_its_life() {
+async fn an_edge_logs_the_events_from_start_to_stop() {
     let platform = PlatformStub::start().await;
     for resource in standard_resources(&["booking"]) {
         platform.put(&resource);
@@ -225,7 +225,7 @@
         let line = daemon.wait_for(event).await;
         assert_eq!(field(&line, "id"), "booking-1");
     }
-    // However a poll divides them, one part is large.
+    // Whatever part of these changes one poll sees, at least one poll sees more than 32.
     for number in 0..80 {
         platform.put_machine(machine(
             &format!("more-{number}"),
@@ -239,8 +239,8 @@
     let begun = Instant::now();
     for _ in 0..20 {
         let call = Call::get("booking", "/").header("wharfquay-deadline-ms", "soon");
-        let answer = client::send(edge, call).await.unwrap();
-        assert_eq!(answer.code(), Some(ResultCode::MalformedRequest));
+        let response = client::send(edge, call).await.unwrap();
+        assert_eq!(response.code(), Some(ResultCode::MalformedRequest));
     }
     daemon.wait_for(Event::RequestMalformed).await;
     let written = daemon.of(Event::RequestMalformed).len();
@@ -256,17 +256,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_is_followed_and_a_repeated_failure_is_not_repeated() {
+async fn a_drain_is_logged_from_start_to_withdrawal() {
     let platform = PlatformStub::start().await;
     for resource in standard_resources(&["booking"]) {
         platform.put(&resource);
     }
-    let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let text = member_text(
         platform.address,
         "booking-1",
         "booking",
-        nobody,
+        unused_address,
         "127.0.0.1:0",
     );
     let daemon = LoggedDaemon::start("member", &text);
@@ -284,7 +284,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_platform_that_stays_down_is_told_once() {
+async fn an_unavailable_platform_is_logged_once() {
     let text = member_text(
         "127.0.0.1:9".parse().unwrap(),
         "booking-1",
@@ -293,7 +293,7 @@
         "127.0.0.1:0",
     );
     let daemon = LoggedDaemon::start("alone", &text);
-    // Attempts go on, as the reader's lines show.
+    // The log events of the configuration reader show that attempts continue.
     daemon
         .wait_for_lines(Event::ConfigurationReadFailed, 3)
         .await;
--- a/crates/daemon/tests/levels.rs
+++ b/crates/daemon/tests/levels.rs
@@ -1,4 +1,4 @@
-//! What answers tell of their back ends, and what it does to later calls.
+//! Tests of the load and admission levels in responses and of their effect on later calls.
 
 mod support;
 
@@ -6,16 +6,17 @@
 use support::deployment::{
     Deployment, edge_settings, request_kind, service, standard_resources, wait_for_endpoints,
 };
-use support::peer::{PeerAnswer, PeerStub, start_peers};
+use support::peer::{PeerResponse, PeerStub, start_peers};
 use support::platform::PlatformStub;
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::AdmissionLevel;
 use wharfquay_daemon::{Daemon, RunningDaemon};
 
-/// Calls after the one that told of a level; they end well before it has reopened.
+/// Number of calls after the response that reported a level; they complete long before the level
+/// reopens.
 const CALLS: usize = 20;
 
-const BUSY: PeerAnswer = PeerAnswer {
+const BUSY: PeerResponse = PeerResponse {
     code: ResultCode::Answered,
     status: 200,
     level: AdmissionLevel::CLOSED,
@@ -23,7 +24,7 @@
     incarnation: 0,
 };
 
-const BUSY_BELOW: PeerAnswer = PeerAnswer {
+const BUSY_BELOW: PeerResponse = PeerResponse {
     level: AdmissionLevel::OPEN,
     ..BUSY
 };
@@ -36,15 +37,15 @@
 }
 
 impl Edge {
-    async fn start(answers: &[PeerAnswer]) -> Self {
+    async fn start(responses: &[PeerResponse]) -> Self {
         let platform = PlatformStub::start().await;
         for resource in standard_resources(&["booking"]) {
             platform.put(&resource);
         }
-        let peers = start_peers(&platform, "booking", answers).await;
+        let peers = start_peers(&platform, "booking", responses).await;
         let daemon = Daemon::start(edge_settings(&platform, "")).await.unwrap();
         let admin = daemon.addresses().admin.unwrap();
-        wait_for_endpoints(admin, answers.len()).await;
+        wait_for_endpoints(admin, responses.len()).await;
         Self {
             peers,
             daemon,
@@ -54,15 +55,15 @@
 
     async fn send(&self) -> Option<ResultCode> {
         let address = self.daemon.addresses().edge.unwrap();
-        let answer = client::send(address, Call::get("booking", "/work")).await;
-        answer.unwrap().code()
+        let response = client::send(address, Call::get("booking", "/work")).await;
+        response.unwrap().code()
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_busy_back_end_does_not_close_the_service_while_a_sibling_admits() {
-    let edge = Edge::start(&[BUSY, PeerAnswer::default()]).await;
-    support::eventually("the busy back end was heard", async || {
+async fn a_busy_backend_does_not_close_the_service_while_a_sibling_admits() {
+    let edge = Edge::start(&[BUSY, PeerResponse::default()]).await;
+    support::eventually("the busy backend has responded", async || {
         assert_eq!(edge.send().await, Some(ResultCode::Answered));
         edge.peers[0].calls() > 0
     })
@@ -73,19 +74,24 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edge_refuses_early_what_every_back_end_or_the_path_below_would_refuse() {
-    for answer in [BUSY, BUSY_BELOW] {
-        let edge = Edge::start(&[answer]).await;
-        assert_eq!(edge.send().await, Some(ResultCode::Answered), "{answer:?}");
+async fn an_edge_refuses_early_what_every_backend_or_the_path_below_would_refuse() {
+    for response in [BUSY, BUSY_BELOW] {
+        let edge = Edge::start(&[response]).await;
+        assert_eq!(
+            edge.send().await,
+            Some(ResultCode::Answered),
+            "{response:?}"
+        );
         let refused = edge.send().await;
-        assert_eq!(refused, Some(ResultCode::RefusedByLevel), "{answer:?}");
-        assert_eq!(edge.peers[0].calls(), 1, "{answer:?}");
+        assert_eq!(refused, Some(ResultCode::RefusedByLevel), "{response:?}");
+        assert_eq!(edge.peers[0].calls(), 1, "{response:?}");
     }
 }
 
-/// The edge does not call the deep service itself: only the folded level can tell it.
+/// The edge does not call the downstream service itself, so it can only learn its level from the
+/// folded level of the upstream one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_level_that_every_deep_back_end_has_is_folded_up_to_the_edge() {
+async fn the_level_of_all_downstream_backends_is_folded_up_to_the_edge() {
     let resources = [
         service("booking", &["slot"]),
         service("slot", &[]),
@@ -99,23 +105,23 @@
     let backend = &deployment.members[0].backend;
     support::eventually("the edge refuses early", async || {
         let executed = backend.executions("/call/slot/work");
-        let answer = deployment
+        let response = deployment
             .send(Call::get("booking", "/call/slot/work"))
             .await;
-        answer.code() == Some(ResultCode::RefusedByLevel)
+        response.code() == Some(ResultCode::RefusedByLevel)
             && backend.executions("/call/slot/work") == executed
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_that_fails_fast_does_not_attract_calls() {
-    let failing = PeerAnswer {
+async fn a_backend_that_fails_fast_does_not_attract_calls() {
+    let failing = PeerResponse {
         status: 500,
-        ..PeerAnswer::default()
+        ..PeerResponse::default()
     };
-    let edge = Edge::start(&[failing, PeerAnswer::default()]).await;
-    support::eventually("the failing back end was heard", async || {
+    let edge = Edge::start(&[failing, PeerResponse::default()]).await;
+    support::eventually("the failing backend has responded", async || {
         edge.send().await;
         edge.peers[0].calls() > 0
     })
--- a/crates/daemon/tests/machine_list.rs
+++ b/crates/daemon/tests/machine_list.rs
@@ -1,12 +1,12 @@
-//! The platform's machine list, which lags and is read by every daemon.
+//! Tests of polling the platform's machine list, which may lag.
 
 mod support;
 
 use support::client::{self, Call};
 use support::deployment::{Deployment, machine};
 
-/// Reads after which a daemon has surely taken in what it was served: each daemon reads once an
-/// interval, and there are two of them.
+/// Number of reads after which every daemon has processed the served list: each of the two daemons
+/// reads it once per interval.
 const READS: usize = 12;
 
 async fn leaving(deployment: &Deployment) -> bool {
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_older_list_is_not_taken_over() {
+async fn an_older_list_is_ignored() {
     let deployment = Deployment::start(&["booking"]).await;
     let platform = &deployment.platform;
     let live = platform.machines_version();
@@ -46,7 +46,7 @@
         platform.machine_reads().0 >= read + READS
     })
     .await;
-    // A read of each daemon may have been under way.
+    // Each daemon may have had a read in flight.
     let daemons = deployment.members.len() + 1;
     let sent_since = platform.machine_reads().1 - sent;
     assert!(sent_since <= daemons, "{sent_since}");
--- a/crates/daemon/tests/operations_page.rs
+++ b/crates/daemon/tests/operations_page.rs
@@ -1,6 +1,6 @@
-//! `docs/OPERATIONS.md` lists exactly the log events and the metrics that the daemon has.
+//! Tests that `docs/OPERATIONS.md` lists exactly the log events and metrics of the daemon.
 //!
-//! `UPDATE_PAGES=1 cargo test -p wharfquay-daemon --test operations_page` writes its tables anew.
+//! `UPDATE_PAGES=1 cargo test -p wharfquay-daemon --test operations_page` regenerates its tables.
 
 mod support;
 
@@ -23,7 +23,7 @@
     std::fs::read_to_string(page_path()).unwrap()
 }
 
-/// The text between the markers of a section.
+/// Splits the page into the text before, within and after the generated part of a section.
 fn section<'a>(page: &'a str, name: &str) -> (&'a str, &'a str, &'a str) {
     let begin = format!("<!-- begin generated: {name} -->\n");
     let end = format!("<!-- end generated: {name} -->");
@@ -88,14 +88,14 @@
     text
 }
 
-/// One test, since both tables stand in one file.
+/// A single test for both tables, because both are in one file that an update rewrites.
 #[test]
 fn the_tables_are_up_to_date() {
     check_section("events", &event_table());
     check_section("metrics", &metric_table());
 }
 
-/// The metrics that a page names, with their kinds.
+/// Returns the metrics of a `/metrics` page with their types.
 fn served(text: &str) -> BTreeMap<String, String> {
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let pairs = types.map(|line| line.split_once(' ').unwrap());
@@ -105,11 +105,11 @@
 }
 
 async fn fetch(admin: SocketAddr, path: &str) -> String {
-    let answer = client::send(admin, Call::get("admin", path)).await.unwrap();
-    answer.text()
+    let response = client::send(admin, Call::get("admin", path)).await.unwrap();
+    response.text()
 }
 
-/// Every sample belongs to the metric above it and has the labels that the page lists.
+/// Checks that every sample belongs to a metric of the catalogue and has its labels.
 fn check_samples(text: &str) {
     for line in text.lines().filter(|line| !line.starts_with('#')) {
         let (name, _value) = line.rsplit_once(' ').unwrap();
@@ -173,7 +173,7 @@
     }
 }
 
-/// The status page has the fields of its type, and the page of operations names each of them.
+/// The `/status` page has the fields of its type, and `docs/OPERATIONS.md` describes each of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_status_fields_are_documented() {
     let deployment = Deployment::start(&["booking"]).await;
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -1,4 +1,5 @@
-//! What a caller is told about each way in which a call can fail, and how often it was executed.
+//! Tests of the result code that a caller receives for each kind of failure, and of the number of
+//! executions.
 
 mod support;
 
@@ -6,22 +7,22 @@
 
 use http::StatusCode;
 use http_body_util::BodyExt;
-use support::NobodyListens;
-use support::client::{self, Answer, Call};
+use support::UnusedPort;
+use support::client::{self, Call, ClientResponse};
 use support::deployment::{Deployment, request_kind, standard_resources};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_resources::kinds::{ClaimGroup, Resource};
 
-/// One fault and what must come of it.
+/// A fault and its expected result.
 struct Case {
     call: Call,
-    /// Requests that fail before one succeeds, on the path `/flaky`.
+    /// Number of requests for `/flaky` that fail before one succeeds.
     failures: usize,
     status: u16,
     code: ResultCode,
-    /// Executions at the back end, at least and at most.
+    /// Minimum and maximum number of executions at the backend.
     executions: (usize, usize),
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-fn own_status(call: Call, status: u16) -> Case {
+fn backend_status(call: Call, status: u16) -> Case {
     Case {
         status,
         ..case(call, ResultCode::Answered, (1, 1))
@@ -64,14 +65,14 @@
         flaky(post("/flaky"), 502, Code::ConnectionLost, (1, 1)),
         flaky(large(), 502, Code::ConnectionLost, (1, 1)),
         case(post("/raw/garbage"), Code::MalformedAnswer, (1, 1)),
-        case(post("/raw/unmarked-end"), Code::MalformedAnswer, (1, 1)),
+        case(post("/raw/no-length"), Code::MalformedAnswer, (1, 1)),
         case(post("/raw/close"), Code::ConnectionLost, (1, 1)),
-        own_status(get("/status/500"), 500),
-        own_status(get("/status/503"), 503),
-        own_status(get("/status/404"), 404),
+        backend_status(get("/status/500"), 500),
+        backend_status(get("/status/503"), 503),
+        backend_status(get("/status/404"), 404),
         case(Call::get("nowhere", "/"), Code::UnknownService, (0, 0)),
         case(Call::get("", "/"), Code::MalformedRequest, (0, 0)),
-        case(asterisk(), Code::UnknownService, (0, 0)),
+        case(options_asterisk(), Code::UnknownService, (0, 0)),
         case(
             get("/echo").header("wharfquay-deadline-ms", "soon"),
             Code::MalformedRequest,
@@ -90,8 +91,8 @@
     ]
 }
 
-/// A request without a path.
-fn asterisk() -> Call {
+/// A request with the target `*` instead of a path.
+fn options_asterisk() -> Call {
     let mut call = Call::get("booking", "*");
     call.method = http::Method::OPTIONS;
     call
@@ -105,12 +106,12 @@
         backend.fail_next(case.failures);
         let path = case.call.path.clone();
         let shown = format!("{} {path} {:?}", case.call.method, case.call.headers);
-        let answer = deployment.send(case.call).await;
-        assert_eq!(answer.code(), Some(case.code), "{shown}");
-        assert_eq!(answer.status.as_u16(), case.status, "{shown}");
+        let response = deployment.send(case.call).await;
+        assert_eq!(response.code(), Some(case.code), "{shown}");
+        assert_eq!(response.status.as_u16(), case.status, "{shown}");
         let outcome = case.code.outcome();
         assert_eq!(
-            answer.header("wharfquay-outcome"),
+            response.header("wharfquay-outcome"),
             Some(outcome.as_str()),
             "{shown}"
         );
@@ -121,10 +122,10 @@
             "{shown}: executed {executed}"
         );
         if case.code.wants_retry_after() && outcome == OutcomeClass::NotRun {
-            let seconds: u64 = answer.header("retry-after").unwrap().parse().unwrap();
+            let seconds: u64 = response.header("retry-after").unwrap().parse().unwrap();
             assert!(seconds >= 1, "{shown}");
             assert!(
-                answer.header("wharfquay-retry-after-ms").is_some(),
+                response.header("wharfquay-retry-after-ms").is_some(),
                 "{shown}"
             );
         }
@@ -133,12 +134,12 @@
     }
 }
 
-/// The answer is cut once the caller has its head and its first bytes.
+/// The response is truncated after the caller has received its head and its first bytes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_body_never_ends_cleanly() {
+async fn a_truncated_body_never_ends_cleanly() {
     let deployment = Deployment::start(&["booking"]).await;
     let backend = &deployment.members[0].backend;
-    for path in ["/cut", "/raw/short"] {
+    for path in ["/truncate", "/raw/short"] {
         for call in [
             Call::get("booking", path),
             Call::get("booking", path).http2(),
@@ -149,59 +150,60 @@
             assert_eq!(response.status(), StatusCode::OK, "{shown}");
             let first = response.body_mut().frame().await;
             assert!(first.unwrap().unwrap().is_data(), "{shown}");
-            backend.cut.notify_one();
+            backend.truncate.notify_one();
             let rest = response.into_body().collect().await;
             assert!(rest.is_err(), "{shown}: {rest:?}");
         }
     }
 }
 
-/// Whether the head left before the cut is up to the connection; a clean end is not.
+/// The response is truncated right after its head, which the caller may receive or not. In neither
+/// case may the response look complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_cut_at_once_is_no_whole_answer() {
+async fn a_response_truncated_immediately_is_not_complete() {
     let deployment = Deployment::start(&["booking"]).await;
     for _ in 0..20 {
-        let call = Call::post("booking", "/raw/short-at-once", "");
-        let answer = deployment.send(call).await;
-        let lost = answer.code() == Some(ResultCode::ConnectionLost);
-        assert!(lost || answer.body.is_err(), "{answer:?}");
+        let call = Call::post("booking", "/raw/short-immediately", "");
+        let response = deployment.send(call).await;
+        let lost = response.code() == Some(ResultCode::ConnectionLost);
+        assert!(lost || response.body.is_err(), "{response:?}");
     }
     let executed = deployment.members[0]
         .backend
-        .executions("/raw/short-at-once");
+        .executions("/raw/short-immediately");
     assert_eq!(executed, 20);
 }
 
-async fn send_with_short_deadline(deployment: &Deployment, path: &str) -> Answer {
+async fn send_with_short_deadline(deployment: &Deployment, path: &str) -> ClientResponse {
     let started = Instant::now();
     let call = Call::get("booking", path).header("wharfquay-deadline-ms", "100");
-    let answer = deployment.send(call).await;
+    let response = deployment.send(call).await;
     let took = started.elapsed();
     assert!(took < Duration::from_secs(1), "{path} took {took:?}");
-    answer
+    response
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deadline_ends_in_an_answer_and_in_cancellation() {
+async fn a_passed_deadline_gets_a_response_and_cancels_the_execution() {
     let deployment = Deployment::start(&["booking"]).await;
-    let answer = send_with_short_deadline(&deployment, "/slow/5000").await;
-    assert_eq!(answer.code(), Some(ResultCode::DeadlineAfterDispatch));
-    assert!(answer.header("retry-after").is_some());
+    let response = send_with_short_deadline(&deployment, "/slow/5000").await;
+    assert_eq!(response.code(), Some(ResultCode::DeadlineAfterDispatch));
+    assert!(response.header("retry-after").is_some());
     support::eventually("the execution is cancelled", async || {
         deployment.members[0].backend.cancelled() == 1
     })
     .await;
 }
 
-/// The deadline reaches the last hop a little earlier, so the first back end may still pass on what
-/// it was told; the stand-in passes on the status.
+/// The deadline at the last hop is slightly earlier, so the first backend may still relay the
+/// failure that it received; the emulated backend relays the status.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deadline_holds_along_a_chain() {
+async fn a_deadline_applies_along_a_chain() {
     let deployment = Deployment::start(&["booking", "slot"]).await;
-    let answer = send_with_short_deadline(&deployment, "/call/slot/slow/5000").await;
+    let response = send_with_short_deadline(&deployment, "/call/slot/slow/5000").await;
     let allowed = [ResultCode::DeadlineAfterDispatch, ResultCode::Answered];
-    assert!(allowed.contains(&answer.code().unwrap()), "{answer:?}");
-    assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
+    assert!(allowed.contains(&response.code().unwrap()), "{response:?}");
+    assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
     support::eventually("the last execution is cancelled", async || {
         deployment.members[1].backend.cancelled() == 1
     })
@@ -209,20 +211,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_back_end_that_is_down_is_not_run() {
+async fn a_call_to_an_unreachable_daemon_is_not_run() {
     let deployment = Deployment::start(&["booking"]).await;
-    let nobody = NobodyListens::bind();
-    let address = nobody.address();
+    let unused_port = UnusedPort::bind();
+    let address = unused_port.address();
     let machine = support::deployment::machine("booking-0", "booking", address, "live");
     deployment.platform.put_machine(machine);
-    support::eventually("the daemon that is gone is called", async || {
-        let answer = deployment.send(Call::post("booking", "/echo", "x")).await;
-        answer.code() == Some(ResultCode::ConnectFailed)
+    support::eventually("the unreachable daemon is called", async || {
+        let response = deployment.send(Call::post("booking", "/echo", "x")).await;
+        response.code() == Some(ResultCode::ConnectFailed)
     })
     .await;
 }
 
-/// A deployment whose request kind for PUT needs a key, claimed at one replica.
+/// Starts a deployment whose request kind for PUT requires an idempotency key, with a claim group
+/// of one replica.
 async fn deployment_with_claims(replica: &str) -> Deployment {
     let mut resources = standard_resources(&["booking"]);
     let Resource::RequestKind(mut kind) = request_kind("booking", "PUT", false) else {
@@ -257,25 +260,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_is_required_must_be_there() {
+async fn a_required_key_must_be_present() {
     let deployment = deployment_with_claims("edge").await;
-    let answer = deployment.send(put_call()).await;
-    assert_eq!(answer.code(), Some(ResultCode::MissingIdempotencyKey));
+    let response = deployment.send(put_call()).await;
+    assert_eq!(response.code(), Some(ResultCode::MissingIdempotencyKey));
     assert_eq!(deployment.members[0].backend.executions("/echo"), 0);
-    support::eventually("the edge's own replica votes", async || {
-        let answer = deployment.send(keyed_call()).await;
-        answer.code() == Some(ResultCode::Answered)
+    support::eventually("the replica of the edge votes", async || {
+        let response = deployment.send(keyed_call()).await;
+        response.code() == Some(ResultCode::Answered)
     })
     .await;
-    let answer = deployment.send(put_call()).await;
-    assert_eq!(answer.code(), Some(ResultCode::MissingIdempotencyKey));
+    let response = deployment.send(put_call()).await;
+    assert_eq!(response.code(), Some(ResultCode::MissingIdempotencyKey));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_nobody_can_claim_is_not_dispatched() {
-    let deployment = deployment_with_claims("nobody").await;
-    let answer = deployment.send(keyed_call()).await;
-    assert_eq!(answer.code(), Some(ResultCode::ClaimUndetermined));
+async fn a_call_whose_key_cannot_be_claimed_is_not_dispatched() {
+    let deployment = deployment_with_claims("unused_port").await;
+    let response = deployment.send(keyed_call()).await;
+    assert_eq!(response.code(), Some(ResultCode::ClaimUndetermined));
     assert_eq!(deployment.members[0].backend.executions("/echo"), 0);
 }
 
@@ -303,18 +306,18 @@
             get().header("wharfquay-scope", "no scope"),
             ResultCode::InvalidContext,
         ),
-        (outbound, asterisk(), ResultCode::MalformedRequest),
+        (outbound, options_asterisk(), ResultCode::MalformedRequest),
         (outbound, get(), ResultCode::Answered),
     ];
     for (address, call, expected) in cases {
         let shown = format!("{:?}", call.headers);
-        let answer = client::send(address, call).await.unwrap();
-        assert_eq!(answer.code(), Some(expected), "{shown}");
+        let response = client::send(address, call).await.unwrap();
+        assert_eq!(response.code(), Some(expected), "{shown}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_bytes_get_4xx_and_the_daemon_goes_on() {
+async fn malformed_bytes_get_4xx_and_the_daemon_keeps_serving() {
     let deployment = Deployment::start(&["booking"]).await;
     let endless = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "z".repeat(300_000));
     let cases = [
@@ -324,7 +327,7 @@
     ];
     for (sent, expected) in cases {
         let mut stream = TcpStream::connect(deployment.edge_address()).await.unwrap();
-        // The daemon may close before it has read everything.
+        // The daemon may close the connection before it has read everything.
         let _ = stream.write_all(sent.as_bytes()).await;
         let mut received = vec![0; 12];
         let read = stream.read_exact(&mut received).await;
@@ -333,7 +336,7 @@
             read.is_ok() && received == expected,
             "{received:?} for {expected}"
         );
-        let answer = deployment.send(Call::get("booking", "/echo")).await;
-        assert_eq!(answer.code(), Some(ResultCode::Answered));
+        let response = deployment.send(Call::get("booking", "/echo")).await;
+        assert_eq!(response.code(), Some(ResultCode::Answered));
     }
 }
--- a/crates/daemon/tests/pause.rs
+++ b/crates/daemon/tests/pause.rs
@@ -1,4 +1,4 @@
-//! Pauses of the process, seen from late beats.
+//! Tests of the detection of process pauses by late ticks.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn regular_beats_are_no_pause() {
+fn regular_ticks_are_no_pause() {
     let detector = PauseDetector::new(at(0));
     for tick in 1..100 {
         assert_eq!(detector.tick(at(tick * 20)), None);
@@ -18,7 +18,7 @@
     }
 }
 
-/// Time of a question and the wait that is suspected then; beats stop at 40 ms and resume at 540 ms.
+/// Ticks stop at 40 ms and resume at 540 ms; the possible wait is checked at several times.
 #[test]
 fn a_pause_counts_for_what_is_read_during_and_after_it() {
     let detector = PauseDetector::new(at(0));
--- a/crates/daemon/tests/peers.rs
+++ b/crates/daemon/tests/peers.rs
@@ -1,4 +1,5 @@
-//! What the end of a stream says about a request: only proof makes it unprocessed.
+//! Tests of how the end of an HTTP/2 stream is classified: a request counts as unprocessed only if
+//! the peer reports that.
 
 mod support;
 
@@ -6,7 +7,7 @@
 use std::time::Duration;
 
 use http::Request;
-use support::NobodyListens;
+use support::UnusedPort;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use wharfquay_daemon::body::RequestBody;
@@ -15,7 +16,7 @@
 const TIMEOUT: Duration = Duration::from_secs(1);
 const HEADER_BYTES: u32 = 16_384;
 
-/// Types, flags and error codes of HTTP/2 frames.
+/// Types and error codes of HTTP/2 frames.
 const HEADERS: u8 = 1;
 const RST_STREAM: u8 = 3;
 const SETTINGS: u8 = 4;
@@ -48,7 +49,7 @@
     frame(GOAWAY, 0, &payload)
 }
 
-/// Reads until the head of the first request is there.
+/// Reads until the head of the first request has arrived.
 async fn read_request(stream: &mut TcpStream) {
     let mut preface = [0; PREFACE_LENGTH];
     stream.read_exact(&mut preface).await.unwrap();
@@ -64,15 +65,15 @@
     }
 }
 
-/// A peer that takes one request, sends `last_words` and closes the connection.
-async fn peer(last_words: Vec<u8>) -> SocketAddr {
+/// Starts a peer that accepts one request, sends `final_frames` and closes the connection.
+async fn peer(final_frames: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         stream.write_all(&frame(SETTINGS, 0, &[])).await.unwrap();
         read_request(&mut stream).await;
-        stream.write_all(&last_words).await.unwrap();
+        stream.write_all(&final_frames).await.unwrap();
         stream.shutdown().await.unwrap();
     });
     address
@@ -99,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn only_proof_makes_a_request_unprocessed() {
+async fn a_request_is_unprocessed_only_if_the_peer_reports_it() {
     let cases = [
         ("closed", Vec::new(), Expected::Lost),
         ("refused", reset(REFUSED_STREAM), Expected::Unprocessed),
@@ -126,14 +127,14 @@
             Expected::Lost,
         ),
     ];
-    for (what, last_words, expected) in cases {
-        let address = peer(last_words).await;
+    for (what, final_frames, expected) in cases {
+        let address = peer(final_frames).await;
         assert_eq!(outcome(address).await, expected, "{what}");
     }
 }
 
 #[tokio::test]
-async fn a_peer_that_is_down_saw_nothing() {
-    let nobody = NobodyListens::bind();
-    assert_eq!(outcome(nobody.address()).await, Expected::NotSent);
+async fn a_request_to_an_unreachable_peer_is_not_sent() {
+    let unused_port = UnusedPort::bind();
+    assert_eq!(outcome(unused_port.address()).await, Expected::NotSent);
 }
--- a/crates/daemon/tests/priority.rs
+++ b/crates/daemon/tests/priority.rs
@@ -1,4 +1,5 @@
-//! When capacity runs short, important requests are refused only after less important ones.
+//! Tests that under overload, requests of high priority are refused only after those of lower
+//! priority.
 
 mod support;
 
@@ -11,14 +12,14 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_resources::kinds::Resource;
 
-const IMPORTANT: u8 = 0;
-const UNIMPORTANT: u8 = 6;
-/// Requests of little importance that are sent at the same time.
+const HIGH_PRIORITY: u8 = 0;
+const LOW_PRIORITY: u8 = 6;
+/// Number of low-priority requests that are sent concurrently.
 const FLOOD: usize = 200;
-/// Important requests that are sent one after the other while the flood is on.
-const IMPORTANT_REQUESTS: usize = 10;
+/// Number of high-priority requests that are sent in sequence during the flood.
+const HIGH_PRIORITY_REQUESTS: usize = 10;
 
-/// One service with two slots; PUT is important, POST is not.
+/// One service with two slots; PUT has high priority, POST low priority.
 fn resources() -> Vec<Resource> {
     let Resource::Service(mut booking) = service("booking", &[]) else {
         unreachable!("a service was made");
@@ -34,24 +35,24 @@
     };
     vec![
         Resource::Service(booking),
-        kind("PUT", IMPORTANT),
-        kind("POST", UNIMPORTANT),
+        kind("PUT", HIGH_PRIORITY),
+        kind("POST", LOW_PRIORITY),
     ]
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_flood_of_unimportant_requests_refuses_no_important_one() {
+async fn a_flood_of_low_priority_requests_causes_no_refusal_of_high_priority_ones() {
     let deployment = Deployment::start_with(&["booking"], &resources()).await;
     let edge = deployment.edge_address();
     let flood: Vec<_> = (0..FLOOD)
         .map(|_| tokio::spawn(client::send(edge, Call::post("booking", "/slow/20", ""))))
         .collect();
-    for number in 0..IMPORTANT_REQUESTS {
+    for number in 0..HIGH_PRIORITY_REQUESTS {
         let mut call = Call::post("booking", "/slow/5", "");
         call.method = Method::PUT;
-        let answer = deployment.send(call).await;
+        let response = deployment.send(call).await;
         assert_eq!(
-            answer.code(),
+            response.code(),
             Some(ResultCode::Answered),
             "request {number}"
         );
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Faults that only processes have: a daemon that is killed or frozen in the middle of a call, bad
-//! command lines, and ports in use.
+//! Tests of faults that require separate processes: a daemon is killed or paused during a call, the
+//! command line is invalid, or a port is in use.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::process::{PROGRAM, Process, settings_file};
 use wharfquay_core::outcome::ResultCode;
 
-/// An edge and one back end with its daemon, each daemon a process.
+/// An edge and one backend with its daemon; each daemon is a separate process.
 struct Mesh {
     platform: PlatformStub,
     backend: BackendStub,
@@ -48,20 +48,20 @@
             edge,
         };
         support::eventually("calls get through", async || {
-            let answer = mesh.send(Call::get("booking", "/echo")).await;
-            answer.code() == Some(ResultCode::Answered)
+            let response = mesh.send(Call::get("booking", "/echo")).await;
+            response.code() == Some(ResultCode::Answered)
         })
         .await;
         mesh
     }
 
-    async fn send(&self, call: Call) -> client::Answer {
+    async fn send(&self, call: Call) -> client::ClientResponse {
         client::send(self.edge.address("edge"), call).await.unwrap()
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_killed_in_the_middle_of_a_call_leaves_it_unknown() {
+async fn the_outcome_of_a_call_is_unknown_if_the_daemon_is_killed() {
     let mut mesh = Mesh::start("kill").await;
     let edge = mesh.edge.address("edge");
     let call = Call::post("booking", "/slow/60000", "");
@@ -71,48 +71,48 @@
     })
     .await;
     mesh.member.kill();
-    let answer = in_flight.await.unwrap().unwrap();
-    assert_eq!(answer.code(), Some(ResultCode::ConnectionLost));
-    assert_eq!(answer.header("wharfquay-outcome"), Some("unknown"));
+    let response = in_flight.await.unwrap().unwrap();
+    assert_eq!(response.code(), Some(ResultCode::ConnectionLost));
+    assert_eq!(response.header("wharfquay-outcome"), Some("unknown"));
     let next = mesh.send(Call::post("booking", "/slow/60000", "")).await;
     assert_eq!(next.header("wharfquay-outcome"), Some("not-run"));
     assert_eq!(mesh.backend.executions("/slow/60000"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_daemon_ends_in_an_answer_by_the_deadline() {
-    let mesh = Mesh::start("freeze").await;
-    mesh.member.freeze().await;
+async fn a_call_to_a_paused_daemon_gets_a_response_by_the_deadline() {
+    let mesh = Mesh::start("pause").await;
+    mesh.member.pause().await;
     let started = Instant::now();
-    let call = Call::post("booking", "/frozen", "").header("wharfquay-deadline-ms", "300");
-    let answer = mesh.send(call).await;
+    let call = Call::post("booking", "/paused", "").header("wharfquay-deadline-ms", "300");
+    let response = mesh.send(call).await;
     let took = started.elapsed();
-    assert_eq!(answer.code(), Some(ResultCode::DeadlineAfterDispatch));
+    assert_eq!(response.code(), Some(ResultCode::DeadlineAfterDispatch));
     assert!(took < Duration::from_secs(1), "took {took:?}");
-    mesh.member.thaw();
+    mesh.member.resume();
     support::eventually("calls get through again", async || {
-        let answer = mesh.send(Call::get("booking", "/echo")).await;
-        answer.code() == Some(ResultCode::Answered)
+        let response = mesh.send(Call::get("booking", "/echo")).await;
+        response.code() == Some(ResultCode::Answered)
     })
     .await;
-    assert!(mesh.backend.executions("/frozen") <= 1);
+    assert!(mesh.backend.executions("/paused") <= 1);
 }
 
-/// Calls that were cancelled while the daemon was frozen must not be run when it wakes up, whether it
-/// reads the cancellation before or after it reads the next call.
+/// Calls that were cancelled while the daemon was paused must not be run when it resumes, whether
+/// it reads the cancellation before or after the next call.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_daemon_that_wakes_up_drops_what_was_cancelled() {
+async fn a_resumed_daemon_drops_cancelled_calls() {
     let mesh = Mesh::start("wake").await;
-    mesh.member.freeze().await;
+    mesh.member.pause().await;
     for _ in 0..5 {
         let call = Call::post("booking", "/late", "").header("wharfquay-deadline-ms", "50");
-        let answer = mesh.send(call).await;
-        assert_eq!(answer.code(), Some(ResultCode::DeadlineAfterDispatch));
+        let response = mesh.send(call).await;
+        assert_eq!(response.code(), Some(ResultCode::DeadlineAfterDispatch));
     }
-    mesh.member.thaw();
+    mesh.member.resume();
     support::eventually("calls get through again", async || {
-        let answer = mesh.send(Call::get("booking", "/echo")).await;
-        answer.code() == Some(ResultCode::Answered)
+        let response = mesh.send(Call::get("booking", "/echo")).await;
+        response.code() == Some(ResultCode::Answered)
     })
     .await;
     let executed = mesh.backend.executions("/late");
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_terminated_daemon_ends_its_calls_and_exits_with_zero() {
+async fn a_terminated_daemon_completes_its_calls_and_exits_with_zero() {
     let mesh = Mesh::start("term").await;
     let edge = mesh.edge.address("edge");
     let call = Call::post("booking", "/slow/300", "");
@@ -130,8 +130,8 @@
     })
     .await;
     mesh.member.terminate();
-    assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow answer");
-    let ended = tokio::task::spawn_blocking(move || mesh.member.ended_well());
+    assert_eq!(in_flight.await.unwrap().unwrap().text(), "slow response");
+    let ended = tokio::task::spawn_blocking(move || mesh.member.exited_successfully());
     assert!(ended.await.unwrap());
 }
 
@@ -145,8 +145,8 @@
     let text = member_text(platform, "booking-0", "booking", backend, &listen);
     mesh.member = Process::start("restart-again", &text);
     support::eventually("calls get through again", async || {
-        let answer = mesh.send(Call::get("booking", "/echo")).await;
-        answer.code() == Some(ResultCode::Answered)
+        let response = mesh.send(Call::get("booking", "/echo")).await;
+        response.code() == Some(ResultCode::Answered)
     })
     .await;
 }
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn bad_use_exits_with_two_and_says_why() {
+fn invalid_usage_exits_with_two_and_reports_the_cause() {
     let platform = "127.0.0.1:1".parse().unwrap();
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let port = taken.local_addr().unwrap().to_string();
--- a/crates/daemon/tests/restart.rs
+++ b/crates/daemon/tests/restart.rs
@@ -1,4 +1,4 @@
-//! A daemon that is started again under its old id.
+//! Tests of a daemon that is restarted with the same id.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_daemon::clock::wall_clock;
 
-/// The incarnation of the only endpoint, as the edge's status shows it.
+/// Returns the incarnation of the only endpoint from the status page of the edge.
 async fn incarnation(deployment: &Deployment) -> u64 {
     let admin = deployment.edge.addresses().admin.unwrap();
     let status = client::send(admin, Call::get("admin", "/status")).await;
@@ -16,12 +16,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_tell_a_restarted_daemon_from_the_one_before() {
+async fn callers_distinguish_a_restarted_daemon_from_the_earlier_instance() {
     let before = wall_clock().as_millis();
     let mut deployment = Deployment::start(&["booking"]).await;
     let call = || Call::get("booking", "/echo");
-    let answer = deployment.send(call()).await;
-    assert_eq!(answer.code(), Some(ResultCode::Answered));
+    let response = deployment.send(call()).await;
+    assert_eq!(response.code(), Some(ResultCode::Answered));
     let first = incarnation(&deployment).await;
     assert!(first >= before, "{first} {before}");
     let stopped = deployment.members.remove(0);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is refused, and how the error names it.
+//! Tests of the validation of settings and its error messages.
 
 use wharfquay_daemon::settings::parse;
 
@@ -17,7 +17,7 @@
 "#;
 
 #[test]
-fn good_settings_pass_with_defaults() {
+fn valid_settings_pass_with_defaults() {
     let settings = parse("member.toml", MEMBER, &[]).unwrap();
     assert_eq!(settings.log.level, "info");
     assert_eq!(settings.limits.drain_limit_ms, 30_000);
@@ -37,7 +37,7 @@
     assert_eq!(settings.id, "other");
 }
 
-/// Overrides that make the settings bad, and what the error must say.
+/// Invalid overrides and the texts that the error must contain.
 const BAD: &[(&str, &[&str])] = &[
     (
         "colour=1",
@@ -106,7 +106,7 @@
 ];
 
 #[test]
-fn bad_settings_are_named() {
+fn errors_name_the_invalid_setting() {
     for (given, expected) in BAD {
         let error = parse("member.toml", MEMBER, &[(*given).to_owned()]);
         let error = error.expect_err(given).to_string();
@@ -116,7 +116,7 @@
     }
 }
 
-/// Whole files whose sides contradict each other.
+/// Settings whose tables contradict each other, and the field that the error must name.
 const CONTRADICTIONS: &[(&str, &str)] = &[
     (
         "[backend]\nservice = \"a\"\naddress = \"127.0.0.1:1\"",
@@ -128,7 +128,7 @@
 ];
 
 #[test]
-fn contradictions_are_named() {
+fn errors_name_contradicting_settings() {
     let rest = "[admin]\nlisten = \"127.0.0.1:2\"\n[platform]\naddresses = [\"127.0.0.1:3\"]";
     for (sides, field) in CONTRADICTIONS {
         let text = format!("id = \"a\"\nzone = \"b\"\n{sides}\n{rest}\n");
--- a/crates/daemon/tests/support/backend.rs
+++ b/crates/daemon/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! A back end that behaves as a test asks, chosen by the path of the request.
+//! An emulated backend whose behaviour the test selects by the path of the request.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,10 +19,10 @@
 use super::body::TestBody;
 use super::client;
 
-/// Content of one piece of a long answer.
-pub const PIECE: &str = "0123456789abcdef";
+/// Content of one chunk of a long response.
+pub const CHUNK: &str = "0123456789abcdef";
 
-/// What the back end saw.
+/// The requests that the backend received.
 #[derive(Debug, Default)]
 struct Record {
     executions: HashMap<String, usize>,
@@ -30,11 +30,11 @@
     headers: Vec<HeaderMap>,
 }
 
-/// A back end on loopback.
+/// An emulated backend on loopback.
 #[derive(Clone, Debug)]
 pub struct BackendStub {
     pub address: SocketAddr,
-    /// Where it makes its own calls.
+    /// Outbound address of its daemon, to which the backend sends its calls.
     outbound: Arc<Mutex<Option<SocketAddr>>>,
     record: Arc<Mutex<Record>>,
     connections: Arc<AtomicUsize>,
@@ -42,8 +42,8 @@
     failures_left: Arc<AtomicUsize>,
     refusing: Arc<AtomicBool>,
     health: Arc<Mutex<String>>,
-    /// Asks an answer to break off.
-    pub cut: Arc<Notify>,
+    /// Triggers the truncation of a response.
+    pub truncate: Arc<Notify>,
 }
 
 impl BackendStub {
@@ -58,7 +58,7 @@
             failures_left: Arc::default(),
             refusing: Arc::default(),
             health: Arc::new(Mutex::new("live".to_owned())),
-            cut: Arc::default(),
+            truncate: Arc::default(),
         };
         let served = stub.clone();
         tokio::spawn(async move {
@@ -71,48 +71,49 @@
         stub
     }
 
-    /// Tells where the back end's own calls go.
+    /// Sets the address to which the backend sends its calls.
     pub fn set_outbound(&self, address: SocketAddr) {
         *self.outbound.lock().unwrap() = Some(address);
     }
 
-    /// Lets the next requests for `/flaky` fail.
+    /// Makes the next `count` requests for `/flaky` fail.
     pub fn fail_next(&self, count: usize) {
         self.failures_left.store(count, Ordering::Relaxed);
     }
 
-    /// Refuses every request from now on, before execution.
-    pub fn refuse_everything(&self) {
+    /// Refuses all later requests before execution.
+    pub fn refuse_all(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Sets what the health endpoint says.
+    /// Sets the state that the health endpoint reports.
     pub fn set_health(&self, state: &str) {
         *self.health.lock().unwrap() = state.to_owned();
     }
 
-    /// How often a path was executed.
+    /// Returns the number of executions of a path.
     pub fn executions(&self, path: &str) -> usize {
         let record = self.record.lock().unwrap();
         record.executions.get(path).copied().unwrap_or_default()
     }
 
-    /// Executions whose caller went away.
+    /// Returns the number of executions that were cancelled.
     pub fn cancelled(&self) -> usize {
         self.record.lock().unwrap().cancelled
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Connections that brought a call so far; those that only ask for health don't count.
+    /// Returns the number of connections that carried a call so far, which excludes those that only
+    /// read the health endpoint.
     pub fn call_connections(&self) -> usize {
         self.call_connections.load(Ordering::Relaxed)
     }
 
-    /// Headers of the last request.
+    /// Returns the headers of the last request.
     pub fn last_headers(&self) -> HeaderMap {
         let record = self.record.lock().unwrap();
         record.headers.last().cloned().unwrap_or_default()
@@ -137,7 +138,7 @@
             .await;
     }
 
-    pub(super) fn note_execution(&self, path: &str) {
+    pub(super) fn record_execution(&self, path: &str) {
         let mut record = self.record.lock().unwrap();
         *record.executions.entry(path.to_owned()).or_default() += 1;
     }
@@ -147,7 +148,7 @@
         if path == "/health" {
             let state = self.health.lock().unwrap().clone();
             let text = format!("{{\"state\":\"{state}\"}}");
-            return Ok(Response::new(TestBody::whole(text)));
+            return Ok(Response::new(TestBody::complete(text)));
         }
         self.record
             .lock()
@@ -157,14 +158,14 @@
         if path == "/refuse" || self.refusing.load(Ordering::Relaxed) {
             return Ok(refusal());
         }
-        self.note_execution(&path);
+        self.record_execution(&path);
         let mut guard = CancelGuard(Some(Arc::clone(&self.record)));
-        let answer = self.behave(&path, request).await;
+        let response = self.respond(&path, request).await;
         guard.0 = None;
-        answer
+        response
     }
 
-    async fn behave(
+    async fn respond(
         &self,
         path: &str,
         request: Request<Incoming>,
@@ -175,19 +176,19 @@
                 let (parts, body) = request.into_parts();
                 let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
                 let text = format!("{} {} ", parts.method, parts.uri);
-                Ok(Response::new(TestBody::of([
+                Ok(Response::new(TestBody::from_chunks([
                     Ok(Bytes::from(text)),
                     Ok(body),
                 ])))
             }
             "status" => {
                 let status = parts.next().and_then(|status| status.parse().ok());
-                let mut response = Response::new(TestBody::whole("own status"));
+                let mut response = Response::new(TestBody::complete("own status"));
                 *response.status_mut() = status.unwrap_or(StatusCode::OK);
                 Ok(response)
             }
-            "long" => Ok(Response::new(TestBody::of(pieces(64)))),
-            "cut" => Ok(Response::new(cut(Arc::clone(&self.cut)))),
+            "long" => Ok(Response::new(TestBody::from_chunks(chunks(64)))),
+            "truncate" => Ok(Response::new(truncate(Arc::clone(&self.truncate)))),
             "drop" => {
                 let _ = request.into_body().collect().await;
                 Err(io::Error::other("connection dropped"))
@@ -196,10 +197,12 @@
             "slow" => {
                 let millis = parts.next().and_then(|millis| millis.parse().ok());
                 tokio::time::sleep(Duration::from_millis(millis.unwrap_or(100))).await;
-                Ok(Response::new(TestBody::whole("slow answer")))
+                Ok(Response::new(TestBody::complete("slow response")))
             }
             "call" => self.call(parts.collect(), request).await,
-            _ => Ok(Response::new(TestBody::whole(format!("answer to {path}")))),
+            _ => Ok(Response::new(TestBody::complete(format!(
+                "response to {path}"
+            )))),
         }
     }
 
@@ -210,11 +213,11 @@
         });
         match failed {
             Ok(_) => Err(io::Error::other("connection dropped")),
-            Err(_) => Ok(Response::new(TestBody::whole("answer at last"))),
+            Err(_) => Ok(Response::new(TestBody::complete("response at last"))),
         }
     }
 
-    /// `/call/SERVICE/REST` calls `/REST` of SERVICE and passes its answer on.
+    /// Handles `/call/SERVICE/REST`: calls `/REST` of SERVICE and relays the response.
     async fn call(
         &self,
         parts: Vec<&str>,
@@ -228,9 +231,9 @@
             let scope = scope.to_str().unwrap();
             call = call.header("wharfquay-scope", scope);
         }
-        let answer = client::send(outbound, call).await?;
-        let mut response = Response::new(TestBody::whole(answer.body?));
-        *response.status_mut() = answer.status;
+        let received = client::send(outbound, call).await?;
+        let mut response = Response::new(TestBody::complete(received.body?));
+        *response.status_mut() = received.status;
         Ok(response)
     }
 }
@@ -246,31 +249,31 @@
 }
 
 fn refusal() -> Response<TestBody> {
-    let mut response = Response::new(TestBody::whole("refused"));
+    let mut response = Response::new(TestBody::complete("refused"));
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     let headers = response.headers_mut();
     headers.insert("wharfquay-refused", "before-execution".parse().unwrap());
     response
 }
 
-fn pieces(count: usize) -> impl Iterator<Item = Result<Bytes, io::Error>> {
-    (0..count).map(|_| Ok(Bytes::from_static(PIECE.as_bytes())))
+fn chunks(count: usize) -> impl Iterator<Item = Result<Bytes, io::Error>> {
+    (0..count).map(|_| Ok(Bytes::from_static(CHUNK.as_bytes())))
 }
 
-/// A body that breaks off after its first pieces, when the test asks for it.
-fn cut(asked: Arc<Notify>) -> TestBody {
-    let (feed, body) = TestBody::channel();
-    for piece in pieces(4) {
-        feed.send(piece).unwrap();
+/// Returns a body that is truncated after its first chunks, when the test triggers it.
+fn truncate(requested: Arc<Notify>) -> TestBody {
+    let (sender, body) = TestBody::channel();
+    for chunk in chunks(4) {
+        sender.send(chunk).unwrap();
     }
     tokio::spawn(async move {
-        asked.notified().await;
-        let _ = feed.send(Err(io::Error::other("cut")));
+        requested.notified().await;
+        let _ = sender.send(Err(io::Error::other("truncate")));
     });
     body
 }
 
-/// Whether the request on this connection is for a path under `/raw`.
+/// Returns true if the request on this connection is for a path under `/raw`.
 async fn serves_raw(stream: &TcpStream) -> bool {
     let mut start = [0_u8; 9];
     let mut seen = 0;
--- a/crates/daemon/tests/support/body.rs
+++ b/crates/daemon/tests/support/body.rs
@@ -1,4 +1,4 @@
-//! A body that a test feeds piece by piece.
+//! A body whose chunks a test sends one by one.
 
 use std::io;
 use std::pin::Pin;
@@ -8,35 +8,35 @@
 use http_body::{Body, Frame};
 use tokio::sync::mpsc;
 
-/// Feeds a [`TestBody`]; dropping it ends the body.
-pub type Feed = mpsc::UnboundedSender<Result<Bytes, io::Error>>;
+/// Sends the chunks of a [`TestBody`]; dropping it ends the body.
+pub type ChunkSender = mpsc::UnboundedSender<Result<Bytes, io::Error>>;
 
-/// A body that a test feeds piece by piece; an error cuts it.
+/// A body whose chunks a test sends one by one; an error truncates it.
 #[derive(Debug)]
 pub struct TestBody {
-    pieces: mpsc::UnboundedReceiver<Result<Bytes, io::Error>>,
+    chunks: mpsc::UnboundedReceiver<Result<Bytes, io::Error>>,
 }
 
 impl TestBody {
-    /// A body and its feed.
-    pub fn channel() -> (Feed, Self) {
-        let (feed, pieces) = mpsc::unbounded_channel();
-        (feed, Self { pieces })
+    /// Creates a body and the sender of its chunks.
+    pub fn channel() -> (ChunkSender, Self) {
+        let (sender, chunks) = mpsc::unbounded_channel();
+        (sender, Self { chunks })
     }
 
-    /// A body whose pieces are known.
-    pub fn of(pieces: impl IntoIterator<Item = Result<Bytes, io::Error>>) -> Self {
-        let (feed, body) = Self::channel();
-        for piece in pieces {
-            feed.send(piece).unwrap();
+    /// Creates a body from given chunks.
+    pub fn from_chunks(chunks: impl IntoIterator<Item = Result<Bytes, io::Error>>) -> Self {
+        let (sender, body) = Self::channel();
+        for chunk in chunks {
+            sender.send(chunk).unwrap();
         }
         body
     }
 
-    /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
+    /// Creates a complete body of one chunk, or an empty one.
+    pub fn complete(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
-        Self::of((!bytes.is_empty()).then_some(Ok(bytes)))
+        Self::from_chunks((!bytes.is_empty()).then_some(Ok(bytes)))
     }
 }
 
@@ -48,7 +48,7 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let piece = self.pieces.poll_recv(context);
-        piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+        let chunk = self.chunks.poll_recv(context);
+        chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
--- a/crates/daemon/tests/support/client.rs
+++ b/crates/daemon/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A caller: one request on one connection.
+//! A caller that sends one request per connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use wharfquay_core::outcome::ResultCode;
 
-/// A request to be sent.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub service: String,
@@ -69,16 +69,16 @@
     }
 }
 
-/// An answer, with its body if that was whole.
+/// A response, with its body if that was complete.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ClientResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Result<Bytes, io::Error>,
 }
 
-impl Answer {
-    /// The result code in the headers.
+impl ClientResponse {
+    /// Returns the result code in the headers.
     pub fn code(&self) -> Option<ResultCode> {
         let text = self.header("wharfquay-result")?;
         ResultCode::from_number(text.parse().ok()?)
@@ -89,17 +89,17 @@
     }
 
     pub fn text(&self) -> String {
-        let body = self.body.as_ref().expect("the body was cut");
+        let body = self.body.as_ref().expect("a complete body");
         String::from_utf8_lossy(body).into_owned()
     }
 }
 
-/// Sends a request on a connection of its own and reads the whole answer.
-pub async fn send(address: SocketAddr, call: Call) -> Result<Answer, io::Error> {
+/// Sends a request on a new connection and reads the complete response.
+pub async fn send(address: SocketAddr, call: Call) -> Result<ClientResponse, io::Error> {
     let response = send_head(address, call).await?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await;
-    Ok(Answer {
+    Ok(ClientResponse {
         status: parts.status,
         headers: parts.headers,
         body: body
@@ -108,7 +108,7 @@
     })
 }
 
-/// Sends a request and reads the head of the answer.
+/// Sends a request on a new connection and reads the head of the response.
 pub async fn send_head(address: SocketAddr, call: Call) -> Result<Response<Incoming>, io::Error> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
--- a/crates/daemon/tests/support/deployment.rs
+++ b/crates/daemon/tests/support/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment in this process: a platform, back ends with their daemons, and an edge.
+//! A deployment in this process: an emulated platform, backends with their daemons, and an edge.
 
 use std::net::SocketAddr;
 
@@ -8,11 +8,11 @@
 use wharfquay_resources::kinds::{RequestKind, Resource, RetryBudget, Service};
 
 use super::backend::BackendStub;
-use super::client::{self, Answer, Call};
+use super::client::{self, Call, ClientResponse};
 use super::eventually;
 use super::platform::PlatformStub;
 
-/// One back end and the daemon beside it.
+/// An emulated backend and the daemon beside it.
 pub struct Member {
     pub id: String,
     pub service: String,
@@ -20,7 +20,7 @@
     pub daemon: RunningDaemon,
 }
 
-/// A platform, back ends with their daemons, and an edge.
+/// An emulated platform, backends with their daemons, and an edge.
 pub struct Deployment {
     pub platform: PlatformStub,
     pub members: Vec<Member>,
@@ -28,7 +28,7 @@
 }
 
 impl Deployment {
-    /// Starts one back end for each entry of `services` and waits until calls get through.
+    /// Starts one backend for each entry of `services` and waits until the daemons are ready.
     pub async fn start(services: &[&str]) -> Self {
         Self::start_with(services, &standard_resources(services)).await
     }
@@ -53,7 +53,7 @@
         deployment
     }
 
-    /// Every daemon knows every endpoint.
+    /// Waits until every daemon is ready and has every endpoint.
     async fn wait_until_ready(&self, services: &[&str]) {
         for address in self.admin_addresses() {
             wait_for_endpoints(address, services.len()).await;
@@ -73,7 +73,7 @@
     }
 
     /// Sends a request to the edge.
-    pub async fn send(&self, call: Call) -> Answer {
+    pub async fn send(&self, call: Call) -> ClientResponse {
         client::send(self.edge_address(), call).await.unwrap()
     }
 }
@@ -93,7 +93,7 @@
     .await;
 }
 
-/// Starts a back end with its daemon and lists it.
+/// Starts a backend with its daemon and adds it to the machine list.
 pub async fn start_member(platform: &PlatformStub, id: &str, service: &str) -> Member {
     let backend = BackendStub::start().await;
     let settings = member_settings(platform, id, service, backend.address);
@@ -109,7 +109,7 @@
     }
 }
 
-/// An entry of the machine list.
+/// Returns an entry of the machine list.
 pub fn machine(id: &str, service: &str, address: SocketAddr, state: &str) -> serde_json::Value {
     json!({
         "id": id,
@@ -131,7 +131,7 @@
     settings::parse("member.toml", &text, &[]).unwrap()
 }
 
-/// Settings file of a daemon beside a back end.
+/// Returns the settings file of a daemon beside a backend.
 pub fn member_text(
     platform: SocketAddr,
     id: &str,
@@ -150,13 +150,13 @@
     )
 }
 
-/// Settings of an edge; `more` is added to the file.
+/// Returns the settings of an edge; `more` is appended to the file.
 pub fn edge_settings(platform: &PlatformStub, more: &str) -> Settings {
     let text = edge_text(platform.address, more);
     settings::parse("edge.toml", &text, &[]).unwrap()
 }
 
-/// Settings file of an edge; `more` is added to it.
+/// Returns the settings file of an edge; `more` is appended to it.
 pub fn edge_text(platform: SocketAddr, more: &str) -> String {
     format!(
         "id = \"edge\"\nzone = \"north\"\n\
@@ -166,7 +166,8 @@
     )
 }
 
-/// Services that call each other in turn, and for each a repeatable and an unrepeatable kind.
+/// Returns services that declare to call each other, for each a repeatable (GET) and an
+/// unrepeatable (POST) request kind, and a retry budget.
 pub fn standard_resources(services: &[&str]) -> Vec<Resource> {
     let mut names = services.to_vec();
     names.sort_unstable();
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of the daemon share: stand-ins and a deployment of daemons in this process.
+//! Shared test support: emulated backends, peers and a platform, and a deployment of daemons in
+//! this process.
 
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
@@ -16,24 +17,25 @@
 
 use tokio::net::TcpSocket;
 
-/// Longest time that a test waits for something to become true.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum time that a test waits for a condition.
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Polls until `condition` holds.
+/// Polls until `condition` holds; panics with `what` if it takes too long.
 pub async fn eventually(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let poll = async {
         while !condition().await {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    let reached = tokio::time::timeout(PATIENCE, poll).await;
+    let reached = tokio::time::timeout(MAX_WAIT, poll).await;
     assert!(reached.is_ok(), "not reached: {what}");
 }
 
-/// An address that refuses connections. It stays bound, so that no other test gets its port.
-pub struct NobodyListens(TcpSocket);
+/// An address that refuses connections. The port stays bound, which keeps other tests from getting
+/// it.
+pub struct UnusedPort(TcpSocket);
 
-impl NobodyListens {
+impl UnusedPort {
     pub fn bind() -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! A daemon beside a back end, as far as its callers see it: it answers with chosen metadata.
+//! An emulated daemon beside a backend, which responds with metadata that the test chooses.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,18 +21,18 @@
 use super::deployment::machine;
 use super::platform::PlatformStub;
 
-/// What a peer answers.
+/// The response of an emulated peer.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerAnswer {
+pub struct PeerResponse {
     pub code: ResultCode,
-    /// Status of the back end.
+    /// HTTP status of the backend.
     pub status: u16,
     pub level: AdmissionLevel,
     pub folded_level: AdmissionLevel,
     pub incarnation: u64,
 }
 
-impl Default for PeerAnswer {
+impl Default for PeerResponse {
     fn default() -> Self {
         Self {
             code: ResultCode::Answered,
@@ -44,21 +44,21 @@
     }
 }
 
-/// A peer on loopback.
+/// An emulated peer on loopback.
 #[derive(Clone, Debug)]
 pub struct PeerStub {
     pub address: SocketAddr,
-    answer: PeerAnswer,
+    response: PeerResponse,
     calls: Arc<AtomicUsize>,
     allowances: Arc<Mutex<Vec<u16>>>,
 }
 
 impl PeerStub {
-    pub async fn start(answer: PeerAnswer) -> Self {
+    pub async fn start(response: PeerResponse) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let stub = Self {
             address: listener.local_addr().unwrap(),
-            answer,
+            response,
             calls: Arc::default(),
             allowances: Arc::default(),
         };
@@ -68,8 +68,8 @@
                 let (stream, _) = listener.accept().await.unwrap();
                 let stub = served.clone();
                 let service = service_fn(move |request| {
-                    let answer = stub.answer(&request);
-                    async move { Ok::<_, Infallible>(answer) }
+                    let response = stub.response(&request);
+                    async move { Ok::<_, Infallible>(response) }
                 });
                 tokio::spawn(async move {
                     let _ = hyper::server::conn::http2::Builder::new(TokioExecutor::new())
@@ -81,17 +81,17 @@
         stub
     }
 
-    /// Calls received so far.
+    /// Returns the number of calls received so far.
     pub fn calls(&self) -> usize {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// The retries that each call might spend.
+    /// Returns the retry allowance of each received call.
     pub fn allowances(&self) -> Vec<u16> {
         self.allowances.lock().unwrap().clone()
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> Response<TestBody> {
+    fn response(&self, request: &Request<Incoming>) -> Response<TestBody> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let context = request.headers()["wharfquay-context"].as_bytes();
         let context = WireContext::decode(context).unwrap();
@@ -99,19 +99,19 @@
         self.allowances.lock().unwrap().push(returned.count());
         let metadata = self.metadata(returned);
         Response::builder()
-            .status(self.answer.status)
-            .header("wharfquay-result", self.answer.code.number())
+            .status(self.response.status)
+            .header("wharfquay-result", self.response.code.number())
             .header("wharfquay-answer", metadata.encode())
-            .body(TestBody::whole("answer of the peer"))
+            .body(TestBody::complete("response of the peer"))
             .unwrap()
     }
 
     fn metadata(&self, returned: RetryAllowance) -> WireAnswer {
         WireAnswer {
             returned,
-            level: self.answer.level,
-            folded_level: self.answer.folded_level,
-            incarnation: self.answer.incarnation,
+            level: self.response.level,
+            folded_level: self.response.folded_level,
+            incarnation: self.response.incarnation,
             in_flight: 0,
             limit: 8,
             queued: 0,
@@ -119,15 +119,15 @@
     }
 }
 
-/// Starts a peer of a service for each answer and lists it.
+/// Starts one peer of a service for each response and adds it to the machine list.
 pub async fn start_peers(
     platform: &PlatformStub,
     service: &str,
-    answers: &[PeerAnswer],
+    responses: &[PeerResponse],
 ) -> Vec<PeerStub> {
     let mut peers = Vec::new();
-    for (number, answer) in answers.iter().enumerate() {
-        let peer = PeerStub::start(*answer).await;
+    for (number, response) in responses.iter().enumerate() {
+        let peer = PeerStub::start(*response).await;
         let id = format!("{service}-peer-{number}");
         platform.put_machine(machine(&id, service, peer.address, "live"));
         peers.push(peer);
--- a/crates/daemon/tests/support/platform.rs
+++ b/crates/daemon/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! A minimal platform: a fixed list of objects and machines that a test can change.
+//! An emulated platform with objects and machines that a test can change.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use wharfquay_platform::conversion::spec_of;
 use wharfquay_resources::kinds::Resource;
 
-use super::body::{Feed, TestBody};
+use super::body::{ChunkSender, TestBody};
 
 const OPERATION: &str = "018f3a5e-0000-7000-8000-000000000000";
 
@@ -21,28 +21,28 @@
 struct State {
     version: u64,
     objects: Vec<Value>,
-    /// The lists of machines by version.
+    /// Machine lists, indexed by version.
     machines: Vec<Vec<Value>>,
-    /// The version of the list that is served; the newest one when `None`.
+    /// Version of the machine list that is served; `None` for the newest one.
     served_machines: Option<usize>,
-    /// Whole lists of machines sent.
+    /// Number of machine lists sent in full.
     machine_lists_sent: usize,
-    /// Reads of the machine list.
+    /// Number of reads of the machine list.
     machine_reads: usize,
-    watches: Vec<Feed>,
-    most_watches: usize,
+    watches: Vec<ChunkSender>,
+    max_watches: usize,
     down: bool,
 }
 
 impl State {
-    fn tell(&mut self, event: &Value) {
+    fn notify_watches(&mut self, event: &Value) {
         let line = format!("{event}\n");
         self.watches
-            .retain(|feed| feed.send(Ok(line.clone().into())).is_ok());
+            .retain(|sender| sender.send(Ok(line.clone().into())).is_ok());
     }
 }
 
-/// A platform on loopback.
+/// An emulated platform on loopback.
 #[derive(Clone, Debug)]
 pub struct PlatformStub {
     pub address: SocketAddr,
@@ -61,7 +61,7 @@
             machine_lists_sent: 0,
             machine_reads: 0,
             watches: Vec::new(),
-            most_watches: 0,
+            max_watches: 0,
             down: false,
         }));
         let served = Arc::clone(&state);
@@ -70,8 +70,8 @@
                 let (stream, _) = listener.accept().await.unwrap();
                 let state = Arc::clone(&served);
                 let service = service_fn(move |request| {
-                    let answer = answer(&state, &request);
-                    async move { Ok::<_, Infallible>(answer) }
+                    let response = response(&state, &request);
+                    async move { Ok::<_, Infallible>(response) }
                 });
                 tokio::spawn(async move {
                     let _ = hyper::server::conn::http1::Builder::new()
@@ -89,7 +89,7 @@
         self.write(id.kind.as_str(), &id.name, spec_of(resource).unwrap(), true);
     }
 
-    fn write(&self, kind: &str, name: &str, spec: Value, seen: bool) {
+    fn write(&self, kind: &str, name: &str, spec: Value, notify: bool) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
         let object = json!({
@@ -105,18 +105,18 @@
             .objects
             .retain(|known| known["kind"] != kind || known["name"] != name);
         state.objects.push(object);
-        if seen {
-            state.tell(&event);
+        if notify {
+            state.notify_watches(&event);
         }
     }
 
-    /// Writes a spec as it is, valid or not.
+    /// Writes a spec without validating it.
     pub fn put_raw(&self, kind: &str, name: &str, spec: Value) {
         self.write(kind, name, spec, true);
     }
 
-    /// Writes a spec without telling the watches.
-    pub fn put_unseen(&self, resource: &Resource) {
+    /// Writes a resource without sending an event to the watches.
+    pub fn put_without_event(&self, resource: &Resource) {
         let id = resource.id();
         let spec = spec_of(resource).unwrap();
         self.write(id.kind.as_str(), &id.name, spec, false);
@@ -130,22 +130,22 @@
         let position = state.objects.iter().position(is_same).unwrap();
         let object = state.objects.remove(position);
         let event = json!({"type": "delete", "version": state.version, "object": object});
-        state.tell(&event);
+        state.notify_watches(&event);
     }
 
-    /// The version of the last write.
+    /// Returns the version of the last write.
     pub fn version(&self) -> u64 {
         self.state.lock().unwrap().version
     }
 
-    /// Makes every answer a failure, and ends the watches, until it is called again with false.
+    /// With true, closes the watches and makes every request fail until called with false.
     pub fn set_down(&self, down: bool) {
         let mut state = self.state.lock().unwrap();
         state.down = down;
         state.watches.clear();
     }
 
-    /// Goes back to the state of an earlier version, as a store restored from a backup does.
+    /// Restores the state of an earlier version, like a store restored from a backup.
     pub fn restore(&self, version: u64) {
         let mut state = self.state.lock().unwrap();
         state.version = version;
@@ -155,12 +155,12 @@
         state.watches.clear();
     }
 
-    /// Most watches that were open at the same time.
-    pub fn most_watches(&self) -> usize {
-        self.state.lock().unwrap().most_watches
+    /// Returns the maximum number of watches that were open concurrently.
+    pub fn max_watches(&self) -> usize {
+        self.state.lock().unwrap().max_watches
     }
 
-    /// Lists a machine, or changes its entry.
+    /// Adds a machine to the list or replaces its entry.
     pub fn put_machine(&self, machine: Value) {
         let mut state = self.state.lock().unwrap();
         let mut list = state.machines.last().unwrap().clone();
@@ -169,30 +169,32 @@
         state.machines.push(list);
     }
 
-    /// Version of the newest list of machines.
+    /// Returns the version of the newest machine list.
     pub fn machines_version(&self) -> usize {
         self.state.lock().unwrap().machines.len() - 1
     }
 
-    /// Serves the list of machines of an earlier version from now on, as a replica that lags does.
+    /// Serves the machine list of an earlier version from now on, like a lagging replica.
     pub fn serve_machines_of(&self, version: usize) {
         self.state.lock().unwrap().served_machines = Some(version);
     }
 
-    /// How often the list of machines was asked for, and how often it was sent whole.
+    /// Returns how often the machine list was requested and how often it was sent in full.
     pub fn machine_reads(&self) -> (usize, usize) {
         let state = self.state.lock().unwrap();
         (state.machine_reads, state.machine_lists_sent)
     }
 }
 
-fn answer(state: &Mutex<State>, request: &Request<Incoming>) -> Response<TestBody> {
+fn response(state: &Mutex<State>, request: &Request<Incoming>) -> Response<TestBody> {
     let mut state = state.lock().unwrap();
     if state.down {
         return failure(StatusCode::SERVICE_UNAVAILABLE, "down");
     }
     match request.uri().path() {
-        "/v1/objects" => whole(&json!({"version": state.version, "objects": state.objects})),
+        "/v1/objects" => {
+            json_response(&json!({"version": state.version, "objects": state.objects}))
+        }
         "/v1/machines" => machines(&mut state, request),
         "/v1/watch" if is_current(&state, request) => watch(&mut state),
         "/v1/watch" => failure(StatusCode::GONE, "the version is too old"),
@@ -200,42 +202,43 @@
     }
 }
 
-/// The list of machines, unless the reader has its version.
+/// Returns the machine list, or 304 Not Modified if the reader has this version.
 fn machines(state: &mut State, request: &Request<Incoming>) -> Response<TestBody> {
     state.machine_reads += 1;
     let newest = state.machines.len() - 1;
     let version = state.served_machines.unwrap_or(newest);
     let known = format!("unless_version={version}");
     if request.uri().query() == Some(known.as_str()) {
-        let mut response = Response::new(TestBody::whole(""));
+        let mut response = Response::new(TestBody::complete(""));
         *response.status_mut() = StatusCode::NOT_MODIFIED;
         return response;
     }
     state.machine_lists_sent += 1;
-    whole(&json!({"version": version, "machines": state.machines[version]}))
+    json_response(&json!({"version": version, "machines": state.machines[version]}))
 }
 
 fn failure(status: StatusCode, reason: &str) -> Response<TestBody> {
-    let mut response = whole(&json!({"error": reason}));
+    let mut response = json_response(&json!({"error": reason}));
     *response.status_mut() = status;
     response
 }
 
-fn whole(value: &Value) -> Response<TestBody> {
-    Response::new(TestBody::whole(value.to_string()))
+fn json_response(value: &Value) -> Response<TestBody> {
+    Response::new(TestBody::complete(value.to_string()))
 }
 
-/// Whether the watch starts at the newest version; the stub keeps no events for an older start.
+/// Returns true if the watch starts at the newest version; the emulated platform stores no events
+/// for an older start.
 fn is_current(state: &State, request: &Request<Incoming>) -> bool {
     let from = format!("from={}", state.version);
     request.uri().query() == Some(from.as_str())
 }
 
 fn watch(state: &mut State) -> Response<TestBody> {
-    let (feed, body) = TestBody::channel();
+    let (sender, body) = TestBody::channel();
     let bookmark = json!({"type": "bookmark", "version": state.version});
-    feed.send(Ok(format!("{bookmark}\n").into())).unwrap();
-    state.watches.push(feed);
-    state.most_watches = state.most_watches.max(state.watches.len());
+    sender.send(Ok(format!("{bookmark}\n").into())).unwrap();
+    state.watches.push(sender);
+    state.max_watches = state.max_watches.max(state.watches.len());
     Response::new(body)
 }
--- a/crates/daemon/tests/support/process.rs
+++ b/crates/daemon/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! A daemon in a process of its own, which a test can freeze and kill.
+//! A daemon in a separate process, which a test can pause and kill.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 /// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_wharfquayd");
 
-/// A daemon in a process of its own; it is killed when dropped.
+/// A daemon in a separate process; it is killed when dropped.
 pub struct Process {
     child: Child,
     started: String,
 }
 
 impl Process {
-    /// Starts a daemon and waits for its log line that names the addresses.
+    /// Starts a daemon and waits for the log line with its addresses.
     pub fn start(name: &str, text: &str) -> Self {
         let mut child = Command::new(PROGRAM)
             .arg("--config")
@@ -31,12 +31,12 @@
             started.clear();
             assert_ne!(log.read_line(&mut started).unwrap(), 0, "no start: {name}");
         }
-        // The rest of the log is read, so that the daemon never waits for a reader.
+        // Drain the rest of the log; otherwise the daemon would block on a full pipe.
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         Self { child, started }
     }
 
-    /// Where one side of the daemon listens.
+    /// Returns the address on which one side of the daemon listens.
     pub fn address(&self, side: &str) -> SocketAddr {
         let key = format!("{side}=");
         let mut pairs = self.started.split_whitespace();
@@ -44,11 +44,11 @@
         value.unwrap().parse().unwrap()
     }
 
-    /// Freezes the process and waits until it is frozen.
-    pub async fn freeze(&self) {
+    /// Sends SIGSTOP and waits until the process is stopped.
+    pub async fn pause(&self) {
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
-        eventually("the process is frozen", async || {
+        eventually("the process is paused", async || {
             let stat = std::fs::read_to_string(&path).unwrap();
             let state = stat.rsplit(')').next().unwrap();
             state.trim_start().starts_with('T')
@@ -56,24 +56,24 @@
         .await;
     }
 
-    /// Lets a frozen process go on.
-    pub fn thaw(&self) {
+    /// Resumes a paused process with SIGCONT.
+    pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Asks the process to stop.
+    /// Requests a graceful stop with SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Kills the process.
+    /// Kills the process with SIGKILL and waits for its termination.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Waits for the end of the process; true when it ended well.
-    pub fn ended_well(mut self) -> bool {
+    /// Waits for the process to exit; returns true if its exit status is zero.
+    pub fn exited_successfully(mut self) -> bool {
         self.child.wait().unwrap().success()
     }
 
--- a/crates/daemon/tests/support/raw.rs
+++ b/crates/daemon/tests/support/raw.rs
@@ -1,11 +1,11 @@
-//! Answers that no HTTP library would write.
+//! Responses with invalid framing, which an HTTP library would not produce.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 use super::backend::BackendStub;
 
-/// Serves one request under `/raw` and closes the connection.
+/// Serves one request for a path under `/raw` and closes the connection.
 pub async fn serve(mut stream: TcpStream, stub: &BackendStub) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -17,18 +17,18 @@
     }
     let text = String::from_utf8_lossy(&head);
     let path = text.split(' ').nth(1).unwrap_or_default();
-    stub.note_execution(path);
-    let answer: &[u8] = match path {
+    stub.record_execution(path);
+    let response: &[u8] = match path {
         "/raw/garbage" => b"this is not HTTP\r\n\r\n",
-        "/raw/unmarked-end" => b"HTTP/1.1 200 OK\r\n\r\nmaybe whole",
-        "/raw/short" | "/raw/short-at-once" => {
+        "/raw/no-length" => b"HTTP/1.1 200 OK\r\n\r\nmaybe complete",
+        "/raw/short" | "/raw/short-immediately" => {
             b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nonly this"
         }
         "/raw/close" => b"",
         _ => b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\nok",
     };
-    let _ = stream.write_all(answer).await;
+    let _ = stream.write_all(response).await;
     if path == "/raw/short" {
-        stub.cut.notified().await;
+        stub.truncate.notified().await;
     }
 }
