--- a/crates/daemon/src/control/claims/mod.rs
+++ b/crates/daemon/src/control/claims/mod.rs
@@ -37,7 +37,7 @@
 const PATH: &str = "/wharfquay/claims";
 /// Largest accepted claim message, in bytes. The largest messages are pages of records with
 /// recorded responses.
-const MAXIMUM_MESSAGE: usize = envelope::MAX_STREAM_MESSAGE;
+const MAX_MESSAGE_BYTES: usize = envelope::MAX_STREAM_MESSAGE;
 
 /// The claim replica of this daemon and the state that its coordinators share.
 #[derive(Debug)]
@@ -102,23 +102,23 @@
     /// Handles a claim message that arrives on the control listener.
     pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         if request.method() != http::Method::POST || request.uri().path() != PATH {
-            return plain(StatusCode::NOT_FOUND, Bytes::new());
+            return plain_response(StatusCode::NOT_FOUND, Bytes::new());
         }
-        let body = Limited::new(request.into_body(), MAXIMUM_MESSAGE);
+        let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES);
         let Ok(body) = body.collect().await else {
-            return plain(StatusCode::PAYLOAD_TOO_LARGE, Bytes::new());
+            return plain_response(StatusCode::PAYLOAD_TOO_LARGE, Bytes::new());
         };
-        let message = envelope::decode(&body.to_bytes(), MAXIMUM_MESSAGE);
+        let message = envelope::decode(&body.to_bytes(), MAX_MESSAGE_BYTES);
         let message: ReplicaRequest = match message {
             Ok(message) => message,
             Err(error) => {
                 log_event!(Event::ClaimMessageRejected, "error={}", Quoted(error));
-                return plain(StatusCode::BAD_REQUEST, Bytes::new());
+                return plain_response(StatusCode::BAD_REQUEST, Bytes::new());
             }
         };
         match envelope::encode(&self.handle(message)) {
-            Ok(reply) => plain(StatusCode::OK, reply.into()),
-            Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
+            Ok(reply) => plain_response(StatusCode::OK, reply.into()),
+            Err(_) => plain_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
         }
     }
 
@@ -131,7 +131,7 @@
     }
 }
 
-fn plain(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+fn plain_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::own(body));
     *response.status_mut() = status;
     response
--- a/crates/daemon/src/control/claims/transport.rs
+++ b/crates/daemon/src/control/claims/transport.rs
@@ -10,7 +10,7 @@
 use wharfquay_protocol::envelope;
 
 use crate::body::RequestBody;
-use crate::control::claims::{Claims, MAXIMUM_MESSAGE, PATH};
+use crate::control::claims::{Claims, MAX_MESSAGE_BYTES, PATH};
 use crate::events::{Event, Quoted, log_event};
 
 /// Maximum time to wait for a reply. Coordinators and replicas resend much earlier by their own
@@ -60,9 +60,9 @@
         if response.status() != StatusCode::OK {
             return None;
         }
-        let body = Limited::new(response.into_body(), MAXIMUM_MESSAGE);
+        let body = Limited::new(response.into_body(), MAX_MESSAGE_BYTES);
         let body = body.collect().await.ok()?.to_bytes();
-        envelope::decode(&body, MAXIMUM_MESSAGE)
+        envelope::decode(&body, MAX_MESSAGE_BYTES)
             .inspect_err(|error| log_event!(Event::ClaimReplyRejected, "error={}", Quoted(error)))
             .ok()
     }
--- a/crates/daemon/src/control/endpoints.rs
+++ b/crates/daemon/src/control/endpoints.rs
@@ -134,7 +134,6 @@
 }
 
 /// Marks a daemon as leaving because it is stopping; this mark is never withdrawn.
-/// incarnation.
 pub(super) fn mark_shutdown(leaving: &mut LeavingSet, id: &EndpointId, incarnation: u64) {
     leaving.mark(id, incarnation, LeavingSource::Shutdown);
 }
--- a/crates/daemon/src/control/gossip/transport.rs
+++ b/crates/daemon/src/control/gossip/transport.rs
@@ -64,21 +64,21 @@
         let sender = request.headers().get(SENDER);
         let source = sender.and_then(|value| value.to_str().ok()?.parse().ok());
         let Some(source) = source else {
-            return plain(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         let body = Limited::new(request.into_body(), MAX_STREAM_MESSAGE);
         let Ok(body) = body.collect().await else {
-            return plain(StatusCode::PAYLOAD_TOO_LARGE);
+            return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
         };
         let bytes = body.to_bytes();
         match self.sender.try_send(ReceivedStream { source, bytes }) {
-            Ok(()) => plain(StatusCode::NO_CONTENT),
-            Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE),
+            Ok(()) => empty_response(StatusCode::NO_CONTENT),
+            Err(_) => empty_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 }
 
-fn plain(status: StatusCode) -> Response<AnswerBody> {
+fn empty_response(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::own(Bytes::new()));
     *response.status_mut() = status;
     response
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -85,7 +85,7 @@
         Ok(snapshot)
     }
 
-    /// Sends ticks to the pause detector and logs pause_detector; never returns.
+    /// Sends ticks to the pause detector and logs pauses; never returns.
     pub(crate) async fn run_pause_detector(&self) {
         loop {
             tokio::time::sleep(TICK_INTERVAL).await;
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -89,7 +89,6 @@
     /// Returns the strictest admission level for a request kind over `services`. The level of a
     /// service is the stricter one of its endpoints' common level and the level of the path below
     /// them.
-    /// is stricter.
     pub(crate) fn folded_level<'a>(
         &self,
         services: impl Iterator<Item = &'a String>,
--- a/crates/daemon/src/outbound/routes.rs
+++ b/crates/daemon/src/outbound/routes.rs
@@ -168,7 +168,7 @@
         observation: Observation,
     ) {
         let mut state = lock(&self.state);
-        state.heard_incarnation(now, endpoint, incarnation);
+        state.record_incarnation(now, endpoint, incarnation);
         if observation.outcome == wharfquay_core::outcome::OutcomeClass::Run {
             state.budget.record_success(now);
         }
@@ -233,7 +233,7 @@
         known.map_or(UNKNOWN_INCARNATION, |known| known.incarnation)
     }
 
-    fn heard_incarnation(&mut self, now: Timestamp, endpoint: &EndpointId, incarnation: u64) {
+    fn record_incarnation(&mut self, now: Timestamp, endpoint: &EndpointId, incarnation: u64) {
         let Some(known) = self.known.get_mut(endpoint) else {
             return;
         };
--- a/crates/daemon/src/pause.rs
+++ b/crates/daemon/src/pause.rs
@@ -1,4 +1,4 @@
-//! Detects pause_detector of this process: it was stopped by a signal or got no processor time.
+//! Detects pauses of this process: it was stopped by a signal or got no processor time.
 //!
 //! A deadline crosses a hop as the remaining time, which counts from the moment when the receiver
 //! reads the call. If a call waits in a socket buffer while the receiver is paused, that time is
@@ -19,7 +19,7 @@
 /// Time after a pause in which calls that waited during the pause may still be read.
 pub const POST_PAUSE_WINDOW: Duration = Duration::from_millis(50);
 
-/// Detects pause_detector by late timer ticks.
+/// Detects pauses by late timer ticks.
 #[derive(Debug)]
 pub struct PauseDetector {
     state: Mutex<State>,
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -276,7 +276,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_whose_key_cannot_be_claimed_is_not_dispatched() {
-    let deployment = deployment_with_claims("unused_port").await;
+    let deployment = deployment_with_claims("unknown-replica").await;
     let response = deployment.send(keyed_call()).await;
     assert_eq!(response.code(), Some(ResultCode::ClaimUndetermined));
     assert_eq!(deployment.members[0].backend.executions("/echo"), 0);
--- a/crates/daemon/tests/retry_bound.rs
+++ b/crates/daemon/tests/retry_bound.rs
@@ -111,7 +111,7 @@
     }
     let unused_port = UnusedPort::bind();
     platform.put_machine(machine(
-        "booking-unused_port",
+        "booking-unreachable",
         "booking",
         unused_port.address(),
         "live",
