--- a/crates/daemon/tests/cancellation.rs
+++ b/crates/daemon/tests/cancellation.rs
@@ -142,7 +142,7 @@
 
 /// A call above the connection limit waits in the admission queue and holds no connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_connection_limit_is_enforced() {
+async fn calls_above_the_connection_limit_wait_without_a_connection() {
     let deployment = Deployment::start_with(&["booking"], &resources(1, 1)).await;
     let edge = deployment.edge_address();
     let first = tokio::spawn(client::send(edge, Call::post("booking", "/slow/200", "")));
