--- a/crates/emulator/src/experiment/surge/arguments.rs
+++ b/crates/emulator/src/experiment/surge/arguments.rs
@@ -129,7 +129,7 @@
         "lost-requests" => {
             run.faults.lost_requests = number(parser, "lost-requests", 0.0, 1.0)?;
         }
-        "lost-answers" => run.faults.lost_answers = number(parser, "lost-answers", 0.0, 1.0)?,
+        "lost-answers" => run.faults.lost_responses = number(parser, "lost-answers", 0.0, 1.0)?,
         "kills" => run.faults.kills = value(parser, "kills", "0 or more")?,
         _ => return mechanism_option(parser, name, run),
     }
--- a/crates/emulator/src/experiment/surge/measure.rs
+++ b/crates/emulator/src/experiment/surge/measure.rs
@@ -228,7 +228,7 @@
     sessions
         .iter()
         .filter(|session| chosen(session))
-        .filter_map(|session| session.whole_at)
+        .filter_map(|session| session.complete_response_at)
         .filter(|&at| at >= start && at < end)
         .count()
 }
@@ -303,7 +303,7 @@
         let at = session.arrived.saturating_since(Timestamp::ZERO);
         let cohort = &mut cohorts[(at.as_millis() / BIN.as_millis()) as usize];
         cohort.arrived += 1;
-        cohort.whole += u32::from(session.whole_at.is_some());
+        cohort.whole += u32::from(session.complete_response_at.is_some());
     }
     cohorts.pop();
     cohorts
--- a/crates/emulator/src/simulator/call_path/arena.rs
+++ b/crates/emulator/src/simulator/call_path/arena.rs
@@ -1,8 +1,8 @@
-//! Storage of values under ids that are never mistaken for those of later values.
+//! A generational arena: the id of a removed value never refers to a later value.
 
 use std::marker::PhantomData;
 
-/// Identity of a value in an [`Arena`].
+/// The id of a value in an [`Arena`]: index of the slot and generation of the slot's value.
 #[derive(Debug)]
 pub(super) struct Id<T> {
     index: u32,
@@ -25,12 +25,12 @@
 }
 
 impl<T> Id<T> {
-    /// The id as a number.
+    /// Returns the id as a number: the generation in the upper 32 bits, the index in the lower ones.
     pub(super) const fn as_u64(self) -> u64 {
         (self.generation as u64) << 32 | self.index as u64
     }
 
-    /// The id that [`Self::as_u64`] was made from.
+    /// Returns the id that [`Self::as_u64`] turned into this number.
     pub(super) const fn from_u64(value: u64) -> Self {
         Self {
             index: value as u32,
@@ -40,10 +40,12 @@
     }
 }
 
-/// Values under ids; the place of a removed value is used again under another id.
+/// Values by id. The slot of a removed value is reused with the next generation, under a new id.
 #[derive(Debug)]
 pub(super) struct Arena<T> {
+    /// Generation and value of each slot.
     slots: Vec<(u32, Option<T>)>,
+    /// Indices of the empty slots.
     free: Vec<u32>,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl<T> Arena<T> {
-    /// Stores a value.
+    /// Stores a value and returns its id.
     pub(super) fn insert(&mut self, value: T) -> Id<T> {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push((0, None));
@@ -72,19 +74,19 @@
         }
     }
 
-    /// The value, unless it was removed.
+    /// Returns the value, or `None` if it was removed.
     pub(super) fn get(&self, id: Id<T>) -> Option<&T> {
         let slot = self.slots.get(id.index as usize)?;
         slot.1.as_ref().filter(|_| slot.0 == id.generation)
     }
 
-    /// The value, unless it was removed.
+    /// Returns the value for modification, or `None` if it was removed.
     pub(super) fn get_mut(&mut self, id: Id<T>) -> Option<&mut T> {
         let slot = self.slots.get_mut(id.index as usize)?;
         slot.1.as_mut().filter(|_| slot.0 == id.generation)
     }
 
-    /// Removes a value; its id is never used again.
+    /// Removes and returns a value; its id is not used again.
     pub(super) fn remove(&mut self, id: Id<T>) -> Option<T> {
         let slot = self.slots.get_mut(id.index as usize)?;
         if slot.0 != id.generation {
@@ -96,7 +98,7 @@
         Some(value)
     }
 
-    /// Every value with its id, in order of its place.
+    /// Returns every value with its id, ordered by slot index.
     pub(super) fn iter(&self) -> impl Iterator<Item = (Id<T>, &T)> {
         (0_u32..).zip(&self.slots).filter_map(|(index, slot)| {
             let id = Id {
--- a/crates/emulator/src/simulator/call_path/arrivals.rs
+++ b/crates/emulator/src/simulator/call_path/arrivals.rs
@@ -1,4 +1,5 @@
-//! Arrivals of originating requests: the same for every policy under one seed.
+//! Arrivals of originating requests. They depend on the seed but not on the policy, so that policies
+//! are compared under the same load.
 
 use std::time::Duration;
 
@@ -9,26 +10,30 @@
 use super::layout::Layout;
 use super::settings::RunSettings;
 
-/// One caller with one originating request.
+/// The first attempt of a session: one caller with one originating request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Arrival {
+    /// Time at which the caller sends the attempt.
     pub(super) at: Timestamp,
+    /// Index of the request kind.
     pub(super) kind: usize,
+    /// Index of the zone whose edge receives the session's attempts.
     pub(super) zone: usize,
+    /// True if the caller repeats the request after a fixed wait and ignores `retry_after`.
     pub(super) impatient: bool,
 }
 
-/// Poisson arrivals of every kind, in order of time.
+/// Generates Poisson arrivals of every request kind, ordered by time.
 pub(super) fn arrivals(layout: &Layout, settings: &RunSettings) -> Vec<Arrival> {
     let mut rng = Pcg64Mcg::seed_from_u64(settings.seed);
     let mut arrivals = Vec::new();
-    let pieces = [
+    let phases = [
         (Duration::ZERO, settings.before, 1.0),
         (settings.before, settings.surge, settings.factor),
         (settings.before + settings.surge, settings.after, 1.0),
     ];
     for (kind, model) in layout.kinds.iter().enumerate() {
-        for (start, length, factor) in pieces {
+        for (start, length, factor) in phases {
             let rate = model.rate * factor;
             let mut at = exponential(rate, &mut rng);
             while at < length.as_secs_f64() {
@@ -46,7 +51,7 @@
     arrivals
 }
 
-/// First attempts per bin and kind from `start` on.
+/// Returns the number of arrivals by bin and request kind, for `bins` bins of width `bin` from `start` on.
 #[must_use]
 pub fn arrival_counts(
     layout: &Layout,
@@ -68,7 +73,8 @@
     counts
 }
 
-/// Exponentially distributed time with this rate; never ends without a rate.
+/// Returns an exponentially distributed time in seconds for `rate` events per second; `f64::MAX` if the
+/// rate is zero.
 fn exponential(rate: f64, rng: &mut Pcg64Mcg) -> f64 {
     if rate <= 0.0 {
         return f64::MAX;
--- a/crates/emulator/src/simulator/call_path/backend.rs
+++ b/crates/emulator/src/simulator/call_path/backend.rs
@@ -1,4 +1,4 @@
-//! A back end: slots, its own queue in order of arrival, connections and cold start.
+//! A simulated backend: slots, a first-in first-out queue, connections and cold start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,123 +8,127 @@
 use super::call::ExecutionId;
 use crate::backend::speed::cold_factor;
 
-/// A back end's own state.
+/// State of a backend.
 #[derive(Debug)]
 pub(super) struct Backend {
+    /// Number of requests that it executes concurrently.
     slots: u32,
+    /// Number of connections that it accepts.
     connections: u32,
     cold_start: Duration,
-    busy: u32,
+    busy_slots: u32,
+    /// Executions that wait for a slot.
     waiting: VecDeque<ExecutionId>,
-    open: u32,
-    used: u32,
+    open_connections: u32,
+    used_connections: u32,
+    /// Start of the process; `None` if it was warm when the simulation started.
     started_at: Option<Timestamp>,
-    /// Grows with each restart.
+    /// Incremented by each restart.
     pub(super) incarnation: u64,
-    /// Whether the process runs.
+    /// True while the process runs.
     pub(super) alive: bool,
 }
 
-/// What a call finds that needs a connection.
+/// The result of a request for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ConnectionUse {
-    /// An idle connection.
+pub(super) enum ConnectionOutcome {
+    /// An idle connection is reused.
     Idle,
-    /// Room for another connection, to be opened first.
-    Opens,
-    /// The limit.
-    Refused,
+    /// A new connection has to be opened first.
+    Opening,
+    /// The backend has reached its connection limit.
+    LimitReached,
 }
 
 impl Backend {
-    /// A warm back end.
+    /// Creates a warm backend.
     pub(super) fn new(slots: u32, connections: u32, cold_start: Duration) -> Self {
         Self {
             slots,
             connections,
             cold_start,
-            busy: 0,
+            busy_slots: 0,
             waiting: VecDeque::new(),
-            open: 0,
-            used: 0,
+            open_connections: 0,
+            used_connections: 0,
             started_at: None,
             incarnation: 1,
             alive: true,
         }
     }
 
-    /// Takes a connection for a call.
-    pub(super) fn connect(&mut self) -> ConnectionUse {
-        if self.used >= self.connections {
-            return ConnectionUse::Refused;
+    /// Takes an idle connection for a call, or a new one while the limit allows it.
+    pub(super) fn acquire_connection(&mut self) -> ConnectionOutcome {
+        if self.used_connections >= self.connections {
+            return ConnectionOutcome::LimitReached;
         }
-        self.used += 1;
-        if self.used <= self.open {
-            return ConnectionUse::Idle;
+        self.used_connections += 1;
+        if self.used_connections <= self.open_connections {
+            return ConnectionOutcome::Idle;
         }
-        self.open = self.used;
-        ConnectionUse::Opens
+        self.open_connections = self.used_connections;
+        ConnectionOutcome::Opening
     }
 
-    /// Gives a connection back.
-    pub(super) fn disconnect(&mut self) {
-        self.used = self.used.saturating_sub(1);
+    /// Returns a connection, which stays open and becomes idle.
+    pub(super) fn release_connection(&mut self) {
+        self.used_connections = self.used_connections.saturating_sub(1);
     }
 
-    /// Takes a slot, or a place in the queue; returns whether the execution starts now.
-    pub(super) fn enter(&mut self, execution: ExecutionId) -> bool {
-        if self.busy < self.slots {
-            self.busy += 1;
+    /// Takes a slot for an execution, or queues it; returns true if it got a slot.
+    pub(super) fn start_or_queue(&mut self, execution: ExecutionId) -> bool {
+        if self.busy_slots < self.slots {
+            self.busy_slots += 1;
             return true;
         }
         self.waiting.push_back(execution);
         false
     }
 
-    /// Gives a slot back; the caller starts the next execution that still exists.
-    pub(super) fn leave(&mut self) {
-        self.busy = self.busy.saturating_sub(1);
+    /// Frees a slot; the calling function starts the next queued execution that still exists.
+    pub(super) fn release_slot(&mut self) {
+        self.busy_slots = self.busy_slots.saturating_sub(1);
     }
 
-    /// Takes the next waiting execution if a slot is free; the slot is taken by
-    /// [`Self::occupy`].
+    /// Removes and returns the first queued execution if a slot is free. The slot is taken by
+    /// [`Self::occupy_slot`].
     pub(super) fn next_waiting(&mut self) -> Option<ExecutionId> {
-        if self.busy < self.slots {
+        if self.busy_slots < self.slots {
             self.waiting.pop_front()
         } else {
             None
         }
     }
 
-    /// Takes a slot for an execution from the queue.
-    pub(super) fn occupy(&mut self) {
-        self.busy += 1;
+    /// Takes a slot for an execution that was queued.
+    pub(super) fn occupy_slot(&mut self) {
+        self.busy_slots += 1;
     }
 
-    /// Factor on work from the cold start.
+    /// Returns the factor on execution time caused by the cold start; 1 for a warm backend.
     pub(super) fn work_factor(&self, now: Timestamp) -> f64 {
         self.started_at.map_or(1.0, |started_at| {
             cold_factor(now.saturating_since(started_at), self.cold_start)
         })
     }
 
-    /// The process ends; every execution in it is lost.
+    /// Terminates the process; every execution in it is lost.
     pub(super) fn kill(&mut self) {
         self.alive = false;
-        self.busy = 0;
-        self.open = 0;
-        self.used = 0;
+        self.busy_slots = 0;
+        self.open_connections = 0;
+        self.used_connections = 0;
         self.waiting.clear();
     }
 
-    /// A new process starts, cold.
+    /// Starts a new process, cold.
     pub(super) fn restart(&mut self, now: Timestamp) {
         self.alive = true;
         self.incarnation += 1;
         self.started_at = Some(now);
     }
 
-    /// When the process started; `None` for one that was warm from the beginning.
+    /// Returns the start of the process; `None` if it was warm when the simulation started.
     pub(super) const fn started_at(&self) -> Option<Timestamp> {
         self.started_at
     }
--- a/crates/emulator/src/simulator/call_path/call.rs
+++ b/crates/emulator/src/simulator/call_path/call.rs
@@ -1,4 +1,4 @@
-//! Requests, outgoing calls and executions as the simulator holds them.
+//! State of requests, outgoing calls and executions.
 
 use std::time::Duration;
 
@@ -11,99 +11,117 @@
 use super::arena::Id;
 
 pub(super) type RequestId = Id<Request>;
-pub(super) type OutgoingId = Id<Outgoing>;
+pub(super) type OutgoingId = Id<OutgoingCall>;
 pub(super) type ExecutionId = Id<Execution>;
 
-/// One attempt of a caller: an originating request.
+/// An originating request: one attempt of a caller.
 #[derive(Debug)]
 pub(super) struct Request {
+    /// Index of the session.
     pub(super) session: usize,
+    /// Index of the request kind.
     pub(super) kind: usize,
+    /// Number of the originating request; its origin id is derived from it.
     pub(super) origin: u64,
     pub(super) key: AdmissionKey,
     pub(super) deadline: Timestamp,
+    /// Retry allowance of the whole request, held by the edge.
     pub(super) ledger: Ledger,
+    /// The edge's call to the entry service; absent when that call completed before the deadline was
+    /// scheduled.
     pub(super) root: Option<OutgoingId>,
-    /// Retries of all hops.
+    /// Number of retries made by all hops.
     pub(super) retries: u32,
-    /// Executions at the entry service that started.
+    /// Number of executions that started at the entry service.
     pub(super) entry_executions: u32,
-    /// Work done for it so far.
+    /// Execution time spent on the request so far.
     pub(super) work: Duration,
-    /// Whether the caller has its answer or has given up.
-    pub(super) ended: bool,
-    /// Whether the caller has the whole answer in time.
-    pub(super) whole: bool,
-    /// Whether the caller was told that nothing ran.
+    /// True once the edge has responded to the caller.
+    pub(super) completed: bool,
+    /// True if the caller receives the complete response in time.
+    pub(super) is_complete_in_time: bool,
+    /// True if the caller received a result that says that the request did not run.
     pub(super) reported_not_run: bool,
-    /// Outgoing calls and executions that still refer to it.
+    /// Number of outgoing calls and executions that still refer to the request.
     pub(super) references: u32,
-    /// Where it was last refused for want of capacity.
-    pub(super) refused: Option<Refused>,
+    /// The last refusal for lack of capacity.
+    pub(super) last_refusal: Option<CapacityRefusal>,
 }
 
-/// A refusal for want of capacity.
+/// A refusal for lack of capacity.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Refused {
+pub(super) struct CapacityRefusal {
+    /// The service that refused.
     pub(super) service: usize,
+    /// Time at which the refused attempt was sent; the time of the refusal if none was.
     pub(super) since: Timestamp,
+    /// Time of the refusal.
     pub(super) at: Timestamp,
 }
 
-/// A call that a node makes to a service, over all its attempts.
+/// A call that a node makes to a service, with all its attempts.
 #[derive(Debug)]
-pub(super) struct Outgoing {
+pub(super) struct OutgoingCall {
     pub(super) request: RequestId,
     pub(super) node: usize,
     pub(super) service: usize,
-    /// Execution on whose behalf the call is made; `None` at the edge.
+    /// The execution that makes the call; `None` at the edge.
     pub(super) parent: Option<ExecutionId>,
+    /// Endpoints whose attempts failed; a retry prefers others.
     pub(super) tried: Vec<EndpointId>,
     pub(super) retries: u32,
+    /// Result code of the last attempt that may have run.
     pub(super) uncertain: Option<ResultCode>,
-    /// The attempt under way.
+    /// The attempt in flight.
     pub(super) attempt: Option<Attempt>,
 }
 
-/// An attempt under way, as its sender sees it.
+/// An attempt in flight, as its sender sees it.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub(super) execution: ExecutionId,
+    /// Retry allowance that is sent with the attempt.
     pub(super) grant: Grant,
     pub(super) endpoint: EndpointId,
     pub(super) sent: Timestamp,
 }
 
-/// Where an attempt stands at its back end.
+/// The stage that an attempt has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// On its way to the daemon.
-    Travelling,
+    /// In flight to the daemon.
+    InTransit,
     /// In the daemon's queue.
     Queued,
-    /// Dispatched; on its way to a slot.
+    /// Dispatched to the backend, without a slot yet.
     Dispatched,
-    /// In a slot.
+    /// Running in a slot, or waiting for downstream calls while it holds the slot.
     Running,
 }
 
-/// An attempt at its back end.
+/// An attempt as its receiver sees it: its position at the daemon and the backend.
 #[derive(Debug)]
 pub(super) struct Execution {
     pub(super) request: RequestId,
     pub(super) outgoing: OutgoingId,
-    /// Node that sent the attempt.
+    /// The node that sent the attempt.
     pub(super) from: usize,
-    /// Node of the back end.
+    /// The node of the backend that receives the attempt.
     pub(super) node: usize,
     pub(super) service: usize,
     pub(super) stage: Stage,
+    /// Time at which the attempt arrived at the daemon; the time of sending before that.
     pub(super) offered: Timestamp,
+    /// Retry allowance for the downstream calls.
     pub(super) ledger: Ledger,
+    /// Incarnation of the backend when the attempt arrived.
     pub(super) incarnation: u64,
     pub(super) work_started: Timestamp,
     pub(super) work_done: bool,
+    /// Index of the next downstream call in the step.
     pub(super) next_call: usize,
+    /// Downstream calls in flight.
     pub(super) open_calls: Vec<OutgoingId>,
+    /// True if a downstream call failed.
     pub(super) failed: bool,
 }
--- a/crates/emulator/src/simulator/call_path/engine/execution.rs
+++ b/crates/emulator/src/simulator/call_path/engine/execution.rs
@@ -1,4 +1,4 @@
-//! Executions at a back end: slot, work, deeper calls, answer and cancellation.
+//! Executions at a backend: slot, work, downstream calls, response and cancellation.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use wharfquay_core::admission::{CallTicket, Cancellation, Completion};
 
 use super::Engine;
-use super::caller::mix;
-use super::outgoing::CallEnd;
+use super::caller::splitmix64;
+use super::outgoing::CallResult;
 use crate::backend::speed::work_time;
 use crate::simulator::call_path::backend::Backend;
 use crate::simulator::call_path::call::{Execution, ExecutionId, OutgoingId, Stage};
@@ -25,18 +25,18 @@
         &mut self.backends[node - self.layout.zones.len()]
     }
 
-    /// A dispatched call arrives at the back end.
+    /// Handles the arrival of a dispatched call at the backend.
     pub(super) fn connected(&mut self, id: ExecutionId) {
         let Some(execution) = self.executions.get(id) else {
             return;
         };
         let node = execution.node;
-        if self.backend_mut(node).enter(id) {
+        if self.backend_mut(node).start_or_queue(id) {
             self.start(id);
         }
     }
 
-    /// An execution has a slot: its work begins.
+    /// Starts the work of an execution that holds a slot.
     fn start(&mut self, id: ExecutionId) {
         let now = self.now;
         let Some(work) = self.work_of(id) else {
@@ -60,15 +60,17 @@
             .add(now + work, Event::WorkDone { execution: id });
     }
 
-    /// Time in the slot without deeper calls: the same for every policy under one seed.
+    /// Returns the execution time without downstream calls. The random part depends only on the seed, the
+    /// session and the calling and called service, so that it is the same for every policy.
     fn work_of(&self, id: ExecutionId) -> Option<Duration> {
         let execution = self.executions.get(id)?;
         let request = self.requests.get(execution.request)?;
         let step = self.step(execution)?;
         let caller = self.layout.backend_of(execution.from);
         let caller = caller.map_or(0, |backend| self.layout.backends[backend].service + 1);
-        let place = (caller as u64) << 8 | execution.service as u64;
-        let seed = mix(self.settings.seed ^ mix((request.session as u64) << 16 | place));
+        let call_site = (caller as u64) << 8 | execution.service as u64;
+        let seed =
+            splitmix64(self.settings.seed ^ splitmix64((request.session as u64) << 16 | call_site));
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let work = work_time(step.work, &mut rng);
         let slow = if self.in_surge() {
@@ -85,7 +87,7 @@
         self.layout.kinds[request.kind].steps[execution.service].as_ref()
     }
 
-    /// The work is done: the deeper calls follow.
+    /// Records completed work and starts the downstream calls.
     pub(super) fn work_done(&mut self, id: ExecutionId) {
         let now = self.now;
         let Some(execution) = self.executions.get_mut(id) else {
@@ -99,7 +101,7 @@
         self.next_calls(id);
     }
 
-    /// Starts the next deeper call, or all that run at the same time; without any left, answers.
+    /// Starts the next downstream call, or all of them if they are concurrent; responds if none is left.
     fn next_calls(&mut self, id: ExecutionId) {
         let Some(execution) = self.executions.get(id) else {
             return;
@@ -129,7 +131,7 @@
             if self.executions.get(id).is_none() {
                 return;
             }
-            self.start_outgoing(request, node, callee, Some(id));
+            self.start_call(request, node, callee, Some(id));
         }
     }
 
@@ -143,14 +145,19 @@
         }
     }
 
-    /// A deeper call of an execution ended.
-    pub(super) fn call_ended(&mut self, id: ExecutionId, call: OutgoingId, end: CallEnd) {
+    /// Handles the completion of a downstream call of an execution.
+    pub(super) fn call_completed(
+        &mut self,
+        id: ExecutionId,
+        call: OutgoingId,
+        call_result: CallResult,
+    ) {
         let now = self.now;
         let Some(execution) = self.executions.get_mut(id) else {
             return;
         };
         execution.open_calls.retain(|open| *open != call);
-        execution.failed |= end != CallEnd::Whole;
+        execution.failed |= call_result != CallResult::Complete;
         let open = !execution.open_calls.is_empty();
         let failed = execution.failed;
         let node = execution.node;
@@ -158,33 +165,33 @@
             admission.downstream_ended(now, CallTicket(id.as_u64()));
         }
         if failed {
-            self.finish_execution(id, Some(end));
+            self.finish_execution(id, Some(call_result));
         } else if !open {
             self.next_calls(id);
         }
     }
 
-    /// An execution ends with an answer; `failure` is the deeper call that failed.
-    fn finish_execution(&mut self, id: ExecutionId, failure: Option<CallEnd>) {
+    /// Completes an execution with a response; `failure` is the result of a failed downstream call.
+    fn finish_execution(&mut self, id: ExecutionId, failure: Option<CallResult>) {
         let Some(mut execution) = self.executions.remove(id) else {
             return;
         };
         for call in std::mem::take(&mut execution.open_calls) {
-            self.cancel_outgoing(call);
+            self.cancel_call(call);
         }
         if failure.is_none() {
-            self.note_effect(&execution);
+            self.record_effect(&execution);
         }
-        self.free_slot(id, &execution, Completion::Succeeded);
+        self.release_resources(id, &execution, Completion::Succeeded);
         let (result, retry_after) = match failure {
-            None => (AttemptResult::Whole, None),
-            Some(end) => (AttemptResult::DeeperFailed, end.retry_after()),
+            None => (AttemptResult::Complete, None),
+            Some(call_result) => (AttemptResult::DownstreamFailed, call_result.retry_after()),
         };
-        self.send_answer(id, &mut execution, result, retry_after);
+        self.send_response(id, &mut execution, result, retry_after);
         self.drop_reference(execution.request);
     }
 
-    fn note_effect(&mut self, execution: &Execution) {
+    fn record_effect(&mut self, execution: &Execution) {
         let Some(request) = self.requests.get(execution.request) else {
             return;
         };
@@ -194,8 +201,14 @@
         }
     }
 
-    /// Gives slot and connection back, and lets admission and the back end's queue go on.
-    fn free_slot(&mut self, id: ExecutionId, execution: &Execution, completion: Completion) {
+    /// Frees slot and connection, starts queued executions and reports the completion to admission
+    /// control.
+    fn release_resources(
+        &mut self,
+        id: ExecutionId,
+        execution: &Execution,
+        completion: Completion,
+    ) {
         let node = execution.node;
         if execution.stage == Stage::Running {
             let held = self.now.saturating_since(execution.work_started);
@@ -204,13 +217,13 @@
             }
         }
         let backend = self.backend_mut(node);
-        backend.disconnect();
+        backend.release_connection();
         if execution.stage == Stage::Running {
-            backend.leave();
+            backend.release_slot();
         }
         while let Some(waiting) = self.backend_mut(node).next_waiting() {
             if self.executions.get(waiting).is_some() {
-                self.backend_mut(node).occupy();
+                self.backend_mut(node).occupy_slot();
                 self.start(waiting);
             }
         }
@@ -221,20 +234,20 @@
         }
     }
 
-    /// The sender gave an attempt up.
+    /// Cancels an attempt that its sender has abandoned.
     pub(super) fn cancel_execution(&mut self, id: ExecutionId) {
         let Some(mut execution) = self.executions.remove(id) else {
             return;
         };
         for call in std::mem::take(&mut execution.open_calls) {
-            self.cancel_outgoing(call);
+            self.cancel_call(call);
         }
-        self.note_partial_work(&execution);
-        self.withdraw(id, &execution);
+        self.record_partial_work(&execution);
+        self.cancel_at_daemon(id, &execution);
         self.drop_reference(execution.request);
     }
 
-    fn note_partial_work(&mut self, execution: &Execution) {
+    fn record_partial_work(&mut self, execution: &Execution) {
         if execution.stage != Stage::Running || execution.work_done {
             return;
         }
@@ -244,8 +257,8 @@
         }
     }
 
-    fn withdraw(&mut self, id: ExecutionId, execution: &Execution) {
-        if execution.stage == Stage::Travelling {
+    fn cancel_at_daemon(&mut self, id: ExecutionId, execution: &Execution) {
+        if execution.stage == Stage::InTransit {
             return;
         }
         let now = self.now;
@@ -255,11 +268,11 @@
             .as_mut()
             .map(|admission| admission.cancel(now, ticket));
         if found != Some(Cancellation::RemovedFromQueue) {
-            self.free_slot(id, execution, Completion::Cancelled);
+            self.release_resources(id, execution, Completion::Cancelled);
         }
     }
 
-    /// Forgets an attempt that never arrived.
+    /// Removes an attempt that was lost on the network.
     pub(super) fn discard_execution(&mut self, id: ExecutionId) {
         if let Some(execution) = self.executions.remove(id) {
             self.drop_reference(execution.request);
--- a/crates/emulator/src/simulator/call_path/engine/faults.rs
+++ b/crates/emulator/src/simulator/call_path/engine/faults.rs
@@ -1,4 +1,4 @@
-//! Back ends that are killed and start again.
+//! Backends that are killed and restarted.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use wharfquay_core::time::Timestamp;
 
 use super::Engine;
-use super::outgoing::lost_answer;
+use super::outgoing::lost_response;
 use crate::simulator::call_path::call::{ExecutionId, Stage};
 use crate::simulator::call_path::event::Event;
 
-/// Time until a killed back end starts again.
+/// Time until a killed backend starts again.
 const RESTART_AFTER: Duration = Duration::from_millis(500);
 
 impl Engine<'_> {
-    /// Plans the kills of the run.
+    /// Schedules the kills of the run and the restarts that follow them.
     pub(super) fn schedule_kills(&mut self) {
         let total = self.settings.total().as_secs_f64();
         for _ in 0..self.settings.faults.kills {
@@ -27,7 +27,8 @@
         }
     }
 
-    /// A back end and its daemon end at once; every sender sees its connection break.
+    /// Terminates a backend together with its daemon; every sender with an attempt there observes a lost
+    /// connection.
     pub(super) fn kill(&mut self, node: usize) {
         self.backend_mut(node).kill();
         for id in self.executions_at(node) {
@@ -39,7 +40,7 @@
         self.executions
             .iter()
             .filter(|(_, execution)| execution.node == node)
-            .filter(|(_, execution)| execution.stage != Stage::Travelling)
+            .filter(|(_, execution)| execution.stage != Stage::InTransit)
             .map(|(id, _)| id)
             .collect()
     }
@@ -49,19 +50,20 @@
             return;
         };
         for call in std::mem::take(&mut execution.open_calls) {
-            self.cancel_outgoing(call);
+            self.cancel_call(call);
         }
         let at = self.now + self.layout.latency(execution.node, execution.from);
-        let event = Event::Answer {
+        let event = Event::Response {
             outgoing: execution.outgoing,
             execution: id,
-            answer: lost_answer(),
+            response: lost_response(),
         };
         self.events.add(at, event);
         self.drop_reference(execution.request);
     }
 
-    /// A new process starts, cold, with a new daemon; the others learn of its incarnation.
+    /// Starts a new backend process, cold, with a new daemon; the routers of all daemons receive its
+    /// incarnation.
     pub(super) fn restart(&mut self, node: usize) {
         let now = self.now;
         if self.backend(node).alive {
--- a/crates/emulator/src/simulator/call_path/engine/inbound.rs
+++ b/crates/emulator/src/simulator/call_path/engine/inbound.rs
@@ -1,4 +1,4 @@
-//! The daemon beside a back end: admission and dispatch.
+//! Inbound calls at the daemon of a backend: admission and dispatch.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use wharfquay_core::priority::AdmissionLevel;
 
 use super::Engine;
-use super::outgoing::lost_answer;
-use crate::simulator::call_path::backend::ConnectionUse;
+use super::outgoing::lost_response;
+use crate::simulator::call_path::backend::ConnectionOutcome;
 use crate::simulator::call_path::call::{Execution, ExecutionId, Stage};
 use crate::simulator::call_path::event::Event;
-use crate::simulator::call_path::node::{Answer, AttemptResult, Metadata};
+use crate::simulator::call_path::node::{AttemptResult, Metadata, Response};
 
-/// How far a deadline lies in the future for a daemon that is told none.
+/// Time to the deadline that a daemon assumes for a call without a propagated deadline.
 const NO_DEADLINE: Duration = Duration::from_secs(3_600);
 
 impl Engine<'_> {
-    /// An attempt arrives at the daemon of a back end.
-    pub(super) fn reach(&mut self, id: ExecutionId) {
+    /// Handles the arrival of an attempt at the daemon of a backend.
+    pub(super) fn arrive_at_daemon(&mut self, id: ExecutionId) {
         let Some(execution) = self.executions.get(id) else {
             return;
         };
@@ -33,7 +33,7 @@
             execution.offered = self.now;
             execution.stage = Stage::Queued;
         }
-        if self.refused_deeper(id) {
+        if self.refuse_for_downstream(id) {
             return;
         }
         let Some(call) = self.offered_call(id) else {
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Refuses a call before dispatch when the path below would refuse it.
-    fn refused_deeper(&mut self, id: ExecutionId) -> bool {
+    /// Refuses a call before admission if one of its downstream services would refuse it; returns true if
+    /// it did.
+    fn refuse_for_downstream(&mut self, id: ExecutionId) -> bool {
         if self.is_naive() || !self.settings.mechanisms.folding {
             return false;
         }
@@ -94,7 +95,7 @@
         })
     }
 
-    /// Does what an admission controller decided.
+    /// Applies the decisions of a node's admission controller and schedules its next wakeup.
     pub(super) fn apply(&mut self, node: usize, effects: Vec<AdmissionEffect>) {
         for effect in effects {
             match effect {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// An admission controller is called at the time that it asked for.
+    /// Handles a wakeup that an admission controller requested.
     pub(super) fn wake(&mut self, node: usize) {
         let now = self.now;
         let state = &mut self.nodes[node];
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Hands a call to the back end, over an idle connection or a new one.
+    /// Dispatches a call to the backend, over an idle connection or a new one.
     fn dispatch(&mut self, id: ExecutionId) {
         let Some(execution) = self.executions.get_mut(id) else {
             return;
@@ -153,17 +154,17 @@
             record.dispatched += 1;
             record.waited += waited;
         }
-        match self.backend_mut(node).connect() {
-            ConnectionUse::Idle => self.connected(id),
-            ConnectionUse::Opens => {
+        match self.backend_mut(node).acquire_connection() {
+            ConnectionOutcome::Idle => self.connected(id),
+            ConnectionOutcome::Opening => {
                 let at = self.now + self.layout.services[service].connect;
                 self.events.add(at, Event::Connected { execution: id });
             }
-            ConnectionUse::Refused => self.refuse(id, ResultCode::ConnectionLimit, None),
+            ConnectionOutcome::LimitReached => self.refuse(id, ResultCode::ConnectionLimit, None),
         }
     }
 
-    /// Answers an attempt that does not run.
+    /// Responds to an attempt that does not run.
     fn refuse(&mut self, id: ExecutionId, code: ResultCode, retry_after: Option<Duration>) {
         let Some(mut execution) = self.executions.remove(id) else {
             return;
@@ -172,12 +173,12 @@
             *record.refused.entry(code).or_default() += 1;
         }
         let result = AttemptResult::Failed(code);
-        self.send_answer(id, &mut execution, result, retry_after);
+        self.send_response(id, &mut execution, result, retry_after);
         self.drop_reference(execution.request);
     }
 
-    /// Puts the answer to an attempt on the network, which may lose it.
-    pub(super) fn send_answer(
+    /// Sends the response to an attempt over the network, which may lose it.
+    pub(super) fn send_response(
         &mut self,
         id: ExecutionId,
         execution: &mut Execution,
@@ -186,21 +187,21 @@
     ) {
         let outgoing = execution.outgoing;
         let at = self.now + self.layout.latency(execution.node, execution.from);
-        let answer = if self.is_lost(self.settings.faults.lost_answers) {
-            lost_answer()
+        let response = if self.is_lost(self.settings.faults.lost_responses) {
+            lost_response()
         } else {
             let origin = self.requests.get(execution.request);
-            Answer {
+            Response {
                 result,
                 metadata: self.metadata(execution),
                 retry_after,
                 origin: origin.map_or(0, |request| request.origin),
             }
         };
-        let event = Event::Answer {
+        let event = Event::Response {
             outgoing,
             execution: id,
-            answer,
+            response,
         };
         self.events.add(at, event);
     }
--- a/crates/emulator/src/simulator/call_path/engine/mod.rs
+++ b/crates/emulator/src/simulator/call_path/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop and the state of a simulated deployment.
+//! Event loop and state of a simulated deployment.
 
 mod caller;
 mod execution;
@@ -20,7 +20,7 @@
 use super::arena::Arena;
 use super::arrivals::{Arrival, arrivals};
 use super::backend::Backend;
-use super::call::{Execution, Outgoing, Request, RequestId};
+use super::call::{Execution, OutgoingCall, Request, RequestId};
 use super::event::{Event, EventQueue};
 use super::layout::Layout;
 use super::node::Node;
@@ -28,12 +28,12 @@
 use super::record::{KindRecord, RunRecord, ServiceRecord, SessionRecord};
 use super::settings::RunSettings;
 
-/// Retry budget per destination, as a fraction of successes.
+/// Retry budget per destination: retries as a fraction of successful calls.
 const BUDGET_RATIO: f64 = 0.1;
-/// Time after the last arrival for which the run goes on, so that calls in flight end.
-const EPILOGUE: Duration = Duration::from_secs(10);
+/// Time for which the run continues after the last arrival, so that calls in flight complete.
+const COMPLETION_TIME: Duration = Duration::from_secs(10);
 
-/// Runs a scenario under one policy.
+/// Runs a scenario under one policy and returns its record.
 #[must_use]
 pub fn simulate(layout: &Layout, settings: &RunSettings) -> RunRecord {
     let mut engine = Engine::new(layout, settings);
@@ -52,11 +52,11 @@
     nodes: Vec<Node>,
     backends: Vec<Backend>,
     requests: Arena<Request>,
-    outgoing: Arena<Outgoing>,
+    outgoing: Arena<OutgoingCall>,
     executions: Arena<Execution>,
-    /// Factor on the work of each service during the surge.
+    /// Factor on the execution time of each service during the surge.
     slow: Vec<f64>,
-    /// When a call of each priority was last dispatched, per service.
+    /// Time of the last dispatch by service and priority.
     last_dispatch: Vec<[Option<Timestamp>; Priority::COUNT]>,
     record: RunRecord,
 }
@@ -105,7 +105,7 @@
         }
         for (session, arrival) in self.arrivals.iter().enumerate() {
             let at = arrival.at + self.layout.client;
-            self.events.add(at, Event::Attempt { session });
+            self.events.add(at, Event::CallerAttempt { session });
         }
         self.schedule_kills();
     }
@@ -169,7 +169,7 @@
     }
 
     fn run(&mut self) {
-        let end = Timestamp::ZERO + self.settings.total() + EPILOGUE;
+        let end = Timestamp::ZERO + self.settings.total() + COMPLETION_TIME;
         while let Some((at, event)) = self.events.next() {
             if at > end {
                 return;
@@ -182,28 +182,28 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Attempt { session } => self.attempt_arrives(session),
-            Event::Deadline { request } => self.deadline_passes(request),
-            Event::Reach { execution } => self.reach(execution),
+            Event::CallerAttempt { session } => self.attempt_arrives(session),
+            Event::Deadline { request } => self.deadline_expires(request),
+            Event::ArriveAtDaemon { execution } => self.arrive_at_daemon(execution),
             Event::Connected { execution } => self.connected(execution),
             Event::WorkDone { execution } => self.work_done(execution),
-            Event::Answer {
+            Event::Response {
                 outgoing,
                 execution,
-                answer,
-            } => self.answer_arrives(outgoing, execution, answer),
+                response,
+            } => self.response_arrives(outgoing, execution, response),
             Event::AttemptTimeout {
                 outgoing,
                 execution,
             } => self.attempt_times_out(outgoing, execution),
-            Event::Retry { outgoing } => self.try_outgoing(outgoing),
+            Event::Retry { outgoing } => self.start_attempt(outgoing),
             Event::Wake { node } => self.wake(node),
             Event::Kill { node } => self.kill(node),
             Event::Restart { node } => self.restart(node),
         }
     }
 
-    /// Closes the books: work of requests that never ended is wasted.
+    /// Returns the record. Requests that are still pending count neither as useful nor as wasted work.
     fn finish(self) -> RunRecord {
         self.record
     }
@@ -212,7 +212,8 @@
         self.settings.policy.is_naive()
     }
 
-    /// The record of a service for the priority of a request; `None` outside the surge.
+    /// Returns the record of a service for the priority of a request; `None` outside the surge and for a
+    /// request that is no longer known.
     fn service_record(&mut self, service: usize, request: RequestId) -> Option<&mut ServiceRecord> {
         if !self.in_surge() {
             return None;
@@ -231,7 +232,7 @@
     SessionRecord {
         kind: arrival.kind,
         arrived: arrival.at,
-        whole_at: None,
+        complete_response_at: None,
         attempts: 0,
         effects: 0,
     }
--- a/crates/emulator/src/simulator/call_path/engine/outgoing.rs
+++ b/crates/emulator/src/simulator/call_path/engine/outgoing.rs
@@ -1,4 +1,4 @@
-//! Calls that a daemon makes: early refusal, choice of an endpoint, attempts and retries.
+//! Calls that a daemon makes: early refusal, endpoint selection, attempts and their responses.
 
 use std::time::Duration;
 
@@ -11,42 +11,44 @@
 
 use super::Engine;
 use crate::simulator::call_path::call::{
-    Attempt, Execution, ExecutionId, Outgoing, OutgoingId, Refused, RequestId, Stage,
+    Attempt, CapacityRefusal, Execution, ExecutionId, OutgoingCall, OutgoingId, RequestId, Stage,
 };
 use crate::simulator::call_path::event::Event;
-use crate::simulator::call_path::node::{Answer, AttemptResult, Metadata};
+use crate::simulator::call_path::node::{AttemptResult, Metadata, Response};
 
-/// Parts into which a hop divides an allowance, as the daemon does: one for the call below and one
-/// that stays.
+/// Number of parts into which a hop divides its retry allowance, as the daemon does: one for the
+/// downstream call and one that the hop keeps.
 const ALLOWANCE_PARTS: usize = 2;
 
-/// How a call to a service ended, over all its attempts.
+/// The result of a call to a service, over all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallEnd {
-    /// The back end's whole answer.
-    Whole,
-    /// The back end answered that a deeper call failed.
-    DeeperFailed { retry_after: Option<Duration> },
-    /// No answer of a back end.
+pub(super) enum CallResult {
+    /// A backend sent a complete response.
+    Complete,
+    /// A backend responded that a downstream call failed.
+    DownstreamFailed { retry_after: Option<Duration> },
+    /// No backend responded; the code says why.
     Failed {
         code: ResultCode,
         retry_after: Option<Duration>,
     },
 }
 
-impl CallEnd {
-    /// When the caller may come back.
+impl CallResult {
+    /// Returns the time after which the caller may repeat the request, if a daemon specified one.
     pub(super) const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::Whole => None,
-            Self::DeeperFailed { retry_after } | Self::Failed { retry_after, .. } => retry_after,
+            Self::Complete => None,
+            Self::DownstreamFailed { retry_after } | Self::Failed { retry_after, .. } => {
+                retry_after
+            }
         }
     }
 }
 
 impl Engine<'_> {
-    /// Starts a call of a node to a service.
-    pub(super) fn start_outgoing(
+    /// Starts a call from a node to a service, unless the levels received from downstream refuse it.
+    pub(super) fn start_call(
         &mut self,
         request: RequestId,
         node: usize,
@@ -54,7 +56,7 @@
         parent: Option<ExecutionId>,
     ) -> OutgoingId {
         self.retain_request(request);
-        let id = self.outgoing.insert(Outgoing {
+        let id = self.outgoing.insert(OutgoingCall {
             request,
             node,
             service,
@@ -67,18 +69,18 @@
         if let Some(parent) = parent.and_then(|parent| self.executions.get_mut(parent)) {
             parent.open_calls.push(id);
         }
-        if let Some(refusal) = self.refused_early(id) {
-            self.note_refused(id, ResultCode::RefusedByLevel, self.now);
-            self.count_early(service, request);
-            self.conclude(id, refusal);
+        if let Some(refusal) = self.early_refusal(id) {
+            self.record_refusal(id, ResultCode::RefusedByLevel, self.now);
+            self.count_early_refusal(service, request);
+            self.complete_call(id, refusal);
         } else {
-            self.try_outgoing(id);
+            self.start_attempt(id);
         }
         id
     }
 
-    /// The refusal that the levels heard from further down call for.
-    fn refused_early(&self, id: OutgoingId) -> Option<CallEnd> {
+    /// Returns the refusal required by the admission levels received from downstream, if any.
+    fn early_refusal(&self, id: OutgoingId) -> Option<CallResult> {
         if self.is_naive() || !self.settings.mechanisms.folding {
             return None;
         }
@@ -89,14 +91,15 @@
         let kind = &self.layout.kinds[request.kind].name;
         let levels = &self.nodes[outgoing.node].levels;
         let refusal = levels.admits(self.now, service, kind, key).err()?;
-        Some(CallEnd::Failed {
+        Some(CallResult::Failed {
             code: ResultCode::RefusedByLevel,
             retry_after: Some(refusal.retry_after),
         })
     }
 
-    /// Picks an endpoint and sends an attempt there.
-    pub(super) fn try_outgoing(&mut self, id: OutgoingId) {
+    /// Picks an endpoint and sends an attempt to it. Endpoints that failed are excluded, except where only
+    /// these are left and an earlier attempt may have run.
+    pub(super) fn start_attempt(&mut self, id: OutgoingId) {
         let Some(outgoing) = self.outgoing.get(id) else {
             return;
         };
@@ -110,11 +113,11 @@
         } else {
             outgoing.tried.as_slice()
         };
-        let question = PickRequest { key, excluded };
-        let mut pick = router.pick(self.now, &mut self.routing_rng, &question);
+        let pick_request = PickRequest { key, excluded };
+        let mut pick = router.pick(self.now, &mut self.routing_rng, &pick_request);
         if matches!(pick, Pick::None { .. }) && outgoing.uncertain.is_some() {
-            let question = PickRequest { key, excluded: &[] };
-            pick = router.pick(self.now, &mut self.routing_rng, &question);
+            let pick_request = PickRequest { key, excluded: &[] };
+            pick = router.pick(self.now, &mut self.routing_rng, &pick_request);
         }
         match pick {
             Pick::Endpoint(endpoint) => self.send_attempt(id, &endpoint),
@@ -122,8 +125,8 @@
                 reason,
                 retry_after,
             } => {
-                self.note_refused(id, reason, self.now);
-                self.count_early_of(id);
+                self.record_refusal(id, reason, self.now);
+                self.count_early_refusal_of(id);
                 self.fail(id, reason, Some(retry_after));
             }
         }
@@ -144,7 +147,7 @@
             from,
             node,
             service,
-            stage: Stage::Travelling,
+            stage: Stage::InTransit,
             offered: self.now,
             ledger: Ledger::new(grant.allowance()),
             incarnation: 0,
@@ -165,24 +168,30 @@
             outgoing.attempt = Some(attempt);
         }
         self.nodes[from].routers[service].dispatched(self.now, endpoint);
-        self.travel(id, execution, from, node);
+        self.transmit_attempt(id, execution, from, node);
     }
 
-    /// Puts an attempt on the network, which may lose it.
-    fn travel(&mut self, outgoing: OutgoingId, execution: ExecutionId, from: usize, to: usize) {
+    /// Sends an attempt over the network, which may lose it.
+    fn transmit_attempt(
+        &mut self,
+        outgoing: OutgoingId,
+        execution: ExecutionId,
+        from: usize,
+        to: usize,
+    ) {
         let at = self.now + self.layout.latency(from, to);
         if self.is_lost(self.settings.faults.lost_requests) {
             self.discard_execution(execution);
-            let answer = lost_answer();
-            let event = Event::Answer {
+            let response = lost_response();
+            let event = Event::Response {
                 outgoing,
                 execution,
-                answer,
+                response,
             };
             self.events.add(at, event);
             return;
         }
-        self.events.add(at, Event::Reach { execution });
+        self.events.add(at, Event::ArriveAtDaemon { execution });
         if self.is_naive() {
             let timeout = self.hop_timeout(outgoing);
             let event = Event::AttemptTimeout {
@@ -208,11 +217,12 @@
         Some(self.layout.node_of(*backend))
     }
 
-    /// The ledger that pays for a call: its parent's, or the request's at the edge.
+    /// Applies `operation` to the ledger that pays for a call's retries: that of the parent execution, or the
+    /// request's at the edge.
     pub(super) fn with_ledger<T>(
         &mut self,
         id: OutgoingId,
-        use_it: impl FnOnce(&mut Ledger) -> T,
+        operation: impl FnOnce(&mut Ledger) -> T,
     ) -> T {
         let outgoing = self.outgoing.get(id);
         let parent = outgoing.and_then(|outgoing| outgoing.parent);
@@ -229,19 +239,19 @@
                 .map(|request| &mut request.ledger),
             (None, None) => None,
         };
-        use_it(ledger.unwrap_or(&mut none))
+        operation(ledger.unwrap_or(&mut none))
     }
 
     fn take_grant(&mut self, id: OutgoingId) -> Grant {
         self.with_ledger(id, |ledger| ledger.grant(ALLOWANCE_PARTS))
     }
 
-    /// An answer arrives; one to an attempt that was given up is discarded.
-    pub(super) fn answer_arrives(
+    /// Handles a response; one to an attempt that is no longer awaited is discarded.
+    pub(super) fn response_arrives(
         &mut self,
         id: OutgoingId,
         execution: ExecutionId,
-        answer: Answer,
+        response: Response,
     ) {
         let awaited = self.outgoing.get_mut(id).and_then(|outgoing| {
             outgoing
@@ -251,37 +261,42 @@
         let Some(attempt) = awaited else {
             return;
         };
-        self.check_owner(id, &answer);
-        self.learn(id, &attempt, &answer);
-        match answer.result {
-            AttemptResult::Whole => self.conclude(id, CallEnd::Whole),
-            AttemptResult::DeeperFailed if self.is_naive() => {
+        self.check_response_origin(id, &response);
+        self.apply_response(id, &attempt, &response);
+        match response.result {
+            AttemptResult::Complete => self.complete_call(id, CallResult::Complete),
+            AttemptResult::DownstreamFailed if self.is_naive() => {
                 self.retry_naively(id, ResultCode::Answered);
             }
-            AttemptResult::DeeperFailed => {
-                let retry_after = answer.retry_after;
-                self.conclude(id, CallEnd::DeeperFailed { retry_after });
+            AttemptResult::DownstreamFailed => {
+                let retry_after = response.retry_after;
+                self.complete_call(id, CallResult::DownstreamFailed { retry_after });
             }
             AttemptResult::Failed(code) => {
-                self.note_refused(id, code, attempt.sent);
-                self.attempt_failed(id, attempt, code, answer.retry_after);
+                self.record_refusal(id, code, attempt.sent);
+                self.attempt_failed(id, attempt, code, response.retry_after);
             }
         }
     }
 
-    fn check_owner(&mut self, id: OutgoingId, answer: &Answer) {
+    fn check_response_origin(&mut self, id: OutgoingId, response: &Response) {
         let request = self.outgoing.get(id).map(|outgoing| outgoing.request);
         let Some(request) = request.and_then(|request| self.requests.get(request)) else {
             return;
         };
-        if answer.metadata.is_some() && answer.origin != request.origin {
+        if response.metadata.is_some() && response.origin != request.origin {
             self.record.kinds[request.kind].mixed_answers += 1;
         }
     }
 
-    /// Takes in what an answer says about endpoint, path and allowance.
-    pub(super) fn learn(&mut self, id: OutgoingId, attempt: &Attempt, answer: &Answer) {
-        let returned = answer.metadata.map(|metadata| metadata.returned);
+    /// Updates the ledger, the router, the retry budget and the path levels from a response.
+    pub(super) fn apply_response(
+        &mut self,
+        id: OutgoingId,
+        attempt: &Attempt,
+        response: &Response,
+    ) {
+        let returned = response.metadata.map(|metadata| metadata.returned);
         self.with_ledger(id, |ledger| match returned {
             Some(returned) => ledger.settle(attempt.grant, returned),
             None => ledger.lose(attempt.grant),
@@ -290,11 +305,11 @@
             return;
         };
         let naive = self.settings.policy.is_naive();
-        let metadata = answer.metadata.filter(|_| !naive);
+        let metadata = response.metadata.filter(|_| !naive);
         let node = &mut self.nodes[outgoing.node];
-        let observation = observation(self.now, attempt, answer.result, metadata);
+        let observation = observation(self.now, attempt, response.result, metadata);
         node.routers[outgoing.service].observe(self.now, &attempt.endpoint, observation);
-        if answer.result == AttemptResult::Whole {
+        if response.result == AttemptResult::Complete {
             node.budgets[outgoing.service].record_success(self.now);
         }
         if let (Some(metadata), Some(request)) = (metadata, self.requests.get(outgoing.request)) {
@@ -310,7 +325,8 @@
         }
     }
 
-    /// Ends a call without an answer: "not run" only if that holds for every attempt.
+    /// Completes a call without a response. A code for "not run" is replaced if an earlier attempt may have
+    /// run.
     pub(super) fn fail(&mut self, id: OutgoingId, code: ResultCode, retry_after: Option<Duration>) {
         let uncertain = self
             .outgoing
@@ -320,23 +336,23 @@
             Some(uncertain) if code.outcome() == OutcomeClass::NotRun => uncertain,
             _ => code,
         };
-        self.conclude(id, CallEnd::Failed { code, retry_after });
+        self.complete_call(id, CallResult::Failed { code, retry_after });
     }
 
-    /// Ends a call and tells its parent, or the caller.
-    pub(super) fn conclude(&mut self, id: OutgoingId, end: CallEnd) {
+    /// Completes a call and reports its result to the parent execution, or to the caller at the edge.
+    pub(super) fn complete_call(&mut self, id: OutgoingId, call_result: CallResult) {
         let Some(outgoing) = self.outgoing.remove(id) else {
             return;
         };
         match outgoing.parent {
-            Some(parent) => self.call_ended(parent, id, end),
-            None => self.request_ends(outgoing.request, end),
+            Some(parent) => self.call_completed(parent, id, call_result),
+            None => self.complete_request(outgoing.request, call_result),
         }
         self.drop_reference(outgoing.request);
     }
 
-    /// Gives a call up with everything below it.
-    pub(super) fn cancel_outgoing(&mut self, id: OutgoingId) {
+    /// Cancels a call together with its downstream calls.
+    pub(super) fn cancel_call(&mut self, id: OutgoingId) {
         let Some(outgoing) = self.outgoing.remove(id) else {
             return;
         };
@@ -347,16 +363,16 @@
         self.drop_reference(outgoing.request);
     }
 
-    /// Notes where a request was refused, if it was for want of capacity.
-    fn note_refused(&mut self, id: OutgoingId, code: ResultCode, since: Timestamp) {
-        if !is_want_of_capacity(code) {
+    /// Records a refusal of a request if the code means a lack of capacity.
+    fn record_refusal(&mut self, id: OutgoingId, code: ResultCode, since: Timestamp) {
+        if !is_capacity_refusal(code) {
             return;
         }
         let Some(outgoing) = self.outgoing.get(id) else {
             return;
         };
         if let Some(request) = self.requests.get_mut(outgoing.request) {
-            request.refused = Some(Refused {
+            request.last_refusal = Some(CapacityRefusal {
                 service: outgoing.service,
                 since,
                 at: self.now,
@@ -364,35 +380,35 @@
         }
     }
 
-    fn count_early(&mut self, service: usize, request: RequestId) {
+    fn count_early_refusal(&mut self, service: usize, request: RequestId) {
         if let Some(record) = self.service_record(service, request) {
             record.refused_early += 1;
         }
     }
 
-    fn count_early_of(&mut self, id: OutgoingId) {
+    fn count_early_refusal_of(&mut self, id: OutgoingId) {
         let outgoing = self.outgoing.get(id);
         if let Some((service, request)) =
             outgoing.map(|outgoing| (outgoing.service, outgoing.request))
         {
-            self.count_early(service, request);
+            self.count_early_refusal(service, request);
         }
     }
 
-    /// Whether the network loses something that is lost in this share of cases.
+    /// Draws whether the network loses a message, with probability `share`.
     pub(super) fn is_lost(&mut self, share: f64) -> bool {
         share > 0.0 && self.fault_rng.random::<f64>() < share
     }
 
-    /// Whether a request may run twice.
+    /// Returns true if a request of this kind must not run more than once.
     pub(super) fn is_at_most_once(&self, kind: usize) -> bool {
         self.layout.kinds[kind].repeatability == Repeatability::AtMostOnce
     }
 }
 
-/// Whether a call was refused because others were served in its place; a back end that is gone or
-/// can't be reached is another matter.
-const fn is_want_of_capacity(code: ResultCode) -> bool {
+/// Returns true if a call was refused because other calls took the capacity, and not because the backend
+/// had terminated or was unreachable.
+const fn is_capacity_refusal(code: ResultCode) -> bool {
     matches!(
         code,
         ResultCode::RefusedByLevel
@@ -404,9 +420,9 @@
     )
 }
 
-/// What a sender sees of a lost connection.
-pub(super) const fn lost_answer() -> Answer {
-    Answer {
+/// Returns the result that a sender observes when its connection is lost.
+pub(super) const fn lost_response() -> Response {
+    Response {
         result: AttemptResult::Failed(ResultCode::ConnectionLost),
         metadata: None,
         retry_after: None,
@@ -421,7 +437,7 @@
     metadata: Option<Metadata>,
 ) -> Observation {
     let (outcome, overloaded) = match result {
-        AttemptResult::Whole | AttemptResult::DeeperFailed => (OutcomeClass::Run, false),
+        AttemptResult::Complete | AttemptResult::DownstreamFailed => (OutcomeClass::Run, false),
         AttemptResult::Failed(code) => {
             let outcome = code.outcome();
             let refused = outcome == OutcomeClass::NotRun && code != ResultCode::ConnectFailed;
--- a/crates/emulator/src/simulator/call_path/engine/retries.rs
+++ b/crates/emulator/src/simulator/call_path/engine/retries.rs
@@ -1,4 +1,5 @@
-//! Retries of a daemon's calls: as the core decides, or naively.
+//! Retries of a daemon's calls, decided by `wharfquay_core` or, under the naive policies, by a fixed
+//! count.
 
 use std::time::Duration;
 
@@ -8,17 +9,17 @@
 use wharfquay_core::routing::PickRequest;
 
 use super::Engine;
-use super::outgoing::{CallEnd, lost_answer};
+use super::outgoing::{CallResult, lost_response};
 use crate::simulator::call_path::call::{Attempt, ExecutionId, OutgoingId};
 use crate::simulator::call_path::event::Event;
 
-/// Retries of a hop without control.
+/// Retries that a hop makes for each call under a naive policy.
 const NAIVE_RETRIES: u32 = 2;
-/// Wait before a retry of a hop without control.
+/// Wait before a retry under a naive policy.
 const NAIVE_WAIT: Duration = Duration::from_millis(10);
 
 impl Engine<'_> {
-    /// An attempt failed: tries again or ends the call.
+    /// Handles a failed attempt: retries the call or completes it.
     pub(super) fn attempt_failed(
         &mut self,
         id: OutgoingId,
@@ -52,14 +53,14 @@
             request.retries += 1;
         }
         if after.is_zero() {
-            self.try_outgoing(id);
+            self.start_attempt(id);
         } else {
             self.events
                 .add(self.now + after, Event::Retry { outgoing: id });
         }
     }
 
-    /// Asks the core whether a failed attempt is tried again, and pays for it.
+    /// Returns the decision of `wharfquay_core` on a retry, and charges the retry to ledger and budget.
     fn decide(&mut self, id: OutgoingId, code: ResultCode) -> Option<RetryDecision> {
         let outgoing = self.outgoing.get(id)?;
         let (node, service, retries) = (outgoing.node, outgoing.service, outgoing.retries);
@@ -73,7 +74,7 @@
         let repeatability = self.layout.kinds[request.kind].repeatability;
         let deadline = request.deadline;
         let backoff = Backoff::default().delay(retries, &mut self.routing_rng);
-        let question = RetryQuestion {
+        let retry_request = RetryQuestion {
             now: self.now,
             deadline,
             code,
@@ -86,12 +87,13 @@
             expected_latency: Duration::ZERO,
         };
         let mut budget = self.nodes[node].budgets[service].clone();
-        let decision = self.with_ledger(id, |ledger| authorize(&question, ledger, &mut budget));
+        let decision =
+            self.with_ledger(id, |ledger| authorize(&retry_request, ledger, &mut budget));
         self.nodes[node].budgets[service] = budget;
         Some(decision)
     }
 
-    /// A hop without control repeats whatever failed a fixed number of times.
+    /// Retries any failure a fixed number of times, as a hop does under a naive policy.
     pub(super) fn retry_naively(&mut self, id: OutgoingId, code: ResultCode) {
         let Some(outgoing) = self.outgoing.get(id) else {
             return;
@@ -99,13 +101,14 @@
         if outgoing.retries < NAIVE_RETRIES {
             self.schedule_retry(id, NAIVE_WAIT);
         } else if code == ResultCode::Answered {
-            self.conclude(id, CallEnd::DeeperFailed { retry_after: None });
+            self.complete_call(id, CallResult::DownstreamFailed { retry_after: None });
         } else {
             self.fail(id, code, None);
         }
     }
 
-    /// A hop without deadline propagation gives up on its attempt and repeats it; what runs, runs on.
+    /// Handles the timeout of an attempt of a hop without deadline propagation: the hop retries, while the
+    /// abandoned execution continues.
     pub(super) fn attempt_times_out(&mut self, id: OutgoingId, execution: ExecutionId) {
         let awaited = self.outgoing.get_mut(id).and_then(|outgoing| {
             outgoing
@@ -115,7 +118,7 @@
         let Some(attempt) = awaited else {
             return;
         };
-        self.learn(id, &attempt, &lost_answer());
+        self.apply_response(id, &attempt, &lost_response());
         self.retry_naively(id, ResultCode::DeadlineAfterDispatch);
     }
 }
--- a/crates/emulator/src/simulator/call_path/event.rs
+++ b/crates/emulator/src/simulator/call_path/event.rs
@@ -1,4 +1,4 @@
-//! The queue of future events.
+//! Events of the simulation and the queue of those that are due in the future.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,39 +6,39 @@
 use wharfquay_core::time::Timestamp;
 
 use super::call::{ExecutionId, OutgoingId, RequestId};
-use super::node::Answer;
+use super::node::Response;
 
-/// Something that happens at a point in virtual time.
+/// An event at a point of virtual time.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A caller's attempt arrives at its edge.
-    Attempt { session: usize },
-    /// The deadline of a request has come.
+    /// A caller's attempt arrives at the edge of its zone.
+    CallerAttempt { session: usize },
+    /// The deadline of a request expires.
     Deadline { request: RequestId },
-    /// An attempt arrives at the daemon of a back end.
-    Reach { execution: ExecutionId },
-    /// A dispatched call arrives at the back end over a connection that is open.
+    /// An attempt arrives at the daemon of a backend.
+    ArriveAtDaemon { execution: ExecutionId },
+    /// A dispatched call arrives at the backend, once its connection is open.
     Connected { execution: ExecutionId },
-    /// The work of an execution is done.
+    /// The work of an execution completes; its downstream calls follow.
     WorkDone { execution: ExecutionId },
-    /// An answer arrives at the daemon that sent the attempt.
-    Answer {
+    /// A response arrives at the daemon that sent the attempt.
+    Response {
         outgoing: OutgoingId,
         execution: ExecutionId,
-        answer: Answer,
+        response: Response,
     },
-    /// A hop without deadline propagation gives up on an attempt.
+    /// An attempt of a hop without deadline propagation times out.
     AttemptTimeout {
         outgoing: OutgoingId,
         execution: ExecutionId,
     },
-    /// The wait before a retry is over.
+    /// The backoff before a retry elapses.
     Retry { outgoing: OutgoingId },
-    /// An admission controller asked to be called.
+    /// A wakeup that an admission controller requested is due.
     Wake { node: usize },
-    /// A back end is killed.
+    /// A backend and its daemon are killed.
     Kill { node: usize },
-    /// A killed back end starts again, cold.
+    /// A killed backend starts again, cold.
     Restart { node: usize },
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// Events in order of time; those of one time in the order in which they were added.
+/// Events ordered by time; events with the same time keep the order in which they were added.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -83,7 +83,7 @@
 }
 
 impl EventQueue {
-    /// Adds an event.
+    /// Schedules an event.
     pub(super) fn add(&mut self, at: Timestamp, event: Event) {
         self.sequence += 1;
         let sequence = self.sequence;
@@ -94,7 +94,7 @@
         }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the earliest event.
     pub(super) fn next(&mut self) -> Option<(Timestamp, Event)> {
         self.heap
             .pop()
--- a/crates/emulator/src/simulator/call_path/layout.rs
+++ b/crates/emulator/src/simulator/call_path/layout.rs
@@ -1,4 +1,4 @@
-//! A scenario with its names resolved to indices.
+//! A scenario whose names are resolved to indices.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 
 use crate::scenario::{RequestModel, Scenario, StepModel};
 
-/// A deployment by index: zones first have an edge each, then come the daemons of the back ends.
+/// A deployment by index. The nodes are numbered: first the edges, one for each zone, then the daemons,
+/// one for each backend.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// Names of the zones.
@@ -17,7 +18,7 @@
     pub services: Vec<ServiceLayout>,
     /// The request kinds.
     pub kinds: Vec<KindLayout>,
-    /// The back ends.
+    /// The backends.
     pub backends: Vec<BackendLayout>,
     /// One-way latency inside a zone.
     pub same_zone: Duration,
@@ -25,74 +26,75 @@
     pub between_zones: Duration,
     /// One-way latency between caller and edge.
     pub client: Duration,
-    /// Attempts of a caller.
+    /// Largest number of attempts that a caller makes for one request.
     pub caller_attempts: u32,
-    /// Wait of an impatient caller.
+    /// Time that an impatient caller waits before it repeats a request.
     pub caller_wait: Duration,
-    /// Share of impatient callers.
+    /// Share of impatient callers, 0 to 1.
     pub impatient_share: f64,
 }
 
 /// A service.
 #[derive(Clone, Debug)]
 pub struct ServiceLayout {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Requests that a back end executes at a time.
+    /// Number of requests that a backend executes concurrently.
     pub slots: u32,
-    /// Connections that a back end accepts.
+    /// Number of connections that a backend accepts.
     pub connections: u32,
     /// Time to open a connection.
     pub connect: Duration,
-    /// Time until a cold back end is warm.
+    /// Time until a cold backend is warm.
     pub cold_start: Duration,
-    /// Its back ends, as indices into [`Layout::backends`].
+    /// Backends of the service, as indices into [`Layout::backends`].
     pub backends: Vec<usize>,
 }
 
-/// A back end.
+/// A backend.
 #[derive(Clone, Debug)]
 pub struct BackendLayout {
-    /// Its service.
+    /// Index of its service.
     pub service: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its name for routing.
+    /// Its endpoint id for routing.
     pub id: EndpointId,
 }
 
 /// A request kind.
 #[derive(Clone, Debug)]
 pub struct KindLayout {
-    /// Its name.
+    /// Name of the request kind.
     pub name: String,
-    /// Service that it is addressed to.
+    /// Index of the service that receives the request from the edge.
     pub entry: usize,
-    /// Importance.
+    /// Priority; the lowest number is the most important.
     pub priority: Priority,
-    /// Time in which the whole answer is worth something.
+    /// Time after which a complete response is worthless to the caller.
     pub deadline: Duration,
-    /// Whether it may run twice.
+    /// Whether a request of this kind may run more than once.
     pub repeatability: Repeatability,
-    /// Arrivals per second before the surge.
+    /// Arrivals per second outside the surge.
     pub rate: f64,
-    /// What each service does for it, by index of the service.
+    /// The step of each service, by index of the service; `None` if the service has no part in the
+    /// request.
     pub steps: Vec<Option<StepLayout>>,
 }
 
-/// What a service does for a request kind.
+/// The work and the downstream calls of one service for a request kind.
 #[derive(Clone, Debug)]
 pub struct StepLayout {
-    /// Mean work.
+    /// Mean execution time, without downstream calls.
     pub work: Duration,
-    /// Services called after the work.
+    /// Indices of the services that are called after the work.
     pub calls: Vec<usize>,
-    /// Whether they are called at the same time.
+    /// True if the services are called concurrently, false if one after the other.
     pub concurrent: bool,
 }
 
 impl Layout {
-    /// Resolves a valid scenario.
+    /// Resolves a scenario that has been validated.
     #[must_use]
     pub fn new(scenario: &Scenario) -> Self {
         let mut layout = Self {
@@ -111,31 +113,31 @@
             layout.add_service(service);
         }
         for request in &scenario.requests {
-            layout.kinds.push(kind(scenario, request));
+            layout.kinds.push(kind_layout(scenario, request));
         }
         layout
     }
 
-    /// Node of the daemon beside a back end.
+    /// Returns the node of the daemon of a backend.
     #[must_use]
     pub fn node_of(&self, backend: usize) -> usize {
         self.zones.len() + backend
     }
 
-    /// Back end beside a node's daemon; `None` for an edge.
+    /// Returns the backend of a node's daemon; `None` for an edge.
     #[must_use]
     pub fn backend_of(&self, node: usize) -> Option<usize> {
         node.checked_sub(self.zones.len())
     }
 
-    /// Zone of a node.
+    /// Returns the zone of a node.
     #[must_use]
     pub fn zone_of(&self, node: usize) -> usize {
         self.backend_of(node)
             .map_or(node, |backend| self.backends[backend].zone)
     }
 
-    /// One-way latency between two nodes.
+    /// Returns the one-way latency between two nodes.
     #[must_use]
     pub fn latency(&self, from: usize, to: usize) -> Duration {
         if self.zone_of(from) == self.zone_of(to) {
@@ -166,7 +168,7 @@
     }
 }
 
-fn kind(scenario: &Scenario, request: &RequestModel) -> KindLayout {
+fn kind_layout(scenario: &Scenario, request: &RequestModel) -> KindLayout {
     let step_of = |name: &str| {
         let step = request.step(name)?;
         Some(step_layout(scenario, step))
@@ -202,7 +204,7 @@
     }
 }
 
-/// Index of a service; the scenario was validated, so each name is listed.
+/// Returns the index of a service. A validated scenario lists each name that it uses.
 fn index_of(scenario: &Scenario, name: &str) -> usize {
     let found = scenario
         .services
--- a/crates/emulator/src/simulator/call_path/mod.rs
+++ b/crates/emulator/src/simulator/call_path/mod.rs
@@ -1,7 +1,8 @@
-//! The call path on a virtual clock: callers, edges, daemons and back ends of a scenario.
+//! Simulation of the call path on a virtual clock: callers, edges, daemons and backends of a scenario.
 //!
-//! The decisions are those of `wharfquay_core`, the very code that the daemon drives; this module
-//! only stands in for sockets, timers and the back ends' work. One seed gives one run, to the byte.
+//! Admission, routing and retry decisions are made by `wharfquay_core`, the same code that the daemon
+//! runs; this module replaces only sockets, timers and the work of the backends. Two runs with the
+//! same seed give identical records.
 
 mod arena;
 mod arrivals;
--- a/crates/emulator/src/simulator/call_path/node.rs
+++ b/crates/emulator/src/simulator/call_path/node.rs
@@ -1,4 +1,5 @@
-//! A daemon: admission beside its back end, and what it knows about the services it calls.
+//! State of a simulated daemon: admission control for its backend, and routers, retry budgets and
+//! admission levels for the services that it calls.
 
 use std::time::Duration;
 
@@ -10,44 +11,54 @@
 use wharfquay_core::routing::Router;
 use wharfquay_core::time::Timestamp;
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptResult {
-    /// The back end's whole answer.
-    Whole,
-    /// The back end's own answer says that a deeper call failed.
-    DeeperFailed,
-    /// No answer of the back end.
+    /// The backend sent a complete response.
+    Complete,
+    /// The backend responded that a downstream call failed.
+    DownstreamFailed,
+    /// The backend did not respond; the code says why.
     Failed(ResultCode),
 }
 
-/// An answer on its way back, with the metadata that rides on it.
+/// A response to an attempt, with the metadata that it carries.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Answer {
+pub(super) struct Response {
     pub(super) result: AttemptResult,
+    /// Absent if the connection was lost or the request is no longer known.
     pub(super) metadata: Option<Metadata>,
+    /// Time after which the caller may repeat the request.
     pub(super) retry_after: Option<Duration>,
-    /// Originating request that the answer belongs to; checked against the one that it reaches.
+    /// Number of the originating request that the response belongs to; compared with the request that
+    /// receives it.
     pub(super) origin: u64,
 }
 
-/// What a daemon tells the daemon before it.
+/// Metadata that a daemon sends with each response to the daemon that called it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Metadata {
+    /// Unused part of the retry allowance that came with the attempt.
     pub(super) returned: RetryAllowance,
+    /// Admission level of the responding daemon.
     pub(super) level: AdmissionLevel,
+    /// The responding daemon's level folded with the levels of the services that it calls.
     pub(super) folded: AdmissionLevel,
+    /// Load of the responding daemon.
     pub(super) load: Load,
 }
 
-/// State of one daemon; an edge has no admission.
+/// State of one daemon.
 #[derive(Debug)]
 pub(super) struct Node {
+    /// Absent at an edge and under [`Policy::None`](super::policy::Policy::None).
     pub(super) admission: Option<AdmissionController>,
+    /// Time of the earliest scheduled wakeup of the admission controller.
     pub(super) wake_at: Option<Timestamp>,
-    /// By service.
+    /// Routers by service.
     pub(super) routers: Vec<Router>,
-    /// By service.
+    /// Retry budgets by service.
     pub(super) budgets: Vec<DestinationBudget>,
+    /// Admission levels received from the services that this daemon calls.
     pub(super) levels: PathLevels,
 }
--- a/crates/emulator/src/simulator/call_path/policy.rs
+++ b/crates/emulator/src/simulator/call_path/policy.rs
@@ -1,20 +1,21 @@
-//! The ways of control that are compared.
+//! The overload control policies that the simulation compares.
 
 use wharfquay_core::admission::{AdmissionSettings, LimitAlgorithm, QueueDiscipline};
 
-/// How calls are controlled.
+/// An overload control policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The decisions of `wharfquay_core`.
+    /// Admission, retries and routing as `wharfquay_core` decides them.
     Wharfquay,
-    /// No admission; naive retries at each hop.
+    /// No admission control; each hop retries a fixed number of times.
     None,
-    /// A fixed limit and a queue in order of arrival at each back end; naive retries at each hop.
+    /// A fixed concurrency limit and a first-in first-out queue at each backend; each hop retries a fixed
+    /// number of times.
     Static,
 }
 
 impl Policy {
-    /// The name on the command line and in reports.
+    /// Returns the name that the command line and the reports use.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -24,34 +25,37 @@
         }
     }
 
-    /// Whether retries, deadlines and cancellation are left to each hop on its own.
+    /// Returns true if each hop decides alone on retries and timeouts, without deadline propagation,
+    /// cancellation or retry budgets.
     #[must_use]
     pub const fn is_naive(self) -> bool {
         !matches!(self, Self::Wharfquay)
     }
 }
 
-/// How the rank of a call is found.
+/// The source of a call's rank, which orders calls of the same priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RankMode {
-    /// From the origin id: the same at each hop.
+    /// Derived from the origin id: the same at each hop.
     Origin,
-    /// Anew at each hop.
+    /// Drawn independently at each hop.
     PerHop,
     /// The same for all calls.
     Constant,
 }
 
-/// The mechanisms of [`Policy::Wharfquay`], so that rivals can be compared.
+/// The mechanisms of [`Policy::Wharfquay`], each of which can be replaced by an alternative.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mechanisms {
-    /// Settings of each back end's admission controller, but for its limits.
+    /// Settings of each backend's admission controller. Its initial and maximum limit are replaced by
+    /// the backend's slots and connections.
     pub admission: AdmissionSettings,
-    /// How ranks are found.
+    /// Source of the ranks.
     pub rank: RankMode,
-    /// Whether levels are folded back along the path so that callers and edges refuse early.
+    /// True if daemons propagate admission levels up the call path, so that edges and calling daemons
+    /// refuse early.
     pub folding: bool,
-    /// Slots that the daemon is told, as a multiple of the true ones.
+    /// Factor on the number of slots that the daemon assumes for its backend; 1 is the true number.
     pub reported_slots: f64,
 }
 
@@ -66,7 +70,7 @@
     }
 }
 
-/// Admission settings of [`Policy::Static`].
+/// Returns the admission settings of [`Policy::Static`].
 #[must_use]
 pub fn static_settings() -> AdmissionSettings {
     AdmissionSettings {
--- a/crates/emulator/src/simulator/call_path/record.rs
+++ b/crates/emulator/src/simulator/call_path/record.rs
@@ -1,4 +1,4 @@
-//! What a run showed.
+//! Records of a simulation run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,64 +7,66 @@
 use wharfquay_core::priority::Priority;
 use wharfquay_core::time::Timestamp;
 
-/// One originating demand of a caller, over all attempts that the caller makes.
+/// One session: a caller's request with all attempts that the caller makes for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionRecord {
-    /// Request kind, by index.
+    /// Index of the request kind.
     pub kind: usize,
-    /// When the caller sent its first attempt.
+    /// Time at which the caller sent its first attempt.
     pub arrived: Timestamp,
-    /// When a whole answer reached the caller within the kind's deadline after `arrived`.
-    pub whole_at: Option<Timestamp>,
-    /// Attempts that the caller made.
+    /// Time at which a complete response reached the caller; `None` if none did within the kind's
+    /// deadline after `arrived`.
+    pub complete_response_at: Option<Timestamp>,
+    /// Number of attempts that the caller made.
     pub attempts: u32,
-    /// Executions that took effect.
+    /// Number of executions that took effect; counted only for requests that must run at most once.
     pub effects: u32,
 }
 
 /// Counters of one request kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KindRecord {
-    /// Most retries that the system made for one originating request.
+    /// Largest number of retries that the daemons made for one originating request, over all hops.
     pub retries_max: u32,
-    /// Work in slots for attempts whose whole answer was delivered in time.
+    /// Execution time, in slots, spent on requests whose complete response reached the caller in time.
     pub useful_work: Duration,
-    /// Work in slots for all others.
+    /// Execution time, in slots, spent on all other requests.
     pub wasted_work: Duration,
-    /// Requests of priority 0 refused while a less important one was dispatched at the same service.
+    /// Requests of priority 0 that were refused while a less important one was dispatched at the same
+    /// service.
     pub priority_inversions: u64,
-    /// Requests reported as not run that ran.
+    /// Requests that were reported to the caller as not run although they ran.
     pub not_run_but_ran: u64,
-    /// Answers that reached another request than their own.
+    /// Responses that were delivered to a request other than their own.
     pub mixed_answers: u64,
-    /// Attempts reported as not run.
+    /// Requests that were reported to the caller as not run.
     pub refused: u64,
 }
 
-/// What happened at a service to the calls of one priority during the surge.
+/// Counters of the calls of one priority to one service during the surge.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceRecord {
-    /// Calls handed to a back end.
+    /// Calls dispatched to a backend.
     pub dispatched: u64,
-    /// Time that these waited in the daemons' queues.
+    /// Total time that the dispatched calls waited in the daemons' queues.
     pub waited: Duration,
-    /// Time that their executions held a slot.
+    /// Total time that executions held a slot.
     pub held: Duration,
-    /// Calls refused before they reached a daemon of the service.
+    /// Calls that the calling daemon refused before they reached a daemon of the service.
     pub refused_early: u64,
     /// Calls refused by a daemon of the service, by result code.
     pub refused: BTreeMap<ResultCode, u64>,
 }
 
-/// A whole run.
+/// The record of a whole run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunRecord {
-    /// Every session, in order of arrival.
+    /// Every session, ordered by arrival.
     pub sessions: Vec<SessionRecord>,
-    /// By service, then by priority.
+    /// Counters by service, then by priority.
     pub services: Vec<[ServiceRecord; Priority::COUNT]>,
-    /// By request kind.
+    /// Counters by request kind.
     pub kinds: Vec<KindRecord>,
-    /// Events that were simulated.
+    /// Number of simulated events.
     pub events: u64,
 }
--- a/crates/emulator/src/simulator/call_path/settings.rs
+++ b/crates/emulator/src/simulator/call_path/settings.rs
@@ -1,54 +1,55 @@
-//! What a run is made of.
+//! Settings of a simulation run.
 
 use std::time::Duration;
 
 use super::policy::{Mechanisms, Policy};
 
-/// Faults of the network and of back ends.
+/// Faults of the network and of backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FaultSettings {
-    /// Share of attempts whose connection is lost before they reach the daemon.
+    /// Share of attempts whose connection is lost before they reach the daemon, 0 to 1.
     pub lost_requests: f64,
-    /// Share of attempts whose connection is lost before their answer arrives.
-    pub lost_answers: f64,
-    /// Kills of back ends in the whole run, at random times; each starts again, cold.
+    /// Share of attempts whose connection is lost before their response arrives, 0 to 1.
+    pub lost_responses: f64,
+    /// Number of times that a backend is killed, at random times over the whole run; each starts again,
+    /// cold.
     pub kills: u32,
 }
 
 /// A service that is slow during the surge.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowService {
-    /// Its name.
+    /// Name of the service.
     pub service: String,
-    /// Factor on its work.
+    /// Factor on its execution time.
     pub factor: f64,
 }
 
-/// One run.
+/// Settings of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunSettings {
-    /// How calls are controlled.
+    /// Control policy.
     pub policy: Policy,
-    /// Mechanisms of the policy `wharfquay`.
+    /// Mechanisms of [`Policy::Wharfquay`]; other policies ignore most of them.
     pub mechanisms: Mechanisms,
-    /// Seed of arrivals, work and faults.
+    /// Seed of arrivals, execution times, routing and faults.
     pub seed: u64,
-    /// Time before the surge.
+    /// Length of the phase before the surge.
     pub before: Duration,
     /// Length of the surge.
     pub surge: Duration,
-    /// Time after the surge.
+    /// Length of the phase after the surge.
     pub after: Duration,
-    /// Factor on the arrivals during the surge.
+    /// Factor on the arrival rate during the surge.
     pub factor: f64,
-    /// Services that are slow during the surge.
+    /// Services that are slower during the surge.
     pub slow: Vec<SlowService>,
-    /// Faults.
+    /// Injected faults.
     pub faults: FaultSettings,
 }
 
 impl RunSettings {
-    /// A run without faults.
+    /// Creates the settings of a run without faults: 5 s before the surge, 10 s of surge, 10 s after it.
     #[must_use]
     pub fn new(policy: Policy, factor: f64, seed: u64) -> Self {
         Self {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Length of the run.
+    /// Returns the length of the run up to the last arrival.
     #[must_use]
     pub fn total(&self) -> Duration {
         self.before + self.surge + self.after
