--- a/crates/emulator/src/experiment/churn.rs
+++ b/crates/emulator/src/experiment/churn.rs
@@ -1,8 +1,8 @@
-//! Restarts, failures, loss of a rack and of a zone, and regions parted for a time, while
-//! configuration changes go on.
+//! The experiment `churn`: restarts, failures, loss of a rack and of a zone, and a temporary partition
+//! between regions, while configuration changes continue.
 //!
-//! A day's restarts and failures are compressed: the report names the factor. Changes come at their
-//! real rate.
+//! The restarts and failures of a day are compressed by a factor that the report states. Changes come at
+//! their real rate.
 
 use std::fmt;
 use std::time::Duration;
@@ -15,33 +15,36 @@
 use crate::scenario::ScenarioError;
 use crate::simulator::control::ControlSimulation;
 use crate::simulator::control::measure::{
-    HostClock, HostFigures, Quantiles, TrafficFigures, TrafficWindow, memory_per_daemon,
+    HostMeter, HostUsage, Quantiles, TrafficRates, TrafficWindow, memory_per_daemon,
 };
 
 use super::propagation::{
-    AFTERWARDS, CHANGES_PER_SECOND, ControlOptions, RelayFigures, RunSize, SETTLE, exponential,
+    CHANGES_PER_SECOND, CONVERGENCE_TIME, ControlOptions, RelayMeasurements, RunSize, WARM_UP,
+    exponential,
 };
 
-/// Restarts of one daemon in a day: 2,600 of 13,000.
+/// Restarts per daemon and day: 2,600 among 13,000 daemons.
 const RESTARTS_PER_DAEMON_DAY: f64 = 2_600.0 / 13_000.0;
-/// Failures of one daemon in a day: 75 of 13,000.
+/// Failures per daemon and day: 75 among 13,000 daemons.
 const FAILURES_PER_DAEMON_DAY: f64 = 75.0 / 13_000.0;
-/// Simulated seconds of a day.
+/// Seconds of a day.
 const DAY_SECONDS: f64 = 86_400.0;
-/// Time by which restarts and failures are compressed.
+/// Factor by which the restarts and failures of a day are compressed.
 const COMPRESSION: f64 = 30.0;
-/// Time until a restarted daemon runs again.
+/// Time from the termination of a restarted daemon until it starts again.
 const RESTART_TIME: Duration = Duration::from_secs(1);
-/// Time until a failed machine is replaced.
+/// Time from the failure of a machine until its replacement starts.
 const REPLACEMENT_TIME: Duration = Duration::from_secs(15);
-/// Machines of a rack.
-const RACK: usize = 20;
-/// Shares of the run after which the rack fails, the zone fails and the regions are parted.
+/// Number of machines in a rack.
+const RACK_MACHINES: usize = 20;
+/// Time of the rack failure, as a share of the run.
 const RACK_FAILS: f64 = 0.15;
+/// Time of the zone failure, as a share of the run.
 const ZONE_FAILS: f64 = 0.35;
-const REGIONS_PART: f64 = 0.6;
-/// Share of the run for which the regions stay parted.
-const PARTED_SHARE: f64 = 0.25;
+/// Start of the partition between regions, as a share of the run.
+const PARTITION_STARTS: f64 = 0.6;
+/// Length of the partition between regions, as a share of the run.
+const PARTITION_LENGTH: f64 = 0.25;
 
 /// Result of the experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -50,109 +53,113 @@
     pub experiment: &'static str,
     /// Size and seed.
     pub run: RunSize,
-    /// Factor by which a day's restarts and failures are compressed.
+    /// Factor by which the restarts and failures of a day are compressed.
     pub compression: f64,
-    /// Time for which the regions were parted, in seconds.
+    /// Length of the partition between regions, in seconds.
     pub parted_seconds: f64,
-    /// Planned restarts.
+    /// Number of planned restarts.
     pub restarts: u64,
-    /// Failures without notice, rack and zone included.
+    /// Number of daemons that failed without notice, including those of the rack and the zone.
     pub failures: u64,
-    /// The relay, the time in which regions were parted included.
-    pub relay: RelayFigures,
-    /// Time in force of the changes accepted before the regions were parted, in milliseconds.
+    /// Measurements of the configuration relay, including the time of the partition.
+    pub relay: RelayMeasurements,
+    /// Time until changes were in force, as measured up to the start of the partition, in milliseconds.
     pub time_in_force_unparted_ms: Quantiles,
-    /// Time from a start with an empty memory until ready, in milliseconds.
+    /// Time from a daemon's start without state until it is ready, in milliseconds.
     pub time_to_ready_ms: Quantiles,
-    /// Daemons that run but are not ready at the end.
+    /// Number of daemons that run but are not ready at the end.
     pub not_ready: usize,
-    /// Running and connected daemons that were declared dead.
+    /// Number of declarations of death of a daemon that ran and was connected.
     pub false_deaths: u64,
-    /// Other declarations of death.
+    /// Number of other declarations of death.
     pub true_deaths: u64,
-    /// Running daemons that at the end don't know exactly the running daemons as live.
+    /// Number of running daemons whose count of live members at the end differs from the number of
+    /// running daemons.
     pub with_wrong_members: usize,
-    /// Control traffic from the first restart to the end.
-    pub traffic: TrafficFigures,
-    /// Bytes of state of a daemon.
+    /// Control traffic from the start of the measurement to the end.
+    pub traffic: TrafficRates,
+    /// State of a daemon, in bytes.
     pub memory_bytes: Quantiles,
-    /// Cost to this machine; differs from run to run.
-    pub host: HostFigures,
+    /// Resources used on the host; they differ between runs with the same seed.
+    pub host: HostUsage,
 }
 
-/// What happens next.
+/// An event of the schedule. Events with the same time are applied in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Incident {
+enum ScheduledEvent {
     Change,
     Restart,
     Failure,
     RackFailure,
     ZoneFailure,
-    RegionsPart,
-    RegionsHeal,
-    Return(usize),
+    PartitionStart,
+    PartitionEnd,
+    Start(usize),
 }
 
+/// State of a run.
 struct Churn {
     simulation: ControlSimulation,
     random: Pcg64Mcg,
-    agenda: Vec<(Timestamp, Incident)>,
+    /// Pending events, unordered.
+    schedule: Vec<(Timestamp, ScheduledEvent)>,
     restarts: u64,
     failures: u64,
-    unparted: Option<Quantiles>,
+    /// Time until changes were in force, taken at the start of the partition.
+    in_force_before_partition: Option<Quantiles>,
 }
 
 /// Runs the experiment.
 ///
 /// # Errors
-/// [`ScenarioError`] when an option is out of range.
+/// Returns [`ScenarioError`] if an option is out of range.
 pub fn run(options: &ControlOptions) -> Result<ChurnReport, ScenarioError> {
-    let host = HostClock::start();
+    let host = HostMeter::start();
     let mut simulation = options.start()?;
-    simulation.run_for(SETTLE);
-    // The warm start is no start with an empty memory.
-    simulation.observations.ready.reset();
+    simulation.run_for(WARM_UP);
+    // The times to ready of the warm start are discarded: its daemons started with state.
+    simulation.observations.time_to_ready.reset();
     let window = TrafficWindow::open(&simulation);
     let start = simulation.now();
     let length = Duration::from_secs(options.seconds);
     let mut churn = Churn {
         simulation,
         random: options.random(),
-        agenda: Vec::new(),
+        schedule: Vec::new(),
         restarts: 0,
         failures: 0,
-        unparted: None,
+        in_force_before_partition: None,
     };
-    churn.plan(start, length);
-    churn.play();
+    churn.fill_schedule(start, length);
+    churn.run_schedule();
     let Churn {
         mut simulation,
         restarts,
         failures,
-        unparted,
+        in_force_before_partition,
         ..
     } = churn;
-    simulation.run_for(AFTERWARDS * 3);
+    simulation.run_for(CONVERGENCE_TIME * 3);
     let simulated = Duration::from_micros(simulation.now().as_micros());
     let observations = &simulation.observations;
     Ok(ChurnReport {
         experiment: "churn",
         run: RunSize::of(options, &simulation),
         compression: COMPRESSION,
-        parted_seconds: length.mul_f64(PARTED_SHARE).as_secs_f64(),
+        parted_seconds: length.mul_f64(PARTITION_LENGTH).as_secs_f64(),
         restarts,
         failures,
-        relay: RelayFigures::of(&simulation),
-        time_in_force_unparted_ms: unparted
-            .unwrap_or_else(|| Quantiles::of_micros(&observations.in_force)),
-        time_to_ready_ms: Quantiles::of_micros(&observations.ready),
+        relay: RelayMeasurements::of(&simulation),
+        time_in_force_unparted_ms: in_force_before_partition
+            .unwrap_or_else(|| Quantiles::of_micros(&observations.time_in_force)),
+        time_to_ready_ms: Quantiles::of_micros(&observations.time_to_ready),
         not_ready: not_ready(&simulation),
         false_deaths: observations.false_deaths,
         true_deaths: observations.true_deaths,
         with_wrong_members: with_wrong_members(&simulation),
         traffic: window.close(&simulation),
         memory_bytes: memory_per_daemon(&simulation),
-        host: host.figures(simulation.topology().daemons, simulated),
+        host: host.usage(simulation.topology().daemons, simulated),
     })
 }
 
@@ -163,104 +170,108 @@
 
 fn with_wrong_members(simulation: &ControlSimulation) -> usize {
     let running = simulation.running().count();
-    let knows = |index: usize| {
+    let live_members = |index: usize| {
         simulation
             .node(index)
             .map_or(0, |node| node.table().live_count())
     };
     simulation
         .running()
-        .filter(|&index| knows(index) != running)
+        .filter(|&index| live_members(index) != running)
         .count()
 }
 
 impl Churn {
-    /// Draws the times of everything that happens.
-    fn plan(&mut self, start: Timestamp, length: Duration) {
+    /// Fills the schedule: random times for changes, restarts and failures, fixed times for the rest.
+    fn fill_schedule(&mut self, start: Timestamp, length: Duration) {
         #[expect(clippy::cast_precision_loss, reason = "at most some thousands")]
         let daemons = self.simulation.topology().daemons as f64;
         let per_second = |per_day: f64| daemons * per_day * COMPRESSION / DAY_SECONDS;
         let rates = [
-            (Incident::Change, CHANGES_PER_SECOND),
-            (Incident::Restart, per_second(RESTARTS_PER_DAEMON_DAY)),
-            (Incident::Failure, per_second(FAILURES_PER_DAEMON_DAY)),
+            (ScheduledEvent::Change, CHANGES_PER_SECOND),
+            (ScheduledEvent::Restart, per_second(RESTARTS_PER_DAEMON_DAY)),
+            (ScheduledEvent::Failure, per_second(FAILURES_PER_DAEMON_DAY)),
         ];
-        for (incident, rate) in rates {
+        for (event, rate) in rates {
             let mut at = start + exponential(rate, &mut self.random);
             while at < start + length {
-                self.agenda.push((at, incident));
+                self.schedule.push((at, event));
                 at = at + exponential(rate, &mut self.random);
             }
         }
         let at = |share: f64| start + length.mul_f64(share);
-        self.agenda.push((at(RACK_FAILS), Incident::RackFailure));
-        self.agenda.push((at(ZONE_FAILS), Incident::ZoneFailure));
-        self.agenda.push((at(REGIONS_PART), Incident::RegionsPart));
-        let healed = at(REGIONS_PART + PARTED_SHARE);
-        self.agenda.push((healed, Incident::RegionsHeal));
+        self.schedule
+            .push((at(RACK_FAILS), ScheduledEvent::RackFailure));
+        self.schedule
+            .push((at(ZONE_FAILS), ScheduledEvent::ZoneFailure));
+        self.schedule
+            .push((at(PARTITION_STARTS), ScheduledEvent::PartitionStart));
+        let healed = at(PARTITION_STARTS + PARTITION_LENGTH);
+        self.schedule.push((healed, ScheduledEvent::PartitionEnd));
     }
 
-    fn play(&mut self) {
-        while let Some(position) = self.next_incident() {
-            let (at, incident) = self.agenda.swap_remove(position);
+    fn run_schedule(&mut self) {
+        while let Some(position) = self.next_event() {
+            let (at, event) = self.schedule.swap_remove(position);
             self.simulation.run_until(at);
-            self.happen(incident);
+            self.apply(event);
         }
     }
 
-    fn next_incident(&self) -> Option<usize> {
-        let numbered = self.agenda.iter().enumerate();
+    fn next_event(&self) -> Option<usize> {
+        let numbered = self.schedule.iter().enumerate();
         numbered
-            .min_by_key(|(_, incident)| **incident)
+            .min_by_key(|(_, event)| **event)
             .map(|(position, _)| position)
     }
 
-    fn happen(&mut self, incident: Incident) {
-        match incident {
-            Incident::Change => {
+    fn apply(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Change => {
                 self.simulation.accept_change();
             }
-            Incident::Restart => {
-                let index = self.any_daemon();
+            ScheduledEvent::Restart => {
+                let index = self.random_running_daemon();
                 self.restarts += 1;
                 self.simulation.leave(index);
-                self.end(index, RESTART_TIME);
+                self.terminate(index, RESTART_TIME);
             }
-            Incident::Failure => {
-                let index = self.any_daemon();
+            ScheduledEvent::Failure => {
+                let index = self.random_running_daemon();
                 self.failures += 1;
-                self.end(index, REPLACEMENT_TIME);
+                self.terminate(index, REPLACEMENT_TIME);
             }
-            Incident::RackFailure => self.fail_in_zone(0, RACK),
-            Incident::ZoneFailure => {
+            ScheduledEvent::RackFailure => self.fail_in_zone(0, RACK_MACHINES),
+            ScheduledEvent::ZoneFailure => {
                 let last = self.simulation.topology().zones.len() - 1;
                 self.fail_in_zone(last, usize::MAX);
             }
-            Incident::RegionsPart => {
-                let in_force = &self.simulation.observations.in_force;
-                self.unparted = Some(Quantiles::of_micros(in_force));
-                self.part_regions();
+            ScheduledEvent::PartitionStart => {
+                let in_force = &self.simulation.observations.time_in_force;
+                self.in_force_before_partition = Some(Quantiles::of_micros(in_force));
+                self.partition_regions();
             }
-            Incident::RegionsHeal => self.heal_regions(),
-            Incident::Return(index) => self.simulation.start(index),
+            ScheduledEvent::PartitionEnd => self.heal_regions(),
+            ScheduledEvent::Start(index) => self.simulation.start(index),
         }
     }
 
-    fn any_daemon(&mut self) -> usize {
+    fn random_running_daemon(&mut self) -> usize {
         let running: Vec<usize> = self.simulation.running().collect();
         running[self.random.random_range(0..running.len())]
     }
 
-    fn end(&mut self, index: usize, absence: Duration) {
+    fn terminate(&mut self, index: usize, downtime: Duration) {
         self.simulation.kill(index);
-        let back = self.simulation.now() + absence;
-        self.agenda.push((back, Incident::Return(index)));
+        let starts_at = self.simulation.now() + downtime;
+        self.schedule
+            .push((starts_at, ScheduledEvent::Start(index)));
     }
 
     fn fail_in_zone(&mut self, zone: usize, most: usize) {
         let topology = self.simulation.topology();
         let in_zone = |index: &usize| topology.zone_of(*index) == zone;
-        // A rack is never the whole zone.
+        // A rack failure never takes more than half of the zone.
         let size = self.simulation.running().filter(in_zone).count();
         let count = if most == usize::MAX {
             size
@@ -275,7 +286,7 @@
             .collect();
         for index in failed {
             self.failures += 1;
-            self.end(index, REPLACEMENT_TIME);
+            self.terminate(index, REPLACEMENT_TIME);
         }
     }
 
@@ -286,9 +297,9 @@
         }
     }
 
-    /// Cuts half of the regions from the others and from the store; with a single region, half of
-    /// the zones.
-    fn part_regions(&mut self) {
+    /// Cuts half of the regions off from the others and from the store; if there is a single region, half
+    /// of its zones.
+    fn partition_regions(&mut self) {
         let topology = self.simulation.topology().clone();
         let zones = topology.zones.len();
         let regions = (0..zones)
--- a/crates/emulator/src/experiment/control_command.rs
+++ b/crates/emulator/src/experiment/control_command.rs
@@ -17,29 +17,29 @@
 usage: wharfquay experiment propagation|drain|churn|start [options]
 
   --scenario NAME  lagos, gujarat or target: zones, latencies and sizes (lagos)
-  --zones N        number of zones (the scenario's)
-  --daemons N      number of daemons, up to 13000 (the scenario's)
-  --seed N         seed of everything random (1)
+  --zones N        number of zones (that of the scenario)
+  --daemons N      number of daemons, up to 13000 (that of the scenario)
+  --seed N         seed of all random choices (1)
   --seconds S      simulated seconds of changes and faults (60)
   --loss SHARE     share of packets lost, 0 to 0.9 (0)
-  --json           prints JSON; all but the object \"host\" is the same for the same seed
+  --json           prints JSON; everything except the object \"host\" is the same for the same seed
 ";
 
-/// Which experiment to run.
+/// An experiment on the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlExperiment {
-    /// Time in force of configuration changes.
+    /// Propagation of configuration changes.
     Propagation,
-    /// Spread of leaving marks.
+    /// Propagation of departures and drain resources.
     Drain,
-    /// Restarts, failures and cuts.
+    /// Restarts, failures and a network partition.
     Churn,
-    /// A start of all, and what the platform's directory bears for it.
+    /// Starts of the whole deployment, and the load that they put on the platform's directory.
     Start,
 }
 
 impl ControlExperiment {
-    /// The experiment with this name.
+    /// Returns the experiment with this name, or `None` if there is none.
     #[must_use]
     pub fn named(name: &str) -> Option<Self> {
         match name {
@@ -52,19 +52,19 @@
     }
 }
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Clone, Debug)]
 pub struct ControlArguments {
-    /// What to run.
+    /// Options of the experiment.
     pub options: ControlOptions,
-    /// Whether to print JSON.
+    /// True to print JSON instead of a text report.
     pub json: bool,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// [`ArgumentError`] that names the option, what was given and what is allowed.
+/// Returns an [`ArgumentError`] that names the option, its value and the allowed values.
 pub fn parse(
     arguments: impl IntoIterator<Item = OsString>,
 ) -> Result<Command<ControlArguments>, ArgumentError> {
@@ -103,7 +103,8 @@
     Ok(Command::Run(ControlArguments { options, json }))
 }
 
-/// Runs an experiment from the command line.
+/// Runs an experiment with the arguments of the command line, prints its report and returns the exit
+/// code.
 pub fn run(
     experiment: ControlExperiment,
     arguments: impl IntoIterator<Item = OsString>,
@@ -114,7 +115,7 @@
             print!("{USAGE}");
             return ExitCode::SUCCESS;
         }
-        Err(error) => return bad_use(&error),
+        Err(error) => return usage_error(&error),
     };
     let (options, json) = (&arguments.options, arguments.json);
     match experiment {
@@ -128,7 +129,7 @@
 fn print_report<R: Serialize + Display>(report: Result<R, ScenarioError>, json: bool) -> ExitCode {
     let report = match report {
         Ok(report) => report,
-        Err(error) => return bad_use(&error),
+        Err(error) => return usage_error(&error),
     };
     if !json {
         print!("{report}");
@@ -146,7 +147,7 @@
     }
 }
 
-fn bad_use(error: &impl Display) -> ExitCode {
+fn usage_error(error: &impl Display) -> ExitCode {
     eprintln!("experiment: {error}");
     ExitCode::from(BAD_USE)
 }
--- a/crates/emulator/src/experiment/drain.rs
+++ b/crates/emulator/src/experiment/drain.rs
@@ -1,5 +1,6 @@
-//! How soon every daemon knows that a back end leaves, by the back end's own word (a planned stop)
-//! and by a drain resource, for one back end and for a whole zone.
+//! The experiment `drain`: time until every daemon knows of a departure. Backends leave by a planned
+//! stop that they announce themselves, one by one and as a whole zone; drain resources are measured as
+//! configuration changes.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,31 +11,31 @@
 use crate::scenario::ScenarioError;
 use crate::simulator::control::ControlSimulation;
 use crate::simulator::control::measure::{
-    HostClock, HostFigures, Quantiles, TrafficFigures, TrafficWindow,
+    HostMeter, HostUsage, Quantiles, TrafficRates, TrafficWindow,
 };
 
-use super::propagation::{AFTERWARDS, ControlOptions, RelayFigures, RunSize, SETTLE};
+use super::propagation::{CONVERGENCE_TIME, ControlOptions, RelayMeasurements, RunSize, WARM_UP};
 
-/// Time in which every daemon must know, from the users' promise.
-const PROMISE: Duration = Duration::from_secs(2);
-/// Back ends that leave one by one.
+/// Time within which every daemon must know of a departure, as promised to the users.
+const PROMISED_TIME: Duration = Duration::from_secs(2);
+/// Number of backends that leave one by one, and of drain resources.
 const DEPARTURES: usize = 10;
-/// Time between two departures.
-const BETWEEN: Duration = Duration::from_secs(2);
+/// Time between two departures, and between two drain resources.
+const DEPARTURE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What routers knew of departures of one sort.
+/// Measurements of the departures of one kind.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct DepartureFigures {
-    /// Back ends that left.
+pub struct DepartureMeasurements {
+    /// Number of backends that left.
     pub departures: usize,
-    /// Time until another daemon knew, over all pairs; in milliseconds.
+    /// Time until another daemon knew, over all pairs of departure and daemon, in milliseconds.
     pub known_after_ms: Quantiles,
-    /// Pairs of departure and running daemon that never came to know.
+    /// Number of pairs of departure and running daemon in which the daemon never knew.
     pub never_known: usize,
-    /// Pairs that came to know later than the promise of 2 s, or never.
+    /// Number of pairs in which the daemon knew later than the promised 2 s, or never.
     pub later_than_promised: usize,
-    /// Mean time, over the pairs, in which a daemon could still choose the leaving back end, in
-    /// milliseconds. The leaving daemon refuses what comes in this time as not run.
+    /// Mean time, over the pairs, in which a daemon could still choose the leaving backend, in
+    /// milliseconds. The leaving daemon refuses calls that arrive in this time as not run.
     pub mean_exposure_ms: f64,
 }
 
@@ -45,33 +46,33 @@
     pub experiment: &'static str,
     /// Size and seed.
     pub run: RunSize,
-    /// Single back ends that announce a planned stop.
-    pub planned_stops: DepartureFigures,
-    /// Every back end of one zone, which announce a planned stop at once.
-    pub zone_stop: DepartureFigures,
-    /// Drain resources, each an accepted change: their time in force.
-    pub drain_resources: RelayFigures,
-    /// Control traffic from the first departure on.
-    pub traffic: TrafficFigures,
-    /// Cost to this machine; differs from run to run.
-    pub host: HostFigures,
+    /// Planned stops of single backends.
+    pub planned_stops: DepartureMeasurements,
+    /// Concurrent planned stops of all backends of one zone.
+    pub zone_stop: DepartureMeasurements,
+    /// Propagation of the drain resources, each of which is an accepted change.
+    pub drain_resources: RelayMeasurements,
+    /// Control traffic from the first departure to the end.
+    pub traffic: TrafficRates,
+    /// Resources used on the host; they differ between runs with the same seed.
+    pub host: HostUsage,
 }
 
 /// Runs the experiment.
 ///
 /// # Errors
-/// [`ScenarioError`] when an option is out of range.
+/// Returns [`ScenarioError`] if an option is out of range.
 pub fn run(options: &ControlOptions) -> Result<DrainReport, ScenarioError> {
-    let host = HostClock::start();
+    let host = HostMeter::start();
     let mut simulation = options.start()?;
-    simulation.run_for(SETTLE);
+    simulation.run_for(WARM_UP);
     let window = TrafficWindow::open(&simulation);
-    let planned_stops = stop_some(&mut simulation);
+    let planned_stops = stop_backends(&mut simulation);
     for _ in 0..DEPARTURES {
         simulation.accept_change();
-        simulation.run_for(BETWEEN);
+        simulation.run_for(DEPARTURE_INTERVAL);
     }
-    let drain_resources = RelayFigures::of(&simulation);
+    let drain_resources = RelayMeasurements::of(&simulation);
     let zone_stop = stop_zone(&mut simulation);
     let traffic = window.close(&simulation);
     let simulated = Duration::from_micros(simulation.now().as_micros());
@@ -82,47 +83,47 @@
         zone_stop,
         drain_resources,
         traffic,
-        host: host.figures(simulation.topology().daemons, simulated),
+        host: host.usage(simulation.topology().daemons, simulated),
     })
 }
 
-/// Back ends spread over the zones leave one by one.
-fn stop_some(simulation: &mut ControlSimulation) -> DepartureFigures {
+/// Stops backends in different zones, one after the other.
+fn stop_backends(simulation: &mut ControlSimulation) -> DepartureMeasurements {
     let daemons = simulation.topology().daemons;
     let count = DEPARTURES.min(daemons / 2);
     let step = daemons / count.max(1);
-    for place in 0..count {
-        // An odd offset, so that the departures fall into different zones.
-        simulation.leave((place * step + place) % daemons);
-        simulation.run_for(BETWEEN);
+    for position in 0..count {
+        // The additional offset puts consecutive departures into different zones.
+        simulation.leave((position * step + position) % daemons);
+        simulation.run_for(DEPARTURE_INTERVAL);
     }
-    simulation.run_for(AFTERWARDS);
-    take_figures(simulation)
+    simulation.run_for(CONVERGENCE_TIME);
+    take_measurements(simulation)
 }
 
-/// Every daemon of the last zone leaves at once.
-fn stop_zone(simulation: &mut ControlSimulation) -> DepartureFigures {
+/// Stops every daemon of the last zone at the same time.
+fn stop_zone(simulation: &mut ControlSimulation) -> DepartureMeasurements {
     let topology = simulation.topology().clone();
     let zone = topology.zones.len() - 1;
     let members = (0..topology.daemons).filter(|&index| topology.zone_of(index) == zone);
     for index in members.collect::<Vec<_>>() {
         simulation.leave(index);
     }
-    simulation.run_for(AFTERWARDS);
-    take_figures(simulation)
+    simulation.run_for(CONVERGENCE_TIME);
+    take_measurements(simulation)
 }
 
-fn take_figures(simulation: &mut ControlSimulation) -> DepartureFigures {
+fn take_measurements(simulation: &mut ControlSimulation) -> DepartureMeasurements {
     let running = simulation.running().count();
     let departures = std::mem::take(&mut simulation.observations.departures);
-    let known = &mut simulation.observations.leaving_known;
-    let promise = u64::try_from(PROMISE.as_micros()).unwrap_or(u64::MAX);
+    let known = &mut simulation.observations.time_to_departure_known;
+    let promise = u64::try_from(PROMISED_TIME.as_micros()).unwrap_or(u64::MAX);
     let never_known: usize = departures
         .iter()
         .map(|departure| running.saturating_sub(departure.known_by.len()))
         .sum();
     let late = known.len() - known.count_between(0, promise);
-    let figures = DepartureFigures {
+    let measurements = DepartureMeasurements {
         departures: departures.len(),
         known_after_ms: Quantiles::of_micros(known),
         never_known,
@@ -130,14 +131,14 @@
         mean_exposure_ms: mean_ms(known),
     };
     known.reset();
-    figures
+    measurements
 }
 
 fn mean_ms(histogram: &Histogram<u64>) -> f64 {
     (histogram.mean() / 10.0).round() / 100.0
 }
 
-impl fmt::Display for DepartureFigures {
+impl fmt::Display for DepartureMeasurements {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "  departures               {}", self.departures)?;
         writeln!(
@@ -164,7 +165,7 @@
         write!(formatter, "{}", self.run)?;
         write!(
             formatter,
-            "planned stops of back ends\n{}",
+            "planned stops of backends\n{}",
             self.planned_stops
         )?;
         write!(formatter, "planned stop of a zone\n{}", self.zone_stop)?;
--- a/crates/emulator/src/experiment/mod.rs
+++ b/crates/emulator/src/experiment/mod.rs
@@ -1,4 +1,5 @@
-//! Experiments: seeded runs of the simulator that compare policies and measure slopes.
+//! Experiments: seeded runs of the simulators that compare policies and measure how cost and delay grow
+//! with the size of a deployment.
 
 pub mod churn;
 pub mod control_command;
--- a/crates/emulator/src/experiment/propagation.rs
+++ b/crates/emulator/src/experiment/propagation.rs
@@ -1,5 +1,6 @@
-//! How long an accepted configuration change takes until it is in force everywhere, and what the
-//! control traffic costs, by number of zones and daemons.
+//! The experiment `propagation`: time until an accepted configuration change is in force at every daemon,
+//! and control traffic, by number of zones and daemons. Also the options shared by the experiments on
+//! the control plane.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,31 +13,33 @@
 use crate::scenario::ScenarioError;
 use crate::simulator::control::ControlSimulation;
 use crate::simulator::control::measure::{
-    HostClock, HostFigures, Quantiles, TrafficFigures, TrafficWindow, memory_per_daemon,
+    HostMeter, HostUsage, Quantiles, TrafficRates, TrafficWindow, memory_per_daemon,
 };
 use crate::simulator::control::topology::Topology;
 
-/// Changes a second at the size that the system is built towards: 54,000 a day.
+/// Configuration changes per second in the largest deployment that the system is designed for: 54,000 a
+/// day.
 pub const CHANGES_PER_SECOND: f64 = 54_000.0 / 86_400.0;
-/// Time before anything is measured, so that timers are out of step and readers watch.
-pub const SETTLE: Duration = Duration::from_secs(20);
-/// Time after the last change.
-pub const AFTERWARDS: Duration = Duration::from_secs(20);
+/// Simulated time before the measurement, in which the daemons' timers spread out and the readers open
+/// their watches.
+pub const WARM_UP: Duration = Duration::from_secs(20);
+/// Simulated time after the last change or fault, in which the deployment converges.
+pub const CONVERGENCE_TIME: Duration = Duration::from_secs(20);
 
-/// What to run; shared by the experiments on the control plane.
+/// Options of the experiments on the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlOptions {
-    /// `lagos`, `gujarat` or `target`.
+    /// Name of the scenario: `lagos`, `gujarat` or `target`.
     pub scenario: String,
-    /// Number of zones; the scenario's when absent.
+    /// Number of zones; that of the scenario if absent.
     pub zones: Option<usize>,
-    /// Number of daemons; the scenario's when absent.
+    /// Number of daemons; that of the scenario if absent.
     pub daemons: Option<usize>,
-    /// Seed of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Simulated time in which changes and faults happen, in seconds.
     pub seconds: u64,
-    /// Share of packets that are lost, 0 to 1.
+    /// Share of packets that are lost, from 0 to below 1.
     pub loss: f64,
 }
 
@@ -54,10 +57,10 @@
 }
 
 impl ControlOptions {
-    /// A simulation in which every daemon runs and knows all others.
+    /// Creates a simulation in which every daemon runs and knows all others.
     ///
     /// # Errors
-    /// [`ScenarioError`] when an option is out of range.
+    /// Returns [`ScenarioError`] if an option is out of range.
     pub fn start(&self) -> Result<ControlSimulation, ScenarioError> {
         if !(0.0..1.0).contains(&self.loss) {
             return Err(ScenarioError::Invalid {
@@ -73,38 +76,38 @@
         Ok(simulation)
     }
 
-    /// The random source of what happens, apart from the daemons' own.
+    /// Returns the random source of changes and faults, which is separate from those of the daemons.
     #[must_use]
     pub fn random(&self) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(self.seed.rotate_left(32))
     }
 }
 
-/// A waiting time between two events of a Poisson process.
+/// Returns a random time between two events of a Poisson process.
 pub fn exponential(events_per_second: f64, random: &mut Pcg64Mcg) -> Duration {
     let uniform: f64 = random.random();
     Duration::from_secs_f64(-(1.0 - uniform).ln() / events_per_second)
 }
 
-/// Size and seed of a run.
+/// Scenario, size and seed of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunSize {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Share of lost packets.
+    /// Share of packets that are lost.
     pub loss: f64,
-    /// Simulated time in all, in seconds.
+    /// Total simulated time, in seconds.
     pub simulated_seconds: f64,
 }
 
 impl RunSize {
-    /// The size of a run that ends now.
+    /// Returns the size of a run that ends at the current virtual time.
     #[must_use]
     pub fn of(options: &ControlOptions, simulation: &ControlSimulation) -> Self {
         let topology = simulation.topology();
@@ -120,43 +123,44 @@
     }
 }
 
-/// The configuration relay's promises and times in one run.
+/// Measurements of the configuration relay in one run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct RelayFigures {
-    /// Changes accepted.
+pub struct RelayMeasurements {
+    /// Number of accepted changes.
     pub changes: u64,
-    /// Time from acceptance until one daemon has the change in force, over all pairs of change and
-    /// daemon that ran when it was accepted; in milliseconds.
+    /// Time from acceptance until a daemon has the change in force, in milliseconds, over all pairs of a
+    /// change and a daemon that has run since before the acceptance.
     pub time_in_force_ms: Quantiles,
-    /// Running daemons that lack the last revision at the end.
+    /// Number of running daemons without the last revision at the end.
     pub without_last_revision: usize,
-    /// Adoptions of a revision that was not newer.
+    /// Number of adopted revisions that were not newer than the one in force.
     pub revisions_reverted: u64,
-    /// Daemons that reported ready with less than they had in force before their restart.
+    /// Number of times that a daemon reported ready with a revision older than one that it had in force
+    /// before a restart.
     pub ready_with_older: u64,
-    /// Most readers of the store at the same time.
+    /// Largest number of concurrent readers of the store.
     pub store_readers: usize,
-    /// Whole configurations read from the store.
+    /// Number of whole configurations read from the store.
     pub store_lists: u64,
 }
 
-impl RelayFigures {
-    /// The figures of a run up to now.
+impl RelayMeasurements {
+    /// Returns the measurements of a run up to the current virtual time.
     #[must_use]
     pub fn of(simulation: &ControlSimulation) -> Self {
         let observations = &simulation.observations;
         let last = simulation.store.revision();
-        let lacking = simulation
+        let outdated = simulation
             .running()
             .filter(|&index| simulation.in_force(index) < last);
         Self {
             changes: last - 1,
-            time_in_force_ms: Quantiles::of_micros(&observations.in_force),
-            without_last_revision: lacking.count(),
-            revisions_reverted: observations.reverted,
+            time_in_force_ms: Quantiles::of_micros(&observations.time_in_force),
+            without_last_revision: outdated.count(),
+            revisions_reverted: observations.revisions_reverted,
             ready_with_older: observations.ready_with_older,
-            store_readers: simulation.store.most_watchers(),
-            store_lists: simulation.store.lists(),
+            store_readers: simulation.store.peak_watchers(),
+            store_lists: simulation.store.list_requests(),
         }
     }
 }
@@ -168,27 +172,27 @@
     pub experiment: &'static str,
     /// Size and seed.
     pub run: RunSize,
-    /// The relay.
-    pub relay: RelayFigures,
-    /// Control traffic while changes come.
-    pub traffic: TrafficFigures,
-    /// Bytes of state of a daemon.
+    /// Measurements of the configuration relay.
+    pub relay: RelayMeasurements,
+    /// Control traffic in the time in which changes were accepted.
+    pub traffic: TrafficRates,
+    /// State of a daemon, in bytes.
     pub memory_bytes: Quantiles,
-    /// Running daemons that were declared dead.
+    /// Number of declarations of death of a daemon that ran and was connected.
     pub false_deaths: u64,
-    /// Cost to this machine; differs from run to run.
-    pub host: HostFigures,
+    /// Resources used on the host; they differ between runs with the same seed.
+    pub host: HostUsage,
 }
 
 /// Runs the experiment.
 ///
 /// # Errors
-/// [`ScenarioError`] when an option is out of range.
+/// Returns [`ScenarioError`] if an option is out of range.
 pub fn run(options: &ControlOptions) -> Result<PropagationReport, ScenarioError> {
-    let host = HostClock::start();
+    let host = HostMeter::start();
     let mut simulation = options.start()?;
     let mut random = options.random();
-    simulation.run_for(SETTLE);
+    simulation.run_for(WARM_UP);
     let window = TrafficWindow::open(&simulation);
     let end = simulation.now() + Duration::from_secs(options.seconds);
     loop {
@@ -201,16 +205,16 @@
     }
     simulation.run_until(end);
     let traffic = window.close(&simulation);
-    simulation.run_for(AFTERWARDS);
+    simulation.run_for(CONVERGENCE_TIME);
     let simulated = Duration::from_micros(simulation.now().as_micros());
     Ok(PropagationReport {
         experiment: "propagation",
         run: RunSize::of(options, &simulation),
-        relay: RelayFigures::of(&simulation),
+        relay: RelayMeasurements::of(&simulation),
         traffic,
         memory_bytes: memory_per_daemon(&simulation),
         false_deaths: simulation.observations.false_deaths,
-        host: host.figures(simulation.topology().daemons, simulated),
+        host: host.usage(simulation.topology().daemons, simulated),
     })
 }
 
@@ -224,7 +228,7 @@
     }
 }
 
-impl fmt::Display for RelayFigures {
+impl fmt::Display for RelayMeasurements {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "changes                    {}", self.changes)?;
         writeln!(
--- a/crates/emulator/src/experiment/start.rs
+++ b/crates/emulator/src/experiment/start.rs
@@ -1,5 +1,5 @@
-//! What it costs that a whole deployment starts, ends and starts again: calls to the platform's directory and the time
-//! until everyone knows everyone, for each way of keeping the directory.
+//! The experiment `start`: cost of starting and restarting a whole deployment, as calls to the platform's
+//! directory and time until every daemon knows all others, for each strategy of keeping the directory.
 
 use std::fmt;
 use std::time::Duration;
@@ -15,50 +15,52 @@
 
 use super::propagation::ControlOptions;
 
-/// Time in which the machines of a deployment start.
+/// Time over which the starts of the daemons are spread.
 const START_SPREAD: Duration = Duration::from_millis(300);
-/// Time from an end of all until the machines run again.
+/// Time from the termination of all daemons until the first of them starts again.
 const DOWN_TIME: Duration = Duration::from_secs(2);
-/// Longest time for which a phase is watched.
+/// Longest time to wait in a phase until every daemon knows all others.
 const PHASE_LIMIT: Duration = Duration::from_secs(40);
-/// Time after everyone knows everyone, in which entries are still made.
-const SETTLING: Duration = Duration::from_secs(10);
-/// Percent of the machines that the store refuses in one of the phases.
+/// Time that a phase continues after that, in which daemons still write entries.
+const SETTLE_TIME: Duration = Duration::from_secs(10);
+/// Percentage of the daemons whose calls the directory refuses in one of the phases.
 const REFUSED_PERCENT: usize = 33;
-/// Time after the machines' start for which it refuses them.
+/// Time after the start of the first daemon for which it refuses them.
 const REFUSED_TIME: Duration = Duration::from_secs(4);
-/// Time within which news of a restored store reaches everyone.
-const NEWS_TIME: Duration = Duration::from_millis(500);
-/// Age of a listing that may be stale, in the phases that do not say otherwise.
+/// Time within which every daemon is notified that the directory's store was restored.
+const RESTORE_NOTICE_TIME: Duration = Duration::from_millis(500);
+/// Age of a listing that may be stale, in most phases.
 const STALENESS: Duration = Duration::from_millis(500);
-/// The same where the store lags.
+/// Age of a listing that may be stale, in the phase with a lagging store.
 const LONG_STALENESS: Duration = Duration::from_secs(3);
 
-/// What one phase took.
+/// Measurements of one phase.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct PhaseFigures {
+pub struct PhaseMeasurements {
     /// Name of the phase.
     pub phase: &'static str,
-    /// Calls to the directory by their price, for each daemon.
+    /// Cost of the calls to the directory, per daemon.
     pub calls_per_daemon: f64,
-    /// Entries that were written.
+    /// Number of entries written.
     pub writes: u64,
-    /// Entries at the end of the phase.
+    /// Number of entries at the end of the phase.
     pub entries: usize,
-    /// Time from the start of the machines until everyone knows everyone, in milliseconds; none where that took longer
-    /// than the phase.
-    pub met_after_ms: Option<u64>,
-    /// Most bytes that one daemon sent in the phase.
+    /// Time from the start of the daemons until every daemon knows all others, in milliseconds; `None` if
+    /// that was not reached in the phase.
+    #[serde(rename = "met_after_ms")]
+    pub converged_after_ms: Option<u64>,
+    /// Largest number of bytes that one daemon sent in the phase.
     pub most_bytes_sent: u64,
 }
 
-/// The figures of one way of keeping the directory.
+/// Measurements of one strategy of keeping the directory.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct WayFigures {
-    /// Name of the way.
-    pub way: &'static str,
-    /// Its phases, in order.
-    pub phases: Vec<PhaseFigures>,
+pub struct StrategyMeasurements {
+    /// Name of the strategy.
+    #[serde(rename = "way")]
+    pub strategy: &'static str,
+    /// Measurements of the phases, in order.
+    pub phases: Vec<PhaseMeasurements>,
 }
 
 /// Result of the experiment.
@@ -66,34 +68,36 @@
 pub struct StartReport {
     /// Name of the experiment.
     pub experiment: &'static str,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The ways.
-    pub ways: Vec<WayFigures>,
+    /// Measurements by strategy.
+    #[serde(rename = "ways")]
+    pub strategies: Vec<StrategyMeasurements>,
 }
 
 /// Runs the experiment.
 ///
 /// # Errors
-/// [`ScenarioError`] when an option is out of range.
+/// Returns [`ScenarioError`] if an option is out of range.
 pub fn run(options: &ControlOptions) -> Result<StartReport, ScenarioError> {
-    let ways = [
+    let strategies = [
         ("an entry for each", DirectorySettings::of_all_members()),
         ("a bounded number", DirectorySettings::default()),
     ];
-    let figures = ways.map(|(way, settings)| run_way(options, way, &settings));
-    let [each, bounded] = figures;
+    let measurements =
+        strategies.map(|(strategy, settings)| run_strategy(options, strategy, &settings));
+    let [each, bounded] = measurements;
     let topology = topology_of(options)?;
     Ok(StartReport {
         experiment: "start",
         daemons: topology.daemons,
         zones: topology.zones.len(),
         seed: options.seed,
-        ways: vec![each?, bounded?],
+        strategies: vec![each?, bounded?],
     })
 }
 
@@ -101,25 +105,25 @@
     Topology::named(&options.scenario, options.zones, options.daemons)
 }
 
-/// Runs the phases of one way of keeping the directory.
+/// Runs the phases of one strategy of keeping the directory.
 ///
 /// # Errors
-/// [`ScenarioError`] when an option is out of range.
-pub fn run_way(
+/// Returns [`ScenarioError`] if an option is out of range.
+pub fn run_strategy(
     options: &ControlOptions,
-    way: &'static str,
+    strategy: &'static str,
     settings: &DirectorySettings,
-) -> Result<WayFigures, ScenarioError> {
+) -> Result<StrategyMeasurements, ScenarioError> {
     let topology = topology_of(options)?;
     let phases = run_phases(options, &topology, settings);
-    Ok(WayFigures { way, phases })
+    Ok(StrategyMeasurements { strategy, phases })
 }
 
 fn run_phases(
     options: &ControlOptions,
     topology: &Topology,
     settings: &DirectorySettings,
-) -> Vec<PhaseFigures> {
+) -> Vec<PhaseMeasurements> {
     let simulate = |staleness| {
         let membership = Settings::for_short_lived_members();
         let mut simulation = ControlSimulation::new(topology.clone(), membership, options.seed);
@@ -128,11 +132,11 @@
         simulation
     };
     let mut simulation = simulate(STALENESS);
-    let before_the_start = simulation.now();
+    let before_first_start = simulation.now();
     let mut phases = vec![first_start(&mut simulation, "first start")];
-    phases.push(end_of_all(&mut simulation, "end of all", |_| {}));
+    phases.push(restart_all(&mut simulation, "end of all", |_| {}));
     let refused_until = simulation.now() + DOWN_TIME + REFUSED_TIME;
-    phases.push(end_of_all(
+    phases.push(restart_all(
         &mut simulation,
         "end of all, a third refused",
         |directory| {
@@ -140,12 +144,12 @@
             directory.refused_until = refused_until;
         },
     ));
-    phases.push(restoring(&mut simulation, before_the_start));
-    phases.push(end_of_all(
+    phases.push(restore_store(&mut simulation, before_first_start));
+    phases.push(restart_all(
         &mut simulation,
         "end of all, entries lost",
         |directory| {
-            directory.restore(before_the_start);
+            directory.restore(before_first_start);
         },
     ));
     phases.push(first_start(
@@ -155,17 +159,17 @@
     phases
 }
 
-fn first_start(simulation: &mut ControlSimulation, phase: &'static str) -> PhaseFigures {
+fn first_start(simulation: &mut ControlSimulation, phase: &'static str) -> PhaseMeasurements {
     measure(simulation, phase, |simulation| {
         simulation.start_cold(START_SPREAD)
     })
 }
 
-fn end_of_all(
+fn restart_all(
     simulation: &mut ControlSimulation,
     phase: &'static str,
     change: impl FnOnce(&mut Directory),
-) -> PhaseFigures {
+) -> PhaseMeasurements {
     if let Some(directory) = &mut simulation.directory {
         directory.is_first_start = false;
         change(directory);
@@ -180,25 +184,29 @@
     })
 }
 
-fn restoring(
+fn restore_store(
     simulation: &mut ControlSimulation,
     copied_at: wharfquay_core::time::Timestamp,
-) -> PhaseFigures {
+) -> PhaseMeasurements {
     measure(simulation, "store restored, entries lost", |simulation| {
-        simulation.restore_directory(copied_at, NEWS_TIME);
+        simulation.restore_directory(copied_at, RESTORE_NOTICE_TIME);
     })
 }
 
 fn measure(
     simulation: &mut ControlSimulation,
     phase: &'static str,
-    begin: impl FnOnce(&mut ControlSimulation),
-) -> PhaseFigures {
+    trigger: impl FnOnce(&mut ControlSimulation),
+) -> PhaseMeasurements {
     let daemons = simulation.topology().daemons;
     let counts = |simulation: &ControlSimulation| {
         let directory = simulation.directory.as_ref();
         directory.map_or((0.0, 0, 0), |directory| {
-            (directory.calls(), directory.writes(), directory.entries())
+            (
+                directory.call_cost(),
+                directory.writes(),
+                directory.entries(),
+            )
         })
     };
     let sent = |simulation: &ControlSimulation| -> Vec<u64> {
@@ -207,20 +215,20 @@
     };
     let (calls, writes, _) = counts(simulation);
     let sent_before = sent(simulation);
-    begin(simulation);
+    trigger(simulation);
     let started_at = simulation.now();
-    let met = simulation.run_until_holds(PHASE_LIMIT, everyone_knows_everyone);
-    let met_after = simulation.now().saturating_since(started_at).as_millis();
-    simulation.run_for(SETTLING);
+    let converged = simulation.run_until_holds(PHASE_LIMIT, all_members_known);
+    let converged_after = simulation.now().saturating_since(started_at).as_millis();
+    simulation.run_for(SETTLE_TIME);
     let (calls_now, writes_now, entries) = counts(simulation);
     let sent_now = sent(simulation);
     let sent_each = sent_now.iter().zip(&sent_before);
-    PhaseFigures {
+    PhaseMeasurements {
         phase,
         calls_per_daemon: (calls_now - calls) / daemons as f64,
         writes: writes_now - writes,
         entries,
-        met_after_ms: met.then(|| u64::try_from(met_after).unwrap_or(u64::MAX)),
+        converged_after_ms: converged.then(|| u64::try_from(converged_after).unwrap_or(u64::MAX)),
         most_bytes_sent: sent_each
             .map(|(now, before)| now - before)
             .max()
@@ -228,7 +236,7 @@
     }
 }
 
-fn everyone_knows_everyone(simulation: &ControlSimulation) -> bool {
+fn all_members_known(simulation: &ControlSimulation) -> bool {
     let daemons = simulation.topology().daemons;
     (0..daemons).all(|index| {
         let node = simulation.node(index);
@@ -243,19 +251,19 @@
             "{} daemons, {} zones, seed {}",
             self.daemons, self.zones, self.seed
         )?;
-        for way in &self.ways {
-            writeln!(formatter, "{}", way.way)?;
-            for phase in &way.phases {
-                let met = phase.met_after_ms;
-                let met = met.map_or("never".to_owned(), |after| format!("{after} ms"));
+        for strategy in &self.strategies {
+            writeln!(formatter, "{}", strategy.strategy)?;
+            for phase in &strategy.phases {
+                let converged = phase.converged_after_ms;
+                let converged = converged.map_or("never".to_owned(), |after| format!("{after} ms"));
                 writeln!(
                     formatter,
-                    "  {:30} calls/daemon {:.3}  writes {:6}  entries {:6}  all met {:>9}  most sent {:.2} MB",
+                    "  {:30} calls/daemon {:.3}  writes {:6}  entries {:6}  all converged {:>9}  most sent {:.2} MB",
                     phase.phase,
                     phase.calls_per_daemon,
                     phase.writes,
                     phase.entries,
-                    met,
+                    converged,
                     phase.most_bytes_sent as f64 / 1e6,
                 )?;
             }
--- a/crates/emulator/src/experiment/surge/arguments.rs
+++ b/crates/emulator/src/experiment/surge/arguments.rs
@@ -18,7 +18,7 @@
   --scenario NAME|FILE   lagos, gujarat or a scenario file
   --factor F             factor on the arrivals during the surge (2)
   --seed N               seed of arrivals, work and faults (1)
-  --seeds N              runs seeds from --seed on, in parallel, and prints a JSON summary (1)
+  --seeds N              number of consecutive seeds, from --seed on; above 1 prints a JSON summary (1)
   --before S             seconds before the surge (5)
   --seconds S            seconds of the surge (10)
   --after S              seconds after the surge (10)
@@ -26,38 +26,39 @@
   --policy P             wharfquay, none, static, oracle or all (all)
   --json                 prints JSON
   --services             lists services and priorities in the table too
-  --lost-requests SHARE  connections lost before the daemon is reached (0)
-  --lost-answers SHARE   connections lost before the answer arrives (0)
-  --kills N              back ends killed and started again (0)
+  --lost-requests SHARE  share of connections lost before the daemon is reached (0)
+  --lost-answers SHARE   share of connections lost before the response arrives (0)
+  --kills N              number of times that a backend is killed and restarted (0)
 
-Rivals of wharfquay's mechanisms:
+Alternatives to wharfquay's mechanisms:
   --algorithm A          fixed, aimd, gradient or queue-delay
   --discipline D         priority, fifo or lifo
   --rank R               origin, per-hop or constant
   --no-folding           callers and edges don't refuse early
   --no-reserve           no slots are kept for calls that are refused elsewhere
-  --no-level             back ends keep their admission level open
-  --reported-slots F     slots that the daemons are told, as a multiple of the true ones (1)
+  --no-level             daemons keep their admission level open
+  --reported-slots F     slots that daemons assume, as a multiple of the true ones (1)
 ";
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Clone, Debug)]
 pub struct SurgeSettings {
     /// The scenario.
     pub scenario: Scenario,
-    /// The run, but for its policy.
+    /// Settings of the runs; the policy is replaced by each of `policies`.
     pub run: RunSettings,
     /// The policies to run.
     pub policies: Vec<Policy>,
-    /// Whether to print JSON.
+    /// True to print JSON instead of a table.
     pub json: bool,
-    /// Consecutive seeds to run; above one only a summary is printed.
+    /// Number of consecutive seeds to run; above one only a summary is printed.
     pub seeds: u64,
-    /// Whether the table lists services too.
+    /// True to list services and priorities in the table too.
     pub services: bool,
 }
 
-struct Given {
+/// Raw arguments: the options read so far, before validation.
+struct RawArguments {
     scenario: Option<Scenario>,
     run: RunSettings,
     policies: Vec<Policy>,
@@ -66,15 +67,15 @@
     services: bool,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// [`ArgumentError`] that names the option, what was given and what is allowed.
+/// Returns an [`ArgumentError`] that names the option, its value and the allowed values.
 pub fn parse(
     arguments: impl IntoIterator<Item = OsString>,
 ) -> Result<Command<SurgeSettings>, ArgumentError> {
     let parser = lexopt::Parser::from_args(arguments);
-    let defaults = Given {
+    let defaults = RawArguments {
         scenario: None,
         run: RunSettings::new(Policy::Wharfquay, 2.0, 1),
         policies: parse_policies("all".to_owned())?,
@@ -88,29 +89,29 @@
 fn read_option(
     parser: &mut lexopt::Parser,
     name: &str,
-    given: &mut Given,
+    raw: &mut RawArguments,
 ) -> Result<(), ArgumentError> {
     match name {
-        "scenario" => given.scenario = Some(load(&text(parser)?)?),
-        "policy" => given.policies = parse_policies(text(parser)?)?,
-        "json" => given.json = true,
-        "seeds" => given.seeds = value(parser, "seeds", "1 or more")?,
-        "services" => given.services = true,
-        _ => return run_option(parser, name, &mut given.run),
+        "scenario" => raw.scenario = Some(load_scenario(&text(parser)?)?),
+        "policy" => raw.policies = parse_policies(text(parser)?)?,
+        "json" => raw.json = true,
+        "seeds" => raw.seeds = value(parser, "seeds", "1 or more")?,
+        "services" => raw.services = true,
+        _ => return run_option(parser, name, &mut raw.run),
     }
     Ok(())
 }
 
-fn settings(given: Given) -> Result<SurgeSettings, ArgumentError> {
-    let scenario = given.scenario.ok_or(ArgumentError::Missing("scenario"))?;
-    check_slow(&scenario, &given.run)?;
+fn settings(raw: RawArguments) -> Result<SurgeSettings, ArgumentError> {
+    let scenario = raw.scenario.ok_or(ArgumentError::Missing("scenario"))?;
+    check_slow(&scenario, &raw.run)?;
     Ok(SurgeSettings {
         scenario,
-        run: given.run,
-        policies: given.policies,
-        json: given.json,
-        seeds: given.seeds,
-        services: given.services,
+        run: raw.run,
+        policies: raw.policies,
+        json: raw.json,
+        seeds: raw.seeds,
+        services: raw.services,
     })
 }
 
@@ -125,7 +126,7 @@
         "before" => run.before = seconds(parser, "before")?,
         "seconds" => run.surge = seconds(parser, "seconds")?,
         "after" => run.after = seconds(parser, "after")?,
-        "slow" => run.slow.push(slow(text(parser)?)?),
+        "slow" => run.slow.push(parse_slow(text(parser)?)?),
         "lost-requests" => {
             run.faults.lost_requests = number(parser, "lost-requests", 0.0, 1.0)?;
         }
@@ -144,12 +145,12 @@
     let mechanisms = &mut run.mechanisms;
     match name {
         "algorithm" => {
-            mechanisms.admission.algorithm = choose(parser, "algorithm", &ALGORITHMS)?;
+            mechanisms.admission.algorithm = parse_choice(parser, "algorithm", &ALGORITHMS)?;
         }
         "discipline" => {
-            mechanisms.admission.discipline = choose(parser, "discipline", &DISCIPLINES)?;
+            mechanisms.admission.discipline = parse_choice(parser, "discipline", &DISCIPLINES)?;
         }
-        "rank" => mechanisms.rank = choose(parser, "rank", &RANKS)?,
+        "rank" => mechanisms.rank = parse_choice(parser, "rank", &RANKS)?,
         "no-folding" => mechanisms.folding = false,
         "no-reserve" => mechanisms.admission.reserve = false,
         "no-level" => mechanisms.admission.adaptive_level = false,
@@ -161,7 +162,7 @@
     Ok(())
 }
 
-/// Names of an option's values, and how they are listed in an error.
+/// The values of an option by name, and their list for error messages.
 struct Choices<T: 'static> {
     values: &'static [(&'static str, T)],
     allowed: &'static str,
@@ -193,20 +194,20 @@
     allowed: "origin, per-hop, constant",
 };
 
-fn choose<T: Copy>(
+fn parse_choice<T: Copy>(
     parser: &mut lexopt::Parser,
     option: &'static str,
     choices: &Choices<T>,
 ) -> Result<T, ArgumentError> {
-    let given = text(parser)?;
-    let found = choices.values.iter().find(|(name, _)| *name == given);
+    let input = text(parser)?;
+    let found = choices.values.iter().find(|(name, _)| *name == input);
     found
         .map(|&(_, value)| value)
-        .ok_or_else(|| invalid(option, given, "unknown", choices.allowed))
+        .ok_or_else(|| invalid(option, input, "unknown", choices.allowed))
 }
 
-fn parse_policies(given: String) -> Result<Vec<Policy>, ArgumentError> {
-    match given.as_str() {
+fn parse_policies(input: String) -> Result<Vec<Policy>, ArgumentError> {
+    match input.as_str() {
         "all" => Ok(vec![Policy::Wharfquay, Policy::Static, Policy::None]),
         "wharfquay" => Ok(vec![Policy::Wharfquay]),
         "static" => Ok(vec![Policy::Static]),
@@ -214,14 +215,14 @@
         "oracle" => Ok(Vec::new()),
         _ => Err(invalid(
             "policy",
-            given,
+            input,
             "unknown",
             "wharfquay, none, static, oracle, all",
         )),
     }
 }
 
-fn load(name: &str) -> Result<Scenario, ArgumentError> {
+fn load_scenario(name: &str) -> Result<Scenario, ArgumentError> {
     let path = Path::new(name);
     let scenario = if path.exists() {
         Scenario::load(path)
@@ -231,16 +232,16 @@
     Ok(scenario?)
 }
 
-fn slow(given: String) -> Result<SlowService, ArgumentError> {
+fn parse_slow(input: String) -> Result<SlowService, ArgumentError> {
     let allowed = "SERVICE=FACTOR with a factor from 0.1 to 1000";
-    let parsed = given.split_once('=').and_then(|(service, factor)| {
+    let parsed = input.split_once('=').and_then(|(service, factor)| {
         let factor: f64 = factor.parse().ok()?;
         (0.1..=1_000.0).contains(&factor).then(|| SlowService {
             service: service.to_owned(),
             factor,
         })
     });
-    parsed.ok_or_else(|| invalid("slow", given, "malformed", allowed))
+    parsed.ok_or_else(|| invalid("slow", input, "malformed", allowed))
 }
 
 fn check_slow(scenario: &Scenario, run: &RunSettings) -> Result<(), ArgumentError> {
@@ -249,10 +250,10 @@
         .iter()
         .find(|slow| scenario.service(&slow.service).is_none());
     unknown.map_or(Ok(()), |slow| {
-        let given = slow.service.clone();
+        let input = slow.service.clone();
         Err(invalid(
             "slow",
-            given,
+            input,
             "no such service",
             "a listed service",
         ))
@@ -262,15 +263,15 @@
 fn number(
     parser: &mut lexopt::Parser,
     option: &'static str,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<f64, ArgumentError> {
-    let given: f64 = value(parser, option, "a number")?;
-    if (least..=most).contains(&given) {
-        return Ok(given);
+    let input: f64 = value(parser, option, "a number")?;
+    if (min..=max).contains(&input) {
+        return Ok(input);
     }
-    let problem = format!("not in {least} to {most}");
-    Err(invalid(option, given.to_string(), problem, "see --help"))
+    let problem = format!("not in {min} to {max}");
+    Err(invalid(option, input.to_string(), problem, "see --help"))
 }
 
 fn seconds(parser: &mut lexopt::Parser, option: &'static str) -> Result<Duration, ArgumentError> {
--- a/crates/emulator/src/experiment/surge/mod.rs
+++ b/crates/emulator/src/experiment/surge/mod.rs
@@ -1,4 +1,5 @@
-//! A surge of demand, with or without a slow deep service: goodput and recovery of each policy.
+//! The experiment `surge`: goodput and recovery of each policy under a surge of requests, optionally with
+//! slow services.
 
 mod arguments;
 mod measure;
@@ -17,12 +18,13 @@
 use crate::simulator::call_path::{Layout, simulate};
 
 pub use arguments::{SurgeSettings, USAGE, parse};
-pub use measure::{KindMeasure, PolicyMeasure, ServiceMeasure, measure};
+pub use measure::{KindMeasurements, PolicyMeasurements, ServiceMeasurements, measure};
 pub use oracle::{OracleGoodput, oracle_goodput};
 pub use report::{SurgeReport, render_table};
 pub use sweep::{SweepReport, sweep};
 
-/// Runs the experiment from the command line.
+/// Runs the experiment with the arguments of the command line, prints its report and returns the exit
+/// code.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let settings = match parse(arguments) {
         Ok(Command::Run(settings)) => settings,
@@ -59,7 +61,7 @@
     }
 }
 
-/// Runs every chosen policy over many seeds.
+/// Runs every selected policy with consecutive seeds and returns a summary for each.
 #[must_use]
 pub fn sweep_all(settings: &SurgeSettings) -> Vec<SweepReport> {
     let layout = Layout::new(&settings.scenario);
@@ -69,7 +71,7 @@
         .collect()
 }
 
-/// Runs every chosen policy over the same arrivals.
+/// Runs every selected policy over the same arrivals, in parallel.
 #[must_use]
 pub fn compare(settings: &SurgeSettings) -> SurgeReport {
     let layout = Layout::new(&settings.scenario);
@@ -89,14 +91,14 @@
     SurgeReport::new(settings, &layout, &oracle, policies)
 }
 
-/// Runs one policy and measures it.
+/// Runs one policy and returns its measurements.
 #[must_use]
 pub fn run_policy(
     layout: &Layout,
     settings: &RunSettings,
     policy: Policy,
     oracle: &OracleGoodput,
-) -> PolicyMeasure {
+) -> PolicyMeasurements {
     let settings = RunSettings {
         policy,
         ..settings.clone()
--- a/crates/emulator/src/experiment/surge/report.rs
+++ b/crates/emulator/src/experiment/surge/report.rs
@@ -1,39 +1,39 @@
-//! The report of the experiment, as JSON and as a table.
+//! The report of the experiment `surge`, as JSON and as a table.
 
 use std::fmt::Write;
 
 use serde::Serialize;
 
 use super::arguments::SurgeSettings;
-use super::measure::{PolicyMeasure, rounded};
+use super::measure::{PolicyMeasurements, rounded};
 use super::oracle::OracleGoodput;
 use crate::simulator::call_path::Layout;
 
-/// The whole report.
+/// Report of the experiment `surge`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SurgeReport {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
     /// Factor on the arrivals during the surge.
     pub factor: f64,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Services that are slow during the surge, with their factors.
     pub slow: Vec<(String, f64)>,
     /// Length of the surge, in seconds.
     pub surge_seconds: f64,
-    /// Goodput of the oracle.
+    /// Goodput of the oracle by request kind.
     pub oracle: Vec<OracleKind>,
-    /// The policies that ran.
-    pub policies: Vec<PolicyMeasure>,
+    /// Measurements by policy.
+    pub policies: Vec<PolicyMeasurements>,
 }
 
-/// What the oracle serves of one request kind.
+/// Goodput of the oracle for one request kind.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OracleKind {
-    /// The request kind.
+    /// Name of the request kind.
     pub kind: String,
-    /// Whole answers per second during the surge.
+    /// Complete responses per second during the surge.
     pub goodput_per_second: f64,
 }
 
@@ -42,16 +42,16 @@
         settings: &SurgeSettings,
         layout: &Layout,
         oracle: &OracleGoodput,
-        policies: Vec<PolicyMeasure>,
+        policies: Vec<PolicyMeasurements>,
     ) -> Self {
         let seconds = settings.run.surge.as_secs_f64();
         let oracle = layout
             .kinds
             .iter()
-            .zip(&oracle.whole)
-            .map(|(kind, whole)| OracleKind {
+            .zip(&oracle.completed)
+            .map(|(kind, completed)| OracleKind {
                 kind: kind.name.clone(),
-                goodput_per_second: rounded(whole / seconds),
+                goodput_per_second: rounded(completed / seconds),
             })
             .collect();
         let slow = settings.run.slow.iter();
@@ -69,11 +69,12 @@
     }
 }
 
-/// The report as a table for people.
+/// Renders the report as a human-readable table, with one line for each service and priority if
+/// `with_services` is true.
 #[must_use]
 pub fn render_table(report: &SurgeReport, with_services: bool) -> String {
     let mut text = String::new();
-    // Writing to a String can't fail.
+    // Writing to a `String` does not fail.
     let _ = writeln!(
         text,
         "scenario={} factor={} seed={} slow={:?}",
@@ -105,7 +106,7 @@
     text
 }
 
-fn render_policy(text: &mut String, report: &SurgeReport, policy: &PolicyMeasure) {
+fn render_policy(text: &mut String, report: &SurgeReport, policy: &PolicyMeasurements) {
     for (kind, oracle) in policy.kinds.iter().zip(&report.oracle) {
         let _ = writeln!(
             text,
@@ -113,10 +114,10 @@
             policy.policy,
             kind.kind,
             kind.priority,
-            optional(kind.goodput_ratio),
+            format_optional(kind.goodput_ratio),
             kind.goodput_per_second,
             oracle.goodput_per_second,
-            optional(kind.recovery_seconds),
+            format_optional(kind.recovery_seconds),
             kind.retries_max,
             kind.wasted_work_ratio,
             kind.priority_inversions,
@@ -134,13 +135,13 @@
         policy.goodput_ratio,
         "",
         "",
-        optional(policy.recovery_seconds),
+        format_optional(policy.recovery_seconds),
         "",
         policy.wasted_work_ratio
     );
 }
 
-fn render_services(text: &mut String, policy: &PolicyMeasure) {
+fn render_services(text: &mut String, policy: &PolicyMeasurements) {
     for service in &policy.services {
         let _ = writeln!(
             text,
@@ -158,6 +159,6 @@
     }
 }
 
-fn optional(value: Option<f64>) -> String {
+fn format_optional(value: Option<f64>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| format!("{value:.3}"))
 }
--- a/crates/emulator/src/experiment/surge/sweep.rs
+++ b/crates/emulator/src/experiment/surge/sweep.rs
@@ -1,57 +1,58 @@
-//! Many short runs over consecutive seeds, in parallel: which promises break, and how often.
+//! Many runs with consecutive seeds, in parallel: which promises are broken, and how often.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::Serialize;
 
-use super::measure::{PolicyMeasure, rounded};
+use super::measure::{PolicyMeasurements, rounded};
 use super::oracle::oracle_goodput;
 use super::run_policy;
 use crate::simulator::call_path::Layout;
 use crate::simulator::call_path::policy::Policy;
 use crate::simulator::call_path::settings::RunSettings;
 
-/// What all runs of one policy show together.
+/// Summary of all runs of one policy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SweepReport {
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
     /// Number of runs.
     pub runs: u64,
-    /// Runs in which some promise was broken.
+    /// Number of runs in which at least one promise was broken.
     pub runs_with_broken_promises: u64,
-    /// The first seeds of these.
+    /// Seeds of the first few of these runs.
     pub seeds: Vec<u64>,
-    /// Most retries for one originating request.
+    /// Largest number of retries for one originating request.
     pub retries_max: u32,
-    /// Requests of priority 0 refused while a less important one was served.
+    /// Requests of priority 0 that were refused while a less important one was dispatched at the same
+    /// service.
     pub priority_inversions: u64,
-    /// Requests reported as not run that ran.
+    /// Requests that were reported as not run although they ran.
     pub not_run_but_ran: u64,
-    /// Effects beyond the first of requests that must take effect at most once.
+    /// Effects after the first, of requests that must take effect at most once.
     pub duplicate_effects: u64,
-    /// Answers that reached another request than their own.
+    /// Responses that were delivered to a request other than their own.
     pub mixed_answers: u64,
-    /// Least goodput of a run against the oracle.
+    /// Lowest goodput of a run, relative to the oracle.
     pub goodput_ratio_min: f64,
-    /// Mean goodput of the runs against the oracle.
+    /// Mean goodput of the runs, relative to the oracle.
     pub goodput_ratio_mean: f64,
-    /// Longest recovery of a run; `None` when some run did not recover.
+    /// Longest recovery time of a run, in seconds; `None` if a run did not recover.
     pub recovery_seconds_max: Option<f64>,
 }
 
-/// Seeds that are named in a report.
-const NAMED_SEEDS: usize = 8;
+/// Largest number of seeds listed in a summary.
+const MAX_LISTED_SEEDS: usize = 8;
 
-/// Runs a policy with `count` seeds from the settings' own on.
+/// Runs a policy with `count` consecutive seeds, starting with that of the settings.
 #[must_use]
 pub fn sweep(layout: &Layout, settings: &RunSettings, policy: Policy, count: u64) -> SweepReport {
     let next = AtomicU64::new(0);
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let mut measures: Vec<(u64, PolicyMeasure)> = Vec::new();
+    let mut measures: Vec<(u64, PolicyMeasurements)> = Vec::new();
     std::thread::scope(|scope| {
         let workers: Vec<_> = (0..threads)
-            .map(|_| scope.spawn(|| work(layout, settings, policy, count, &next)))
+            .map(|_| scope.spawn(|| run_seeds(layout, settings, policy, count, &next)))
             .collect();
         for worker in workers {
             measures.extend(worker.join().unwrap_or_default());
@@ -61,14 +62,14 @@
     summarize(policy, &measures)
 }
 
-/// Takes seeds until there are none left.
-fn work(
+/// Runs the policy with one seed after the other until all threads together have run `count` seeds.
+fn run_seeds(
     layout: &Layout,
     settings: &RunSettings,
     policy: Policy,
     count: u64,
     next: &AtomicU64,
-) -> Vec<(u64, PolicyMeasure)> {
+) -> Vec<(u64, PolicyMeasurements)> {
     let mut measures = Vec::new();
     loop {
         let index = next.fetch_add(1, Ordering::Relaxed);
@@ -85,7 +86,7 @@
     }
 }
 
-fn summarize(policy: Policy, measures: &[(u64, PolicyMeasure)]) -> SweepReport {
+fn summarize(policy: Policy, measures: &[(u64, PolicyMeasurements)]) -> SweepReport {
     let mut report = SweepReport {
         policy: policy.name().to_owned(),
         runs: measures.len() as u64,
@@ -98,7 +99,7 @@
             report.runs_with_broken_promises += 1;
             report.seeds.push(*seed);
         }
-        report.seeds.truncate(NAMED_SEEDS);
+        report.seeds.truncate(MAX_LISTED_SEEDS);
         report.goodput_ratio_min = report.goodput_ratio_min.min(measure.goodput_ratio);
         report.goodput_ratio_mean += measure.goodput_ratio / measures.len() as f64;
         report.recovery_seconds_max = report
@@ -111,7 +112,7 @@
     report
 }
 
-fn add_counts(report: &mut SweepReport, measure: &PolicyMeasure) {
+fn add_counts(report: &mut SweepReport, measure: &PolicyMeasurements) {
     for kind in &measure.kinds {
         report.retries_max = report.retries_max.max(kind.retries_max);
         report.priority_inversions += kind.priority_inversions;
--- a/crates/emulator/src/simulator/call_path/arrivals.rs
+++ b/crates/emulator/src/simulator/call_path/arrivals.rs
@@ -1,5 +1,5 @@
-//! Arrivals of originating requests. They depend on the seed but not on the policy, so that policies
-//! are compared under the same load.
+//! Arrivals of originating requests. They depend on the seed but not on the policy: all policies are
+//! compared under the same load.
 
 use std::time::Duration;
 
--- a/crates/emulator/src/simulator/call_path/call.rs
+++ b/crates/emulator/src/simulator/call_path/call.rs
@@ -68,7 +68,7 @@
     /// The execution that makes the call; `None` at the edge.
     pub(super) parent: Option<ExecutionId>,
     /// Endpoints whose attempts failed; a retry prefers others.
-    pub(super) tried: Vec<EndpointId>,
+    pub(super) failed_endpoints: Vec<EndpointId>,
     pub(super) retries: u32,
     /// Result code of the last attempt that may have run.
     pub(super) uncertain: Option<ResultCode>,
--- a/crates/emulator/src/simulator/call_path/engine/caller.rs
+++ b/crates/emulator/src/simulator/call_path/engine/caller.rs
@@ -21,7 +21,7 @@
 
 impl Engine<'_> {
     /// Handles the arrival of a caller's attempt at the edge of its zone.
-    pub(super) fn attempt_arrives(&mut self, session: usize) {
+    pub(super) fn caller_attempt_arrives(&mut self, session: usize) {
         let arrival = self.arrivals[session];
         let kind = &self.layout.kinds[arrival.kind];
         let record = &mut self.record.sessions[session];
@@ -57,7 +57,7 @@
     }
 
     /// Returns the admission key of a request's calls to a service.
-    pub(super) fn key_at(&self, request: &Request, service: usize) -> AdmissionKey {
+    pub(super) fn admission_key(&self, request: &Request, service: usize) -> AdmissionKey {
         let priority = request.key.priority();
         match self.settings.mechanisms.rank {
             RankMode::Origin => request.key,
--- a/crates/emulator/src/simulator/call_path/engine/execution.rs
+++ b/crates/emulator/src/simulator/call_path/engine/execution.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the execution time without downstream calls. The random part depends only on the seed, the
-    /// session and the calling and called service, so that it is the same for every policy.
+    /// session and the calling and called service: it is the same for every policy.
     fn work_of(&self, id: ExecutionId) -> Option<Duration> {
         let execution = self.executions.get(id)?;
         let request = self.requests.get(execution.request)?;
@@ -98,11 +98,11 @@
         if let Some(request) = self.requests.get_mut(execution.request) {
             request.work += work;
         }
-        self.next_calls(id);
+        self.start_downstream_calls(id);
     }
 
     /// Starts the next downstream call, or all of them if they are concurrent; responds if none is left.
-    fn next_calls(&mut self, id: ExecutionId) {
+    fn start_downstream_calls(&mut self, id: ExecutionId) {
         let Some(execution) = self.executions.get(id) else {
             return;
         };
@@ -167,7 +167,7 @@
         if failed {
             self.finish_execution(id, Some(call_result));
         } else if !open {
-            self.next_calls(id);
+            self.start_downstream_calls(id);
         }
     }
 
--- a/crates/emulator/src/simulator/call_path/engine/inbound.rs
+++ b/crates/emulator/src/simulator/call_path/engine/inbound.rs
@@ -67,7 +67,7 @@
         };
         let levels = &self.nodes[execution.node].levels;
         let refusal = step.calls.iter().find_map(|&callee| {
-            let key = self.key_at(request, callee);
+            let key = self.admission_key(request, callee);
             let service = &self.layout.services[callee].name;
             levels.admits(self.now, service, &kind.name, key).err()
         });
@@ -88,7 +88,7 @@
         };
         Some(OfferedCall {
             ticket: CallTicket(id.as_u64()),
-            key: self.key_at(request, execution.service),
+            key: self.admission_key(request, execution.service),
             deadline,
             standing: Standing::New,
             admitted_below: AdmissionLevel::OPEN,
--- a/crates/emulator/src/simulator/call_path/engine/mod.rs
+++ b/crates/emulator/src/simulator/call_path/engine/mod.rs
@@ -30,7 +30,7 @@
 
 /// Retry budget per destination: retries as a fraction of successful calls.
 const BUDGET_RATIO: f64 = 0.1;
-/// Time for which the run continues after the last arrival, so that calls in flight complete.
+/// Time for which the run continues after the last arrival to let calls in flight complete.
 const COMPLETION_TIME: Duration = Duration::from_secs(10);
 
 /// Runs a scenario under one policy and returns its record.
@@ -182,7 +182,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::CallerAttempt { session } => self.attempt_arrives(session),
+            Event::CallerAttempt { session } => self.caller_attempt_arrives(session),
             Event::Deadline { request } => self.deadline_expires(request),
             Event::ArriveAtDaemon { execution } => self.arrive_at_daemon(execution),
             Event::Connected { execution } => self.connected(execution),
--- a/crates/emulator/src/simulator/call_path/engine/outgoing.rs
+++ b/crates/emulator/src/simulator/call_path/engine/outgoing.rs
@@ -61,7 +61,7 @@
             node,
             service,
             parent,
-            tried: Vec::new(),
+            failed_endpoints: Vec::new(),
             retries: 0,
             uncertain: None,
             attempt: None,
@@ -86,7 +86,7 @@
         }
         let outgoing = self.outgoing.get(id)?;
         let request = self.requests.get(outgoing.request)?;
-        let key = self.key_at(request, outgoing.service);
+        let key = self.admission_key(request, outgoing.service);
         let service = &self.layout.services[outgoing.service].name;
         let kind = &self.layout.kinds[request.kind].name;
         let levels = &self.nodes[outgoing.node].levels;
@@ -106,12 +106,12 @@
         let Some(request) = self.requests.get(outgoing.request) else {
             return;
         };
-        let key = self.key_at(request, outgoing.service);
+        let key = self.admission_key(request, outgoing.service);
         let router = &self.nodes[outgoing.node].routers[outgoing.service];
         let excluded = if self.settings.policy.is_naive() {
             &[]
         } else {
-            outgoing.tried.as_slice()
+            outgoing.failed_endpoints.as_slice()
         };
         let pick_request = PickRequest { key, excluded };
         let mut pick = router.pick(self.now, &mut self.routing_rng, &pick_request);
@@ -127,7 +127,7 @@
             } => {
                 self.record_refusal(id, reason, self.now);
                 self.count_early_refusal_of(id);
-                self.fail(id, reason, Some(retry_after));
+                self.fail_call(id, reason, Some(retry_after));
             }
         }
     }
@@ -327,7 +327,12 @@
 
     /// Completes a call without a response. A code for "not run" is replaced if an earlier attempt may have
     /// run.
-    pub(super) fn fail(&mut self, id: OutgoingId, code: ResultCode, retry_after: Option<Duration>) {
+    pub(super) fn fail_call(
+        &mut self,
+        id: OutgoingId,
+        code: ResultCode,
+        retry_after: Option<Duration>,
+    ) {
         let uncertain = self
             .outgoing
             .get(id)
--- a/crates/emulator/src/simulator/call_path/engine/retries.rs
+++ b/crates/emulator/src/simulator/call_path/engine/retries.rs
@@ -34,13 +34,13 @@
         let Some(outgoing) = self.outgoing.get_mut(id) else {
             return;
         };
-        outgoing.tried.push(attempt.endpoint);
+        outgoing.failed_endpoints.push(attempt.endpoint);
         if code.outcome() == OutcomeClass::Unknown {
             outgoing.uncertain = Some(code);
         }
-        match self.decide(id, code) {
+        match self.decide_retry(id, code) {
             Some(RetryDecision::Retry { after }) => self.schedule_retry(id, after),
-            Some(RetryDecision::GiveUp(_)) | None => self.fail(id, code, retry_after),
+            Some(RetryDecision::GiveUp(_)) | None => self.fail_call(id, code, retry_after),
         }
     }
 
@@ -61,14 +61,14 @@
     }
 
     /// Returns the decision of `wharfquay_core` on a retry, and charges the retry to ledger and budget.
-    fn decide(&mut self, id: OutgoingId, code: ResultCode) -> Option<RetryDecision> {
+    fn decide_retry(&mut self, id: OutgoingId, code: ResultCode) -> Option<RetryDecision> {
         let outgoing = self.outgoing.get(id)?;
         let (node, service, retries) = (outgoing.node, outgoing.service, outgoing.retries);
         let request = self.requests.get(outgoing.request)?;
-        let key = self.key_at(request, service);
+        let key = self.admission_key(request, service);
         let picks = PickRequest {
             key,
-            excluded: &outgoing.tried,
+            excluded: &outgoing.failed_endpoints,
         };
         let sibling_available = self.nodes[node].routers[service].can_pick(self.now, &picks);
         let repeatability = self.layout.kinds[request.kind].repeatability;
@@ -103,7 +103,7 @@
         } else if code == ResultCode::Answered {
             self.complete_call(id, CallResult::DownstreamFailed { retry_after: None });
         } else {
-            self.fail(id, code, None);
+            self.fail_call(id, code, None);
         }
     }
 
--- a/crates/emulator/src/simulator/call_path/policy.rs
+++ b/crates/emulator/src/simulator/call_path/policy.rs
@@ -52,7 +52,7 @@
     pub admission: AdmissionSettings,
     /// Source of the ranks.
     pub rank: RankMode,
-    /// True if daemons propagate admission levels up the call path, so that edges and calling daemons
+    /// True if daemons propagate admission levels up the call path, which lets edges and calling daemons
     /// refuse early.
     pub folding: bool,
     /// Factor on the number of slots that the daemon assumes for its backend; 1 is the true number.
--- a/crates/emulator/src/simulator/control/daemon.rs
+++ b/crates/emulator/src/simulator/control/daemon.rs
@@ -1,4 +1,4 @@
-//! One simulated daemon: its control plane and what outlives its process.
+//! One simulated daemon: its control plane and the state that is kept across restarts.
 
 use std::collections::VecDeque;
 
@@ -9,15 +9,15 @@
 use wharfquay_membership::directory::Enrolment;
 use wharfquay_membership::node::Node;
 
-/// Messages that wait for a frozen process, as in a socket's buffer.
-const WAITING_MESSAGES: usize = 256;
+/// Number of messages that are buffered for a frozen process, as in a socket's receive buffer.
+const MAX_BUFFERED_MESSAGES: usize = 256;
 
 /// Control traffic of one daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes sent, with the headers of the network layers.
+    /// Bytes sent, including the headers of the network layers.
     pub bytes_sent: u64,
-    /// Bytes received, with the headers of the network layers.
+    /// Bytes received, including the headers of the network layers.
     pub bytes_received: u64,
     /// Messages sent.
     pub messages_sent: u64,
@@ -33,34 +33,36 @@
     }
 }
 
-/// A daemon of the simulation.
+/// A simulated daemon.
 pub(super) struct SimulatedDaemon {
-    /// The control plane while the process runs.
+    /// The control plane; present while the process runs.
     pub(super) node: Option<Node>,
-    /// Number of the process.
+    /// Number of starts so far. It identifies the process: events that refer to an earlier start are discarded.
     pub(super) process: u32,
-    /// Start of the process.
+    /// Start of the current process.
     pub(super) started_at: Timestamp,
-    /// When a process that does not run yet starts.
+    /// Time of the next start, if one is scheduled.
     pub(super) starts_at: Option<Timestamp>,
-    /// The timer that is set.
+    /// Time for which the timer is set.
     pub(super) wakes_at: Option<Timestamp>,
-    /// Until when the process does nothing.
+    /// End of the pause of a frozen process, which does not run until then.
     pub(super) frozen_until: Option<Timestamp>,
-    /// Revision in force in this process.
+    /// Revision in force in the current process; zero if there is none.
     pub(super) in_force: u64,
-    /// Highest revision ever in force here, over all processes.
+    /// Highest revision that was ever in force at this daemon, over all starts.
     pub(super) highest_in_force: u64,
-    /// Revision up to which this reader's watch has told it of changes.
+    /// Revision up to which this reader has received changes from the store.
     pub(super) watched_revision: u64,
-    /// The relay has asked this reader for a whole configuration.
-    pub(super) whole_wanted: bool,
-    /// The process's part in the platform's directory.
-    pub(super) enrolment: Option<Enrolment>,
-    /// Randomness of the process.
+    /// True if the relay has requested a whole configuration from this reader.
+    pub(super) snapshot_requested: bool,
+    /// State of the process's registration in the platform's directory.
+    pub(super) registration: Option<Enrolment>,
+    /// Random source of the daemon.
     pub(super) random: Pcg64Mcg,
-    waiting: VecDeque<(usize, Vec<u8>)>,
-    earlier_processes: Traffic,
+    /// Sender and content of the messages that arrived while the process was frozen.
+    buffered_messages: VecDeque<(usize, Vec<u8>)>,
+    /// Traffic of the earlier processes.
+    earlier_traffic: Traffic,
 }
 
 impl SimulatedDaemon {
@@ -77,43 +79,43 @@
             in_force: 0,
             highest_in_force: 0,
             watched_revision: 0,
-            whole_wanted: false,
-            enrolment: None,
+            snapshot_requested: false,
+            registration: None,
             random: Pcg64Mcg::seed_from_u64(seed ^ number.wrapping_mul(STEP)),
-            waiting: VecDeque::new(),
-            earlier_processes: Traffic::default(),
+            buffered_messages: VecDeque::new(),
+            earlier_traffic: Traffic::default(),
         }
     }
 
-    /// Ends the process; nothing of its memory is left.
-    pub(super) fn end(&mut self) {
-        self.earlier_processes = self.traffic();
+    /// Terminates the process and discards its state.
+    pub(super) fn terminate(&mut self) {
+        self.earlier_traffic = self.traffic();
         self.node = None;
         self.wakes_at = None;
         self.frozen_until = None;
         self.in_force = 0;
         self.watched_revision = 0;
-        self.whole_wanted = false;
-        self.enrolment = None;
-        self.waiting.clear();
+        self.snapshot_requested = false;
+        self.registration = None;
+        self.buffered_messages.clear();
     }
 
     pub(super) fn traffic(&self) -> Traffic {
         match &self.node {
-            Some(node) => self.earlier_processes.plus(node.counters()),
-            None => self.earlier_processes,
+            Some(node) => self.earlier_traffic.plus(node.counters()),
+            None => self.earlier_traffic,
         }
     }
 
-    /// Keeps a message that arrives while the process is frozen; the oldest are kept, as in a full
-    /// socket buffer.
-    pub(super) fn keep_for_later(&mut self, from: usize, bytes: Vec<u8>) {
-        if self.waiting.len() < WAITING_MESSAGES {
-            self.waiting.push_back((from, bytes));
+    /// Buffers a message for a frozen process. Once the buffer is full, further messages are dropped, as
+    /// by a socket.
+    pub(super) fn buffer_message(&mut self, from: usize, bytes: Vec<u8>) {
+        if self.buffered_messages.len() < MAX_BUFFERED_MESSAGES {
+            self.buffered_messages.push_back((from, bytes));
         }
     }
 
-    pub(super) fn take_waiting(&mut self) -> VecDeque<(usize, Vec<u8>)> {
-        std::mem::take(&mut self.waiting)
+    pub(super) fn take_buffered_messages(&mut self) -> VecDeque<(usize, Vec<u8>)> {
+        std::mem::take(&mut self.buffered_messages)
     }
 }
--- a/crates/emulator/src/simulator/control/directory.rs
+++ b/crates/emulator/src/simulator/control/directory.rs
@@ -1,5 +1,5 @@
-//! The platform's directory in the simulation: entries that show late in cheap listings, refusals, restoring, and the
-//! calls with their price.
+//! The simulated directory of the platform, in which daemons register to be found by others: stale
+//! listings, refused calls, restored backups, and the cost of the calls.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,34 +14,36 @@
 use super::topology::control_address;
 use super::{ControlSimulation, Event};
 
-/// Time until the answer to a call is there.
-const ANSWER_TIME: Duration = Duration::from_millis(8);
-/// Entries that one page of a listing shows.
-const PAGE: usize = 500;
-/// Price of a page that may be stale, relative to that of any other call.
-const STALE_PRICE: f64 = 0.1;
-/// Seeds that a daemon takes from a listing.
+/// Time from a call to its reply.
+const REPLY_TIME: Duration = Duration::from_millis(8);
+/// Number of entries on one page of a listing.
+const PAGE_ENTRIES: usize = 500;
+/// Cost of one page of a listing that may be stale; any other call costs 1.
+const STALE_LISTING_COST: f64 = 0.1;
+/// Largest number of seeds that a daemon takes from a listing.
 const MAX_SEEDS: usize = 64;
 
-/// The directory.
+/// The simulated directory.
 #[derive(Clone, Debug)]
 pub struct Directory {
     settings: DirectorySettings,
-    /// How old a listing is that may be stale.
+    /// Age of a listing that may be stale: it lacks the entries written more recently.
     pub staleness: Duration,
-    /// So many daemons of each hundred are refused.
+    /// Percentage of the daemons whose calls are refused until `refused_until`.
     pub refused_percent: usize,
-    /// Until when they are.
+    /// End of the refusals.
     pub refused_until: Timestamp,
-    /// Whether processes that start belong to the first start of the deployment.
+    /// True while processes that start belong to the first start of the deployment.
     pub is_first_start: bool,
+    /// Time of the last write, by daemon.
     entries: BTreeMap<usize, Timestamp>,
-    calls: f64,
+    /// Cost of all calls so far.
+    call_cost: f64,
     writes: u64,
 }
 
 impl Directory {
-    /// An empty directory.
+    /// Creates an empty directory.
     #[must_use]
     pub const fn new(settings: DirectorySettings, staleness: Duration) -> Self {
         Self {
@@ -51,57 +53,57 @@
             refused_until: Timestamp::ZERO,
             is_first_start: true,
             entries: BTreeMap::new(),
-            calls: 0.0,
+            call_cost: 0.0,
             writes: 0,
         }
     }
 
-    /// Calls so far; one that may be stale counts as the fraction that it costs.
+    /// Returns the cost of all calls so far: 1 for a call, a fraction of it for a page that may be stale.
     #[must_use]
-    pub const fn calls(&self) -> f64 {
-        self.calls
+    pub const fn call_cost(&self) -> f64 {
+        self.call_cost
     }
 
-    /// Entries written so far.
+    /// Returns the number of writes so far.
     #[must_use]
     pub const fn writes(&self) -> u64 {
         self.writes
     }
 
-    /// Entries that stand now.
+    /// Returns the current number of entries.
     #[must_use]
     pub fn entries(&self) -> usize {
         self.entries.len()
     }
 
-    /// Forgets what was written after `at`: the store was restored from a copy of that time.
+    /// Drops all entries written after `at`, as if the store had been restored from a backup of that time.
     pub fn restore(&mut self, at: Timestamp) {
         self.entries.retain(|_, written_at| *written_at <= at);
     }
 
     fn refuses(&self, now: Timestamp, daemon: usize) -> bool {
-        /// Spreads the refused ones over zones and services.
+        /// Distributes the refused daemons over zones and services.
         const STEP: usize = 37;
         now < self.refused_until && daemon * STEP % 100 < self.refused_percent
     }
 
     fn list(&mut self, now: Timestamp, age: ListingAge) -> Vec<usize> {
-        let (oldest, price) = match age {
-            ListingAge::MayBeStale => (self.staleness, STALE_PRICE),
+        let (min_age, cost) = match age {
+            ListingAge::MayBeStale => (self.staleness, STALE_LISTING_COST),
             ListingAge::Latest => (Duration::ZERO, 1.0),
         };
         let entries = self.entries.iter();
-        let shown = entries.filter(|(_, written_at)| **written_at + oldest <= now);
+        let shown = entries.filter(|(_, written_at)| **written_at + min_age <= now);
         let shown: Vec<usize> = shown.map(|(daemon, _)| *daemon).collect();
         #[expect(clippy::cast_precision_loss, reason = "a few pages")]
-        let pages = shown.len().div_ceil(PAGE).max(1) as f64;
-        self.calls += pages * price;
+        let pages = shown.len().div_ceil(PAGE_ENTRIES).max(1) as f64;
+        self.call_cost += pages * cost;
         shown
     }
 
-    /// Makes the entry of a daemon; whether the store took it.
-    fn enter(&mut self, now: Timestamp, daemon: usize) -> bool {
-        self.calls += 1.0;
+    /// Writes the entry of a daemon; returns false if the store refused it.
+    fn write_entry(&mut self, now: Timestamp, daemon: usize) -> bool {
+        self.call_cost += 1.0;
         if self.refuses(now, daemon) {
             return false;
         }
@@ -112,27 +114,28 @@
 }
 
 impl ControlSimulation {
-    /// Begins a daemon's part in the directory, if there is one.
-    pub(super) fn enrol(&mut self, index: usize) {
+    /// Starts the registration of a daemon in the directory, if the deployment has one.
+    pub(super) fn register(&mut self, index: usize) {
         let Some(directory) = &self.directory else {
             return;
         };
         let daemon = &mut self.daemons[index];
         let id = self.topology.profile(index).id;
-        let enrolment = Enrolment::new(
+        let registration = Enrolment::new(
             directory.settings.clone(),
             id,
             directory.is_first_start,
             self.now,
             &mut daemon.random,
         );
-        daemon.enrolment = Some(enrolment);
+        daemon.registration = Some(registration);
         let process = daemon.process;
         let daemon = index;
         self.schedule(self.now, Event::Directory { daemon, process });
     }
 
-    /// The store is restored from a copy as it was at `at`; each daemon that runs hears of it within `delay`.
+    /// Restores the directory to its state at `at`; each running daemon is notified at a random time within
+    /// `delay`.
     pub fn restore_directory(&mut self, at: Timestamp, delay: Duration) {
         let Some(directory) = &mut self.directory else {
             return;
@@ -141,52 +144,52 @@
         let now = self.now;
         for index in 0..self.daemons.len() {
             let daemon = &mut self.daemons[index];
-            let heard_at = now + super::random_delay(delay, &mut daemon.random);
-            if let Some(enrolment) = daemon.enrolment.as_mut() {
-                enrolment.store_restored(heard_at, &mut daemon.random);
+            let notified_at = now + super::random_delay(delay, &mut daemon.random);
+            if let Some(registration) = daemon.registration.as_mut() {
+                registration.store_restored(notified_at, &mut daemon.random);
                 let process = daemon.process;
                 let daemon = index;
-                self.schedule(heard_at, Event::Directory { daemon, process });
+                self.schedule(notified_at, Event::Directory { daemon, process });
             }
         }
     }
 
-    /// Lets a daemon do what is due at the directory.
-    pub(super) fn use_directory(&mut self, index: usize, process: u32) {
+    /// Executes the step at the directory that is due for a daemon, and schedules the next one.
+    pub(super) fn run_directory_step(&mut self, index: usize, process: u32) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
         let (Some(node), Some(directory)) = (&daemon.node, &mut self.directory) else {
             return;
         };
-        let Some(enrolment) = daemon.enrolment.as_mut() else {
+        let Some(registration) = daemon.registration.as_mut() else {
             return;
         };
         if daemon.process != process {
             return;
         }
         let random = &mut daemon.random;
-        let next_at = match enrolment.next(now, node.table()) {
+        let next_at = match registration.next(now, node.table()) {
             DirectoryStep::WaitUntil(at) => at,
             DirectoryStep::Enter => {
-                let is_written = directory.enter(now, index);
-                enrolment.entered(now, is_written, random);
-                now + ANSWER_TIME
+                let is_written = directory.write_entry(now, index);
+                registration.entered(now, is_written, random);
+                now + REPLY_TIME
             }
             DirectoryStep::Look(age) => {
                 let shown = directory.list(now, age);
                 if directory.refuses(now, index) {
-                    enrolment.look_failed(now, random);
+                    registration.look_failed(now, random);
                 } else {
-                    self.take_listing(index, shown);
+                    self.apply_listing(index, shown);
                 }
-                now + ANSWER_TIME
+                now + REPLY_TIME
             }
         };
         let daemon = index;
         self.schedule(next_at, Event::Directory { daemon, process });
     }
 
-    fn take_listing(&mut self, index: usize, mut shown: Vec<usize>) {
+    fn apply_listing(&mut self, index: usize, mut shown: Vec<usize>) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
         let own = match shown.contains(&index) {
@@ -194,8 +197,8 @@
             false => OwnEntry::Missing,
         };
         shown.retain(|other| *other != index);
-        if let Some(enrolment) = daemon.enrolment.as_mut() {
-            enrolment.listed(now, own, shown.len(), &mut daemon.random);
+        if let Some(registration) = daemon.registration.as_mut() {
+            registration.listed(now, own, shown.len(), &mut daemon.random);
         }
         shown.shuffle(&mut daemon.random);
         let seeds = shown.iter().take(MAX_SEEDS).map(|other| Seed {
--- a/crates/emulator/src/simulator/control/faults.rs
+++ b/crates/emulator/src/simulator/control/faults.rs
@@ -1,5 +1,5 @@
-//! Starts, ends and pauses of simulated daemons, readers' work at the store, and what is noted of
-//! deaths and departures.
+//! Starts, terminations and pauses of simulated daemons, the readers' requests to the store, and the
+//! recording of deaths and departures.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use super::observations::{Departure, record};
 use super::topology::daemon_at;
-use super::{ControlSimulation, Event, STORE_RETRY};
+use super::{ControlSimulation, Event, STORE_RETRY_INTERVAL};
 
 impl ControlSimulation {
-    /// Starts a daemon's process with an empty memory.
+    /// Starts a new process of a daemon, without any state.
     pub fn start(&mut self, index: usize) {
         let identity = Identity {
             profile: self.topology.profile(index),
@@ -23,7 +23,7 @@
         let now = self.now;
         let settings = self.settings.clone();
         let daemon = &mut self.daemons[index];
-        daemon.end();
+        daemon.terminate();
         daemon.process += 1;
         daemon.started_at = now;
         daemon.node = Some(Node::new(
@@ -34,16 +34,16 @@
             &mut daemon.random,
         ));
         self.set_timer(index);
-        self.enrol(index);
+        self.register(index);
     }
 
-    /// Ends a daemon's process without notice.
+    /// Terminates a daemon's process without notice.
     pub fn kill(&mut self, index: usize) {
         self.store.unwatch(index);
-        self.daemons[index].end();
+        self.daemons[index].terminate();
     }
 
-    /// Ends a daemon's process without notice and starts it again after `pause`.
+    /// Terminates a daemon's process without notice and starts a new one after `pause`.
     pub fn restart(&mut self, index: usize, pause: Duration) {
         self.kill(index);
         let at = self.now + pause;
@@ -51,7 +51,7 @@
         self.schedule(at, Event::Wake(index));
     }
 
-    /// Lets a daemon's process do nothing for some time, unaware of it.
+    /// Freezes a daemon's process for `duration`, as `SIGSTOP` does: it handles no messages and no timers.
     pub fn freeze(&mut self, index: usize, duration: Duration) {
         let until = self.now + duration;
         self.daemons[index].frozen_until = Some(until);
@@ -59,30 +59,30 @@
         self.schedule(until, Event::Wake(index));
     }
 
-    /// Whether a daemon's process runs and is not frozen.
+    /// Returns true if a daemon's process runs and is not frozen.
     #[must_use]
     pub fn is_awake(&self, index: usize) -> bool {
         let daemon = &self.daemons[index];
         daemon.node.is_some() && daemon.frozen_until.is_none()
     }
 
-    /// Hands the messages to a process that waited in its socket while it was frozen.
-    fn thaw(&mut self, index: usize) {
+    /// Resumes a frozen process, which first receives the messages buffered by its socket.
+    fn resume(&mut self, index: usize) {
         self.daemons[index].frozen_until = None;
-        for (from, bytes) in self.daemons[index].take_waiting() {
+        for (from, bytes) in self.daemons[index].take_buffered_messages() {
             self.deliver(index, from, bytes);
         }
     }
 
-    /// Thaws a daemon whose freeze is over.
-    pub(super) fn thaw_if_due(&mut self, index: usize) {
+    /// Resumes a frozen daemon if its pause is over.
+    pub(super) fn resume_if_due(&mut self, index: usize) {
         let due = self.daemons[index].frozen_until;
         if due.is_some_and(|until| until <= self.now) {
-            self.thaw(index);
+            self.resume(index);
         }
     }
 
-    /// Tells a daemon to leave, and follows who knows.
+    /// Makes a daemon announce its departure, and starts to record which daemons know of it.
     pub fn leave(&mut self, index: usize) {
         let profile = self.topology.profile(index);
         self.observations.departures.push(Departure {
@@ -100,7 +100,7 @@
         self.apply(index, effects);
     }
 
-    pub(super) fn note_departures(&mut self, index: usize) {
+    pub(super) fn record_known_departures(&mut self, index: usize) {
         let Some(node) = self.daemons[index].node.as_ref() else {
             return;
         };
@@ -115,12 +115,12 @@
             if matches!(state, Some(MemberState::Leaving | MemberState::Dead)) {
                 departure.known_by.insert(index);
                 let time = self.now.saturating_since(departure.at);
-                record(&mut self.observations.leaving_known, time);
+                record(&mut self.observations.time_to_departure_known, time);
             }
         }
     }
 
-    pub(super) fn note_death(&mut self, by: usize, id: &MemberId) {
+    pub(super) fn record_death(&mut self, by: usize, id: &MemberId) {
         let Some(node) = self.daemons[by].node.as_ref() else {
             return;
         };
@@ -142,36 +142,36 @@
         }
     }
 
-    /// Takes the store down or brings it back. Watches end when it goes.
+    /// Takes the store down or brings it back up. All watches are closed.
     pub fn set_store_down(&mut self, down: bool) {
         self.store.down = down;
-        self.end_watches();
+        self.close_watches();
     }
 
-    /// Lets the store answer from a state that many revisions ago. Watches end.
-    pub fn set_store_behind(&mut self, revisions: u64) {
-        self.store.behind = revisions;
-        self.end_watches();
+    /// Makes the store reply from a state that is `revisions` old. All watches are closed.
+    pub fn set_store_revisions_behind(&mut self, revisions: u64) {
+        self.store.revisions_behind = revisions;
+        self.close_watches();
     }
 
-    /// Cuts a zone from the store or heals the cut. Watches end.
+    /// Cuts a zone off from the store or heals the cut. All watches are closed.
     pub fn set_store_reachable(&mut self, zone: usize, reachable: bool) {
         self.store.set_reachable(zone, reachable);
-        self.end_watches();
+        self.close_watches();
     }
 
-    /// Every reader that watches finds its connection closed and asks again.
-    fn end_watches(&mut self) {
+    /// Closes all watches; each reader requests the whole configuration again.
+    fn close_watches(&mut self) {
         for reader in self.store.watchers() {
             self.store.unwatch(reader);
-            self.list_store(reader);
+            self.request_list(reader);
         }
     }
 
-    /// A reader asks the store for the whole configuration.
-    pub(super) fn list_store(&mut self, reader: usize) {
+    /// Sends a reader's request for the whole configuration to the store.
+    pub(super) fn request_list(&mut self, reader: usize) {
         let process = self.daemons[reader].process;
-        let at = self.now + self.store.answer_time() * 2;
+        let at = self.now + self.store.reply_time() * 2;
         self.schedule(at, Event::StoreList { reader, process });
     }
 
@@ -180,59 +180,62 @@
         if let Some(node) = self.daemons[reader].node.as_mut() {
             node.store_contact(false);
         }
-        let at = self.now + STORE_RETRY;
+        let at = self.now + STORE_RETRY_INTERVAL;
         self.schedule(at, Event::StoreList { reader, process });
     }
 
-    pub(super) fn store_list(&mut self, reader: usize, process: u32) {
-        if !self.still_reads(reader, process) {
+    pub(super) fn handle_list_reply(&mut self, reader: usize, process: u32) {
+        if !self.is_current_reader(reader, process) {
             return;
         }
-        if self.postponed(reader, &Event::StoreList { reader, process }) {
+        if self.postpone_if_frozen(reader, &Event::StoreList { reader, process }) {
             return;
         }
-        if !self.store.answers(self.topology.zone_of(reader)) {
+        if !self.store.replies_to(self.topology.zone_of(reader)) {
             self.retry_store(reader, process);
             return;
         }
-        self.store.count_list();
+        self.store.count_list_request();
         self.store.watch(reader);
         let snapshot = self.store.snapshot();
         let daemon = &mut self.daemons[reader];
         daemon.watched_revision = snapshot.revision;
-        let whole = std::mem::take(&mut daemon.whole_wanted) || daemon.in_force == 0;
-        let report = if whole || snapshot.revision <= daemon.in_force {
+        let sends_snapshot = std::mem::take(&mut daemon.snapshot_requested) || daemon.in_force == 0;
+        let report = if sends_snapshot || snapshot.revision <= daemon.in_force {
             StoreReport::Snapshot(snapshot)
         } else {
-            // As the daemon's reader does: what differs from the configuration in force.
+            // As in the daemon, the reader relays only the difference from the configuration in force.
             let held = daemon.in_force;
             StoreReport::Delta(self.store.delta(held, snapshot.revision))
         };
-        self.report_store(reader, &report);
+        self.relay_store_report(reader, &report);
     }
 
-    pub(super) fn store_watch(&mut self, reader: usize, process: u32) {
-        if !self.still_reads(reader, process) {
+    pub(super) fn handle_watch_event(&mut self, reader: usize, process: u32) {
+        if !self.is_current_reader(reader, process) {
             return;
         }
-        if self.postponed(reader, &Event::StoreWatch { reader, process }) {
+        if self.postpone_if_frozen(reader, &Event::StoreWatch { reader, process }) {
             return;
         }
-        if !self.store.answers(self.topology.zone_of(reader)) {
+        if !self.store.replies_to(self.topology.zone_of(reader)) {
             self.retry_store(reader, process);
             return;
         }
         let previous = self.daemons[reader].watched_revision;
-        let revision = self.store.revision().saturating_sub(self.store.behind);
+        let revision = self
+            .store
+            .revision()
+            .saturating_sub(self.store.revisions_behind);
         if revision <= previous {
             return;
         }
         self.daemons[reader].watched_revision = revision;
         let delta = self.store.delta(previous, revision);
-        self.report_store(reader, &StoreReport::Delta(delta));
+        self.relay_store_report(reader, &StoreReport::Delta(delta));
     }
 
-    fn report_store(&mut self, reader: usize, report: &StoreReport) {
+    fn relay_store_report(&mut self, reader: usize, report: &StoreReport) {
         let now = self.now;
         let daemon = &mut self.daemons[reader];
         let Some(node) = daemon.node.as_mut() else {
@@ -242,8 +245,8 @@
         self.apply(reader, effects);
     }
 
-    /// A frozen reader takes the answer when it runs again.
-    fn postponed(&mut self, reader: usize, event: &Event) -> bool {
+    /// Reschedules an event of a frozen reader to the end of its pause; returns true if it did.
+    fn postpone_if_frozen(&mut self, reader: usize, event: &Event) -> bool {
         let until: Option<Timestamp> = self.daemons[reader].frozen_until;
         let Some(until) = until.filter(|&until| until > self.now) else {
             return false;
@@ -252,7 +255,7 @@
         true
     }
 
-    fn still_reads(&self, reader: usize, process: u32) -> bool {
+    fn is_current_reader(&self, reader: usize, process: u32) -> bool {
         let daemon = &self.daemons[reader];
         daemon.process == process && daemon.node.as_ref().is_some_and(Node::is_reader)
     }
--- a/crates/emulator/src/simulator/control/measure.rs
+++ b/crates/emulator/src/simulator/control/measure.rs
@@ -1,4 +1,5 @@
-//! Figures of a control run: quantiles, traffic per daemon, and the cost to the host.
+//! Measurements of a simulation of the control plane: quantiles, traffic per daemon, and the resources
+//! used on the host.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,18 +14,18 @@
 /// Median, 99th percentile and maximum.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Values recorded.
+    /// Number of recorded values.
     pub count: u64,
     /// Median.
     pub p50: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// Largest.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// The quantiles of a histogram of microseconds, in milliseconds.
+    /// Returns the quantiles, in milliseconds, of a histogram of microseconds.
     #[must_use]
     pub fn of_micros(histogram: &Histogram<u64>) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "below a day of microseconds")]
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The quantiles of some values.
+    /// Returns the quantiles of a list of values; all zero for an empty list.
     #[must_use]
     pub fn of_values(mut values: Vec<f64>) -> Self {
         values.sort_unstable_by(f64::total_cmp);
@@ -52,20 +53,20 @@
     }
 }
 
-/// Control traffic per daemon over a window of the run.
+/// Rates of the control traffic per daemon over a window of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct TrafficFigures {
+pub struct TrafficRates {
     /// Length of the window, in seconds.
     pub seconds: f64,
-    /// Bytes that a daemon sent a second, with the headers of the network layers.
+    /// Bytes sent per second, including the headers of the network layers.
     pub sent_bytes_per_second: Quantiles,
-    /// Bytes that a daemon received a second.
+    /// Bytes received per second, including the headers of the network layers.
     pub received_bytes_per_second: Quantiles,
-    /// Messages that a daemon sent a second.
+    /// Messages sent per second.
     pub sent_messages_per_second: Quantiles,
 }
 
-/// The traffic of every daemon at the start of a window.
+/// The traffic counters of every daemon at the start of a window.
 #[derive(Clone, Debug)]
 pub struct TrafficWindow {
     from: Timestamp,
@@ -73,7 +74,7 @@
 }
 
 impl TrafficWindow {
-    /// Opens a window.
+    /// Opens a window at the current virtual time.
     #[must_use]
     pub fn open(simulation: &ControlSimulation) -> Self {
         let daemons = 0..simulation.topology().daemons;
@@ -83,20 +84,20 @@
         }
     }
 
-    /// The figures of the window up to now.
+    /// Returns the traffic rates from the start of the window to the current virtual time.
     #[must_use]
-    pub fn close(&self, simulation: &ControlSimulation) -> TrafficFigures {
+    pub fn close(&self, simulation: &ControlSimulation) -> TrafficRates {
         let seconds = simulation.now().saturating_since(self.from).as_secs_f64();
         let rates = |field: fn(&Traffic) -> u64| {
             let rate = |(index, before): (usize, &Traffic)| {
-                let grown = field(&simulation.traffic(index)) - field(before);
+                let increase = field(&simulation.traffic(index)) - field(before);
                 #[expect(clippy::cast_precision_loss, reason = "below a terabyte")]
-                let grown = grown as f64;
-                rounded(grown / seconds)
+                let increase = increase as f64;
+                rounded(increase / seconds)
             };
             Quantiles::of_values(self.before.iter().enumerate().map(rate).collect())
         };
-        TrafficFigures {
+        TrafficRates {
             seconds,
             sent_bytes_per_second: rates(|traffic| traffic.bytes_sent),
             received_bytes_per_second: rates(|traffic| traffic.bytes_received),
@@ -105,7 +106,8 @@
     }
 }
 
-/// Bytes of state per daemon that runs, as the daemons count them (shared parts counted whole).
+/// Returns the bytes of state of each running daemon, as reported by the daemons. State that daemons of
+/// the simulation share counts in full for each of them.
 #[must_use]
 pub fn memory_per_daemon(simulation: &ControlSimulation) -> Quantiles {
     #[expect(clippy::cast_precision_loss, reason = "below a gigabyte")]
@@ -117,27 +119,27 @@
     Quantiles::of_values(simulation.running().map(memory).collect())
 }
 
-/// What a run cost this machine. Not the same for the same seed.
+/// Resources that a run used on the host. They differ between runs with the same seed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct HostFigures {
-    /// Processor time of the whole run, the simulator's own work included, in seconds.
+pub struct HostUsage {
+    /// Processor time of the whole run in seconds, including the simulator's own work.
     pub processor_seconds: f64,
-    /// Processor time for one daemon and one simulated second, in microseconds.
+    /// Processor time per daemon and simulated second, in microseconds.
     pub processor_micros_per_daemon_second: f64,
-    /// Most memory that the process held, in bytes.
+    /// Peak resident memory of the process, in bytes.
     pub peak_resident_bytes: u64,
-    /// The same divided by the number of daemons; parts that the daemons share count once.
+    /// Peak resident memory divided by the number of daemons; state that the daemons share counts once.
     pub peak_resident_bytes_per_daemon: u64,
 }
 
-/// Measures the host from the start of a run.
+/// Measures the resources that a run uses on the host.
 #[derive(Clone, Copy, Debug)]
-pub struct HostClock {
+pub struct HostMeter {
     processor_at_start: Duration,
 }
 
-impl HostClock {
-    /// Starts to measure.
+impl HostMeter {
+    /// Starts the measurement.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -145,14 +147,15 @@
         }
     }
 
-    /// The figures of a run of this many daemons and this much simulated time.
+    /// Returns the resources used since the start, for a run with this many daemons and this much simulated
+    /// time.
     #[must_use]
-    pub fn figures(&self, daemons: usize, simulated: Duration) -> HostFigures {
+    pub fn usage(&self, daemons: usize, simulated: Duration) -> HostUsage {
         let used = processor_time().saturating_sub(self.processor_at_start);
         let resident = peak_resident_bytes();
         #[expect(clippy::cast_precision_loss, reason = "at most some thousands")]
         let daemon_seconds = daemons as f64 * simulated.as_secs_f64();
-        HostFigures {
+        HostUsage {
             processor_seconds: used.as_secs_f64(),
             processor_micros_per_daemon_second: used.as_secs_f64() * 1e6 / daemon_seconds,
             peak_resident_bytes: resident,
@@ -161,7 +164,7 @@
     }
 }
 
-/// Processor time of this thread, as Linux reports it; zero elsewhere.
+/// Returns the processor time of this thread as reported by Linux; zero on other systems.
 fn processor_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text
@@ -171,7 +174,7 @@
     Duration::from_nanos(nanos.unwrap_or(0))
 }
 
-/// Most memory that this process held, as Linux reports it; zero elsewhere.
+/// Returns the peak resident memory of this process as reported by Linux; zero on other systems.
 fn peak_resident_bytes() -> u64 {
     const KIBIBYTE: u64 = 1_024;
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -180,7 +183,7 @@
     kibibytes.unwrap_or(0) * KIBIBYTE
 }
 
-/// Rounds to one decimal, so that reports stay readable.
+/// Rounds to one decimal, which keeps the reports readable.
 fn rounded(value: f64) -> f64 {
     (value * 10.0).round() / 10.0
 }
@@ -195,7 +198,7 @@
     }
 }
 
-impl fmt::Display for TrafficFigures {
+impl fmt::Display for TrafficRates {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
@@ -215,7 +218,7 @@
     }
 }
 
-impl fmt::Display for HostFigures {
+impl fmt::Display for HostUsage {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
--- a/crates/emulator/src/simulator/control/mod.rs
+++ b/crates/emulator/src/simulator/control/mod.rs
@@ -1,6 +1,9 @@
-//! A seeded simulation of the control plane alone: thousands of daemons' membership and
-//! configuration relay in one process, on a virtual clock, with the messages encoded and decoded as
-//! on the network.
+//! Seeded simulation of the control plane alone: membership and configuration relay of thousands of
+//! daemons in one process, on a virtual clock. Messages are encoded and decoded as on the network.
+//!
+//! Each accepted configuration change gets a revision in the platform's store. A few daemons, the readers,
+//! list and watch the store and relay changes to the other daemons. The revision in force at a daemon is
+//! the one that it currently uses.
 
 pub mod daemon;
 pub mod directory;
@@ -33,31 +36,31 @@
 use store::Store;
 use topology::{Topology, control_address, daemon_at};
 
-/// Size of a change's payload, in bytes: one resource with its identity.
+/// Payload size of a configuration change, in bytes: one resource with its identity.
 pub const CHANGE_BYTES: usize = 300;
-/// Wall clock of the simulation's start, in milliseconds since the Unix epoch.
+/// Wall-clock time at the start of the simulation, in milliseconds since the Unix epoch.
 const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
-/// Seeds that the settings file of a daemon names.
+/// Number of gossip seeds in the settings of a daemon.
 const SEEDS: usize = 4;
-/// Time between two attempts of a reader whose store does not answer.
-const STORE_RETRY: Duration = Duration::from_secs(1);
+/// Time between two requests of a reader while the store does not reply.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What happens at a point of the virtual time.
+/// An event at a point of virtual time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A daemon's timer.
+    /// The timer of a daemon, or the time of its start, is due.
     Wake(usize),
-    /// A message arrives.
+    /// A control message arrives at a daemon.
     Deliver {
         to: usize,
         from: usize,
         bytes: Vec<u8>,
     },
-    /// The answer of a list arrives at a reader.
+    /// The reply to a list request arrives at a reader.
     StoreList { reader: usize, process: u32 },
-    /// An event of a watch arrives at a reader.
+    /// A watch event arrives at a reader.
     StoreWatch { reader: usize, process: u32 },
-    /// A daemon's turn at the directory.
+    /// The next step of a daemon at the directory is due.
     Directory { daemon: usize, process: u32 },
 }
 
@@ -68,7 +71,7 @@
     event: Event,
 }
 
-/// The simulation.
+/// A simulation of the control plane.
 pub struct ControlSimulation {
     now: Timestamp,
     sequence: u64,
@@ -77,18 +80,19 @@
     topology: Topology,
     daemons: Vec<SimulatedDaemon>,
     random: Pcg64Mcg,
-    /// The links.
+    /// State of the network links.
     pub network: Network,
-    /// The platform's store.
+    /// The platform's configuration store.
     pub store: Store,
-    /// The platform's directory, where daemons find others by it and not by the seeds of their settings.
+    /// The platform's directory. If set, daemons find others through it instead of through the seeds in
+    /// their settings.
     pub directory: Option<Directory>,
-    /// What has been recorded.
+    /// Measurements of the run so far.
     pub observations: Observations,
 }
 
 impl ControlSimulation {
-    /// A deployment in which no daemon runs yet.
+    /// Creates a deployment in which no daemon runs yet.
     #[must_use]
     pub fn new(topology: Topology, settings: Settings, seed: u64) -> Self {
         let store = Store::new(topology.resources(), CHANGE_BYTES);
@@ -110,7 +114,7 @@
         }
     }
 
-    /// Starts every daemon with an empty memory, at most `spread` apart.
+    /// Schedules the start of every daemon, without any state, at random times within `spread`.
     pub fn start_cold(&mut self, spread: Duration) {
         for index in 0..self.daemons.len() {
             let delay = random_delay(spread, &mut self.random);
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Starts every daemon with a full member table and the store's first revision.
+    /// Starts every daemon with a full member table and the store's current revision.
     pub fn start_warm(&mut self) {
         let mut table = MemberTable::new(self.settings.delegates);
         let incarnation = Incarnation::started_at(self.wall_clock_ms());
@@ -144,45 +148,45 @@
         }
     }
 
-    /// The virtual time.
+    /// Returns the virtual time.
     #[must_use]
     pub const fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The shape of the deployment.
+    /// Returns the topology of the deployment.
     #[must_use]
     pub const fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// The control plane of a daemon that runs.
+    /// Returns the control plane of a daemon; `None` while the daemon does not run.
     #[must_use]
     pub fn node(&self, daemon: usize) -> Option<&Node> {
         self.daemons[daemon].node.as_ref()
     }
 
-    /// Revision in force at a daemon; zero when it does not run.
+    /// Returns the revision in force at a daemon; zero while the daemon does not run.
     #[must_use]
     pub fn in_force(&self, daemon: usize) -> u64 {
         self.daemons[daemon].in_force
     }
 
-    /// The daemons that run.
+    /// Returns the indices of the daemons that run.
     pub fn running(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.daemons.len()).filter(|&index| self.daemons[index].node.is_some())
     }
 
-    /// Bytes that a daemon sent and received since it was created, over all its processes.
+    /// Returns the control traffic of a daemon, summed over all its starts.
     #[must_use]
     pub fn traffic(&self, daemon: usize) -> daemon::Traffic {
         self.daemons[daemon].traffic()
     }
 
-    /// Accepts a change in the store and tells the readers that watch.
+    /// Accepts a change in the store, sends it to the readers that watch, and returns its revision.
     pub fn accept_change(&mut self) -> u64 {
         let revision = self.store.accept(self.now);
-        let at = self.now + self.store.answer_time();
+        let at = self.now + self.store.reply_time();
         for reader in self.store.watchers() {
             let process = self.daemons[reader].process;
             self.schedule(at, Event::StoreWatch { reader, process });
@@ -190,7 +194,7 @@
         revision
     }
 
-    /// Runs until the virtual time `until`.
+    /// Runs all events up to and including the virtual time `until`.
     pub fn run_until(&mut self, until: Timestamp) {
         while let Some(Reverse(next)) = self.events.peek() {
             if next.at > until {
@@ -205,13 +209,13 @@
         self.now = until;
     }
 
-    /// Runs for some time.
+    /// Runs for this much virtual time.
     pub fn run_for(&mut self, duration: Duration) {
         self.run_until(self.now + duration);
     }
 
-    /// Runs until a condition holds, looking every 10 ms, at most for `limit`; returns whether it
-    /// came to hold.
+    /// Runs until a condition holds, which is checked every 10 ms, but at most for `limit`. Returns true
+    /// if the condition holds in the end.
     pub fn run_until_holds(
         &mut self,
         limit: Duration,
@@ -246,9 +250,9 @@
         match event {
             Event::Wake(index) => self.wake(index),
             Event::Deliver { to, from, bytes } => self.deliver(to, from, bytes),
-            Event::StoreList { reader, process } => self.store_list(reader, process),
-            Event::StoreWatch { reader, process } => self.store_watch(reader, process),
-            Event::Directory { daemon, process } => self.use_directory(daemon, process),
+            Event::StoreList { reader, process } => self.handle_list_reply(reader, process),
+            Event::StoreWatch { reader, process } => self.handle_watch_event(reader, process),
+            Event::Directory { daemon, process } => self.run_directory_step(daemon, process),
         }
     }
 
@@ -265,7 +269,7 @@
             return;
         }
         self.daemons[index].wakes_at = None;
-        self.thaw_if_due(index);
+        self.resume_if_due(index);
         let now = self.now;
         let daemon = &mut self.daemons[index];
         let Some(node) = daemon.node.as_mut() else {
@@ -282,7 +286,7 @@
         let now = self.now;
         let daemon = &mut self.daemons[to];
         if daemon.frozen_until.is_some_and(|until| until > now) {
-            daemon.keep_for_later(from, bytes);
+            daemon.buffer_message(from, bytes);
             return;
         }
         let Some(node) = daemon.node.as_mut() else {
@@ -292,7 +296,7 @@
         self.apply(to, effects);
     }
 
-    /// Does what a daemon's control plane asks for, and sets its timer.
+    /// Executes the effects that a daemon's control plane requests, and sets its timer.
     fn apply(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in effects {
             self.apply_one(index, effect);
@@ -303,15 +307,15 @@
     fn apply_one(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Send { to, channel, bytes } => self.transmit(index, to, channel, bytes),
-            Effect::MembersChanged => self.note_departures(index),
-            Effect::DeclaredDead(id) => self.note_death(index, &id),
+            Effect::MembersChanged => self.record_known_departures(index),
+            Effect::DeclaredDead(id) => self.record_death(index, &id),
             Effect::AdoptSnapshot(snapshot) => self.put_in_force(index, snapshot.revision),
             Effect::AdoptDelta(delta) => self.put_in_force(index, delta.revision),
-            Effect::Ready(revision) => self.note_ready(index, revision),
-            Effect::Read(true) => self.list_store(index),
+            Effect::Ready(revision) => self.record_ready(index, revision),
+            Effect::Read(true) => self.request_list(index),
             Effect::ReadSnapshot => {
-                self.daemons[index].whole_wanted = true;
-                self.list_store(index);
+                self.daemons[index].snapshot_requested = true;
+                self.request_list(index);
             }
             Effect::Read(false) => self.store.unwatch(index),
             Effect::StoreOlder { .. } => self.observations.older_store_reports += 1,
@@ -354,27 +358,27 @@
     fn put_in_force(&mut self, index: usize, revision: u64) {
         let daemon = &mut self.daemons[index];
         if revision <= daemon.in_force {
-            self.observations.reverted += 1;
+            self.observations.revisions_reverted += 1;
         }
         let held = daemon.in_force;
         daemon.in_force = revision;
         daemon.highest_in_force = daemon.highest_in_force.max(revision);
         for change in self.store.changes_between(held, revision) {
-            // A daemon that started later was not there to receive the change.
+            // A change accepted before the daemon's start says nothing about propagation time.
             if change.at >= daemon.started_at {
                 let time = self.now.saturating_since(change.at);
-                record(&mut self.observations.in_force, time);
+                record(&mut self.observations.time_in_force, time);
             }
         }
     }
 
-    fn note_ready(&mut self, index: usize, revision: u64) {
+    fn record_ready(&mut self, index: usize, revision: u64) {
         let daemon = &mut self.daemons[index];
         if revision < daemon.highest_in_force {
             self.observations.ready_with_older += 1;
         }
         let time = self.now.saturating_since(daemon.started_at);
-        record(&mut self.observations.ready, time);
+        record(&mut self.observations.time_to_ready, time);
     }
 
     fn compact(&mut self, index: usize, revision: u64) {
@@ -389,10 +393,10 @@
             return Vec::new();
         }
         let count = self.daemons.len();
-        // Spread over the deployment, so that they lie in several zones.
+        // Distributes the seeds over several zones.
         let step = (count / SEEDS).max(1);
         (0..SEEDS)
-            .map(|place| (index + 1 + place * (step + 1)) % count)
+            .map(|position| (index + 1 + position * (step + 1)) % count)
             .filter(|&seed| seed != index)
             .map(|seed| Seed {
                 control_address: control_address(seed),
@@ -401,7 +405,7 @@
     }
 }
 
-/// A delay from zero to `spread` by chance.
+/// Returns a random delay from zero to `spread`, uniformly distributed.
 fn random_delay(spread: Duration, random: &mut Pcg64Mcg) -> Duration {
     use rand::RngExt;
     spread.mul_f64(random.random::<f64>())
--- a/crates/emulator/src/simulator/control/network.rs
+++ b/crates/emulator/src/simulator/control/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: latency, loss, cuts between zones and of single machines.
+//! The simulated network: latency, packet loss, and cuts between zones and of single machines.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,23 +8,27 @@
 
 use super::topology::Topology;
 
-/// Half-width of the latency's variation, as a share of its mean.
+/// Largest deviation of a latency from its mean, as a share of the mean.
 const LATENCY_VARIATION: f64 = 0.2;
-/// Bytes per second of one stream.
+/// Throughput of one stream, in bytes per second.
 const STREAM_BYTES_PER_SECOND: f64 = 10_000_000.0;
-/// One-way trips before a stream's message arrives: connection, then the message.
-const STREAM_TRIPS: f64 = 3.0;
-/// Delay of a stream's message when a packet of it is lost.
-const RETRANSMISSION: Duration = Duration::from_millis(200);
+/// Number of one-way latencies until a message arrives over a new stream: two to connect, one for the
+/// message.
+const STREAM_LATENCIES: f64 = 3.0;
+/// Additional delay of a message on a stream if a packet is lost.
+const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
 
-/// State of the links.
+/// State of the network links.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// Share of packets that are lost on every link, 0 to 1.
+    /// Share of packets lost on every link, 0 to 1.
     pub loss: f64,
+    /// Cut directions, from one zone to another.
     zone_cuts: BTreeSet<(usize, usize)>,
-    deaf: BTreeSet<usize>,
-    mute: BTreeSet<usize>,
+    /// Machines that receive nothing.
+    receive_blocked: BTreeSet<usize>,
+    /// Machines that can send nothing.
+    send_blocked: BTreeSet<usize>,
 }
 
 impl Network {
@@ -38,28 +42,28 @@
         self.zone_cuts.remove(&(from_zone, to_zone));
     }
 
-    /// Heals everything between zones.
+    /// Heals all cuts between zones.
     pub fn heal_zones(&mut self) {
         self.zone_cuts.clear();
     }
 
-    /// Lets a machine receive nothing, or everything again.
-    pub fn set_deaf(&mut self, daemon: usize, deaf: bool) {
-        set(&mut self.deaf, daemon, deaf);
+    /// Blocks or unblocks all messages to a machine.
+    pub fn set_receive_blocked(&mut self, daemon: usize, receive_blocked: bool) {
+        set_member(&mut self.receive_blocked, daemon, receive_blocked);
     }
 
-    /// Lets nothing out of a machine, or everything again.
-    pub fn set_mute(&mut self, daemon: usize, mute: bool) {
-        set(&mut self.mute, daemon, mute);
+    /// Blocks or unblocks all messages from a machine.
+    pub fn set_send_blocked(&mut self, daemon: usize, send_blocked: bool) {
+        set_member(&mut self.send_blocked, daemon, send_blocked);
     }
 
-    /// Whether messages pass in both directions between the machine and its zone.
+    /// Returns true if the machine can send and receive; cuts between zones don't count.
     #[must_use]
     pub fn is_connected(&self, daemon: usize) -> bool {
-        !self.deaf.contains(&daemon) && !self.mute.contains(&daemon)
+        !self.receive_blocked.contains(&daemon) && !self.send_blocked.contains(&daemon)
     }
 
-    /// Time that a message takes, or nothing when it is lost.
+    /// Returns the time that a message takes, or `None` if it is lost.
     pub fn transit(
         &self,
         topology: &Topology,
@@ -70,32 +74,36 @@
         rng: &mut impl Rng,
     ) -> Option<Duration> {
         let (from_zone, to_zone) = (topology.zone_of(from), topology.zone_of(to));
-        let closed = self.mute.contains(&from)
-            || self.deaf.contains(&to)
+        let blocked = self.send_blocked.contains(&from)
+            || self.receive_blocked.contains(&to)
             || self.zone_cuts.contains(&(from_zone, to_zone));
-        // A stream needs its acknowledgements, so it also fails when the way back is cut.
-        let closed_back = self.deaf.contains(&from)
-            || self.mute.contains(&to)
+        // A stream needs acknowledgements, so it also fails if the opposite direction is cut.
+        let reverse_blocked = self.receive_blocked.contains(&from)
+            || self.send_blocked.contains(&to)
             || self.zone_cuts.contains(&(to_zone, from_zone));
-        if closed || (channel == Channel::Stream && closed_back) {
+        if blocked || (channel == Channel::Stream && reverse_blocked) {
             return None;
         }
         let lost = self.loss > 0.0 && rng.random_bool(self.loss);
         let variation = 1.0 + LATENCY_VARIATION * (2.0 * rng.random::<f64>() - 1.0);
-        let trip = topology.latency(from_zone, to_zone).mul_f64(variation);
+        let latency = topology.latency(from_zone, to_zone).mul_f64(variation);
         match channel {
-            Channel::Datagram => (!lost).then_some(trip),
+            Channel::Datagram => (!lost).then_some(latency),
             Channel::Stream => {
                 #[expect(clippy::cast_precision_loss, reason = "message sizes are small")]
                 let transfer = Duration::from_secs_f64(length as f64 / STREAM_BYTES_PER_SECOND);
-                let repeated = if lost { RETRANSMISSION } else { Duration::ZERO };
-                Some(trip.mul_f64(STREAM_TRIPS) + transfer + repeated)
+                let retransmission = if lost {
+                    RETRANSMISSION_DELAY
+                } else {
+                    Duration::ZERO
+                };
+                Some(latency.mul_f64(STREAM_LATENCIES) + transfer + retransmission)
             }
         }
     }
 }
 
-fn set(machines: &mut BTreeSet<usize>, daemon: usize, member: bool) {
+fn set_member(machines: &mut BTreeSet<usize>, daemon: usize, member: bool) {
     if member {
         machines.insert(daemon);
     } else {
--- a/crates/emulator/src/simulator/control/observations.rs
+++ b/crates/emulator/src/simulator/control/observations.rs
@@ -1,4 +1,4 @@
-//! What a run of the control simulator records.
+//! Measurements that a simulation of the control plane records.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,57 +7,60 @@
 use wharfquay_core::time::Timestamp;
 use wharfquay_membership::member::{MemberId, ZoneName};
 
-/// Longest time that the histograms tell apart, in microseconds.
-const LONGEST_MICROS: u64 = 24 * 3_600 * 1_000_000;
-/// Significant digits of the histograms.
-const DIGITS: u8 = 3;
+/// Largest value of the histograms, in microseconds: one day.
+const MAX_MICROS: u64 = 24 * 3_600 * 1_000_000;
+/// Number of significant decimal digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One leaving daemon whose mark is followed.
+/// A leaving daemon, and the daemons that know of its departure.
 #[derive(Clone, Debug)]
 pub struct Departure {
-    /// The daemon.
+    /// Member id of the daemon.
     pub id: MemberId,
-    /// Its zone.
+    /// Zone of the daemon.
     pub zone: ZoneName,
-    /// When it was told to leave.
+    /// Time at which the daemon started to leave.
     pub at: Timestamp,
-    /// Daemons that know.
+    /// Indices of the daemons that know of the departure, the leaving one included.
     pub known_by: BTreeSet<usize>,
 }
 
-/// Records of one run.
+/// Measurements of one run.
 #[derive(Clone, Debug)]
 pub struct Observations {
-    /// Time from the acceptance of a change until one daemon has it in force, for each pair.
-    pub in_force: Histogram<u64>,
-    /// Time from a daemon's intention to leave until another daemon knows, for each pair.
-    pub leaving_known: Histogram<u64>,
-    /// Time from a daemon's start with an empty memory until it is ready.
-    pub ready: Histogram<u64>,
-    /// Adoptions of a revision that is not newer than the one in force.
-    pub reverted: u64,
-    /// Daemons that reported ready with a revision older than one they had in force before they
-    /// were restarted.
+    /// Time from the acceptance of a change until a daemon has it in force, in microseconds, for each pair
+    /// of change and daemon.
+    pub time_in_force: Histogram<u64>,
+    /// Time from the start of a departure until another daemon knows of it, in microseconds, for each pair
+    /// of departure and daemon.
+    pub time_to_departure_known: Histogram<u64>,
+    /// Time from a daemon's start without state until it is ready, in microseconds.
+    pub time_to_ready: Histogram<u64>,
+    /// Number of adopted revisions that were not newer than the one in force.
+    pub revisions_reverted: u64,
+    /// Number of times that a daemon reported ready with a revision older than one that it had in force
+    /// before a restart.
     pub ready_with_older: u64,
-    /// Declarations of death of a daemon that ran and was connected.
+    /// Number of declarations of death of a daemon that ran and was connected.
     pub false_deaths: u64,
-    /// Declarations of death of a daemon that did not run or was cut off.
+    /// Number of all other declarations of death: the process had terminated, was frozen or cut off, or the
+    /// declaring daemon was cut off.
     pub true_deaths: u64,
-    /// Reports of a store older than the configuration in force.
+    /// Number of reports that the store is older than the configuration in force.
     pub older_store_reports: u64,
-    /// Messages that did not arrive.
+    /// Number of messages lost on the network.
     pub lost_messages: u64,
-    /// Leaving daemons.
+    /// Departures that are being followed.
     pub departures: Vec<Departure>,
 }
 
 impl Default for Observations {
     fn default() -> Self {
         Self {
-            in_force: histogram(),
-            leaving_known: histogram(),
-            ready: histogram(),
-            reverted: 0,
+            time_in_force: histogram(),
+            time_to_departure_known: histogram(),
+            time_to_ready: histogram(),
+            revisions_reverted: 0,
             ready_with_older: 0,
             false_deaths: 0,
             true_deaths: 0,
@@ -69,12 +72,12 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    // The bounds are constants that the library accepts.
-    Histogram::new_with_bounds(1, LONGEST_MICROS, DIGITS)
-        .unwrap_or_else(|_| unreachable!("constant bounds of a histogram"))
+    // The library accepts these constant bounds, so this does not fail.
+    Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("the constant bounds of the histogram are valid"))
 }
 
-/// Records a duration; one beyond the longest counts as the longest.
+/// Records a duration in microseconds, limited to the range of the histogram.
 pub(super) fn record(histogram: &mut Histogram<u64>, duration: Duration) {
     let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
     histogram.saturating_record(micros.max(1));
--- a/crates/emulator/src/simulator/control/store.rs
+++ b/crates/emulator/src/simulator/control/store.rs
@@ -1,4 +1,4 @@
-//! The simulated store of the platform: revisions, watchers and faults.
+//! The simulated configuration store of the platform: revisions, watches and faults.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,39 +8,39 @@
 
 /// Mean one-way latency to the store.
 const LATENCY: Duration = Duration::from_millis(1);
-/// Size of a resource in a snapshot, in bytes.
+/// Size of one resource in a snapshot, in bytes.
 const RESOURCE_BYTES: usize = 200;
 
-/// One accepted change.
+/// An accepted configuration change.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedChange {
-    /// Its revision.
+    /// Revision that the change produced.
     pub revision: u64,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub at: Timestamp,
 }
 
-/// The store.
+/// The simulated store. Payloads have a realistic size but no content.
 #[derive(Clone, Debug)]
 pub struct Store {
     changes: Vec<AcceptedChange>,
     revision: u64,
     snapshot: Payload,
     delta: Payload,
-    /// Whether it answers at all.
+    /// True while the store does not reply to any reader.
     pub down: bool,
-    /// What is added to each answer.
+    /// Additional delay of each reply.
     pub delay: Duration,
-    /// Revisions by which it answers from an older state.
-    pub behind: u64,
+    /// Number of revisions by which replies are older than the newest state.
+    pub revisions_behind: u64,
     unreachable_zones: BTreeSet<usize>,
     watchers: BTreeSet<usize>,
-    most_watchers: usize,
-    lists: u64,
+    peak_watchers: usize,
+    list_requests: u64,
 }
 
 impl Store {
-    /// A store with one revision.
+    /// Creates a store at revision 1.
     #[must_use]
     pub fn new(resources: usize, change_bytes: usize) -> Self {
         Self {
@@ -50,21 +50,21 @@
             delta: Payload::from(vec![0; change_bytes]),
             down: false,
             delay: Duration::ZERO,
-            behind: 0,
+            revisions_behind: 0,
             unreachable_zones: BTreeSet::new(),
             watchers: BTreeSet::new(),
-            most_watchers: 0,
-            lists: 0,
+            peak_watchers: 0,
+            list_requests: 0,
         }
     }
 
-    /// The newest revision.
+    /// Returns the newest revision.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Accepted changes after `held`, up to `adopted`.
+    /// Returns the changes after the revision `held`, up to and including `adopted`.
     pub fn changes_between(&self, held: u64, adopted: u64) -> &[AcceptedChange] {
         let from = self
             .changes
@@ -75,7 +75,7 @@
         &self.changes[from..to.max(from)]
     }
 
-    /// Accepts a change.
+    /// Accepts a change and returns its revision.
     pub fn accept(&mut self, at: Timestamp) -> u64 {
         self.revision += 1;
         let revision = self.revision;
@@ -83,7 +83,7 @@
         revision
     }
 
-    /// Lets a zone reach the store, or not.
+    /// Sets whether a zone can reach the store.
     pub fn set_reachable(&mut self, zone: usize, reachable: bool) {
         if reachable {
             self.unreachable_zones.remove(&zone);
@@ -92,30 +92,30 @@
         }
     }
 
-    /// Whether a reader in this zone gets an answer.
+    /// Returns true if a reader in this zone gets replies.
     #[must_use]
-    pub fn answers(&self, zone: usize) -> bool {
+    pub fn replies_to(&self, zone: usize) -> bool {
         !self.down && !self.unreachable_zones.contains(&zone)
     }
 
-    /// Time for an answer or an event of a watch.
+    /// Returns the time that a reply or a watch event takes to a reader.
     #[must_use]
-    pub fn answer_time(&self) -> Duration {
+    pub fn reply_time(&self) -> Duration {
         LATENCY + self.delay
     }
 
-    /// The whole configuration, as a list answers it.
-    pub const fn count_list(&mut self) {
-        self.lists += 1;
+    /// Counts a list request that is served.
+    pub const fn count_list_request(&mut self) {
+        self.list_requests += 1;
     }
 
-    /// The whole configuration at the revision that the store shows.
+    /// Returns the whole configuration at the revision that the store replies with.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
-        self.snapshot_at(self.revision.saturating_sub(self.behind).max(1))
+        self.snapshot_at(self.revision.saturating_sub(self.revisions_behind).max(1))
     }
 
-    /// The whole configuration at some revision.
+    /// Returns the whole configuration at a revision.
     #[must_use]
     pub fn snapshot_at(&self, revision: u64) -> Snapshot {
         Snapshot {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The change between two revisions.
+    /// Returns the change from the revision `previous` to `revision`.
     #[must_use]
     pub fn delta(&self, previous: u64, revision: u64) -> Delta {
         Delta {
@@ -134,32 +134,32 @@
         }
     }
 
-    /// Opens a watch.
+    /// Opens a watch for a reader.
     pub fn watch(&mut self, reader: usize) {
         self.watchers.insert(reader);
-        self.most_watchers = self.most_watchers.max(self.watchers.len());
+        self.peak_watchers = self.peak_watchers.max(self.watchers.len());
     }
 
-    /// Ends a watch.
+    /// Closes the watch of a reader.
     pub fn unwatch(&mut self, reader: usize) {
         self.watchers.remove(&reader);
     }
 
-    /// The readers that watch.
+    /// Returns the readers that have a watch.
     #[must_use]
     pub fn watchers(&self) -> Vec<usize> {
         self.watchers.iter().copied().collect()
     }
 
-    /// Most readers that watched at the same time.
+    /// Returns the largest number of concurrent watches.
     #[must_use]
-    pub const fn most_watchers(&self) -> usize {
-        self.most_watchers
+    pub const fn peak_watchers(&self) -> usize {
+        self.peak_watchers
     }
 
-    /// Lists answered.
+    /// Returns the number of list requests served.
     #[must_use]
-    pub const fn lists(&self) -> u64 {
-        self.lists
+    pub const fn list_requests(&self) -> u64 {
+        self.list_requests
     }
 }
--- a/crates/emulator/src/simulator/control/topology.rs
+++ b/crates/emulator/src/simulator/control/topology.rs
@@ -1,4 +1,4 @@
-//! Zones, machines and latencies of a simulated control plane.
+//! Zones, daemons and latencies of a simulated control plane.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -7,35 +7,35 @@
 
 use crate::scenario::{Scenario, ScenarioError};
 
-/// Zones of the size that the system is built towards.
+/// Number of zones of the largest deployment that the system is designed for.
 const TARGET_ZONES: usize = 20;
-/// Regions over which these zones spread.
+/// Number of regions over which these zones are distributed.
 const TARGET_REGIONS: usize = 9;
-/// Services of that size.
+/// Number of services of that deployment.
 const TARGET_SERVICES: usize = 780;
-/// Assumed one-way latency between two regions; the users name none.
+/// One-way latency between two regions. An assumption: the requirements specify none.
 const BETWEEN_REGIONS: Duration = Duration::from_millis(30);
-/// Assumed one-way latency between two zones of a region; the users name none.
+/// One-way latency between two zones of a region. An assumption: the requirements specify none.
 const BETWEEN_ZONES: Duration = Duration::from_millis(1);
-/// Assumed one-way latency inside a zone; the users name none.
+/// One-way latency inside a zone. An assumption: the requirements specify none.
 const SAME_ZONE: Duration = Duration::from_micros(100);
 /// Port of every simulated daemon's control address.
 const CONTROL_PORT: u16 = 7_000;
 /// Port of every simulated daemon's call address.
 const CALL_PORT: u16 = 7_001;
 
-/// The shape of a deployment.
+/// The topology of a deployment: its zones, regions, services, daemons and latencies.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// Name of the scenario.
     pub name: String,
-    /// Zones in order.
+    /// Names of the zones.
     pub zones: Vec<ZoneName>,
-    /// Region of each zone.
+    /// Index of the region of each zone.
     regions: Vec<usize>,
-    /// Services, one after the other for the daemons of a zone.
+    /// Names of the services; the daemons of each zone are assigned to them round-robin.
     services: Vec<String>,
-    /// Number of daemons; the zones receive them in turn.
+    /// Number of daemons, which are assigned to the zones round-robin.
     pub daemons: usize,
     same_zone: Duration,
     between_zones: Duration,
@@ -43,11 +43,11 @@
 }
 
 impl Topology {
-    /// The shape named `lagos`, `gujarat` or `target`, with another number of zones or daemons where
-    /// these are given.
+    /// Returns the topology named `lagos`, `gujarat` or `target`; `zones` and `daemons` override its
+    /// numbers of zones and daemons.
     ///
     /// # Errors
-    /// [`ScenarioError`] when there is no such scenario or a number is out of range.
+    /// Returns [`ScenarioError`] if there is no such scenario or a number is out of range.
     pub fn named(
         name: &str,
         zones: Option<usize>,
@@ -97,7 +97,7 @@
                 .iter()
                 .map(|service| service.name.clone())
                 .collect(),
-            // One edge in each zone beside the back ends' daemons.
+            // One daemon for each backend, and one edge in each zone.
             daemons: usize::try_from(backends).unwrap_or(0) + zones,
             same_zone: Duration::from_micros(scenario.latency.same_zone_us),
             between_zones: Duration::from_micros(scenario.latency.between_zones_us),
@@ -141,26 +141,27 @@
         Ok(())
     }
 
-    /// Number of the zone of a daemon.
+    /// Returns the index of a daemon's zone.
     #[must_use]
     pub fn zone_of(&self, daemon: usize) -> usize {
         daemon % self.zones.len()
     }
 
-    /// Region of a zone.
+    /// Returns the index of a zone's region.
     #[must_use]
     pub fn region_of(&self, zone: usize) -> usize {
         self.regions[zone]
     }
 
-    /// Number of resources that a configuration for this many services has.
+    /// Returns the number of resources in the configuration of this deployment: a fixed number for each
+    /// service.
     #[must_use]
     pub const fn resources(&self) -> usize {
         const RESOURCES_PER_SERVICE: usize = 4;
         self.services.len() * RESOURCES_PER_SERVICE
     }
 
-    /// Mean one-way latency between the machines of two zones.
+    /// Returns the mean one-way latency between daemons of two zones.
     #[must_use]
     pub fn latency(&self, from_zone: usize, to_zone: usize) -> Duration {
         if from_zone == to_zone {
@@ -172,14 +173,14 @@
         }
     }
 
-    /// What a daemon says of itself.
+    /// Returns the profile that a daemon advertises to the members.
     #[must_use]
     pub fn profile(&self, daemon: usize) -> MemberProfile {
         let zone = &self.zones[self.zone_of(daemon)];
-        let place = daemon / self.zones.len();
-        let service = &self.services[place % self.services.len()];
+        let position = daemon / self.zones.len();
+        let service = &self.services[position % self.services.len()];
         MemberProfile {
-            id: MemberId::from(format!("{service}-{zone}-{place}").as_str()),
+            id: MemberId::from(format!("{service}-{zone}-{position}").as_str()),
             zone: zone.clone(),
             service: Some(service.clone()),
             call_address: address(daemon, CALL_PORT),
@@ -190,9 +191,9 @@
     }
 }
 
-/// Most daemons that a simulation runs.
+/// Largest number of daemons in a simulation.
 pub const MAX_DAEMONS: usize = 13_000;
-/// Most zones that a simulation has.
+/// Largest number of zones in a simulation.
 const MAX_ZONES: usize = 64;
 
 fn unknown(name: &str) -> ScenarioError {
@@ -203,7 +204,7 @@
     }
 }
 
-/// The control address of a daemon.
+/// Returns the control address of a daemon.
 #[must_use]
 pub fn control_address(daemon: usize) -> SocketAddr {
     address(daemon, CONTROL_PORT)
@@ -215,7 +216,8 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::from(FIRST + offset)), port)
 }
 
-/// The daemon behind an address.
+/// Returns the index of the daemon with this address; `None` if the address is before the first simulated
+/// one or not IPv4. The index may exceed the number of daemons.
 #[must_use]
 pub fn daemon_at(address: SocketAddr) -> Option<usize> {
     const FIRST: u32 = 0x0a00_0000;
--- a/crates/emulator/tests/control_experiments.rs
+++ b/crates/emulator/tests/control_experiments.rs
@@ -1,5 +1,5 @@
-//! The experiments on the control plane: same bytes for the same seed, and the goals of the small
-//! deployments.
+//! The experiments on the control plane: equal seeds give equal reports, and the small deployments meet
+//! their limits for propagation time, traffic and departures.
 
 use wharfquay_emulator::experiment::control_command::{ControlExperiment, parse};
 use wharfquay_emulator::experiment::propagation::ControlOptions;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_report_apart_from_the_host() {
+fn reports_are_equal_for_equal_seeds_apart_from_the_host() {
     let run = |experiment| {
         let options = options("gujarat");
         let report = match experiment {
@@ -26,7 +26,7 @@
         };
         let mut report = report.expect("a report");
         let host = report.as_object_mut().expect("an object").remove("host");
-        assert!(host.is_some(), "no figures of the host");
+        assert!(host.is_some(), "the report has no measurements of the host");
         report
     };
     for name in ["propagation", "drain", "churn"] {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_small_deployments_meet_their_goals() {
+fn small_deployments_meet_their_limits() {
     for scenario in ["lagos", "gujarat"] {
         let report = propagation::run(&options(scenario)).expect("a report");
         let relay = &report.relay;
@@ -47,8 +47,11 @@
         let sent = report.traffic.sent_bytes_per_second.max;
         assert!(sent <= 4_096.0, "{scenario}: {sent} bytes/s");
         let drained = drain::run(&options(scenario)).expect("a report");
-        for figures in [&drained.planned_stops, &drained.zone_stop] {
-            assert_eq!(figures.later_than_promised, 0, "{scenario}: {figures}");
+        for departures in [&drained.planned_stops, &drained.zone_stop] {
+            assert_eq!(
+                departures.later_than_promised, 0,
+                "{scenario}: {departures}"
+            );
         }
         let churned = churn::run(&options(scenario)).expect("a report");
         assert_eq!(churned.relay.revisions_reverted, 0, "{scenario}");
@@ -58,8 +61,8 @@
 }
 
 #[test]
-fn bad_options_are_named() {
-    for (arguments, named) in [
+fn option_errors_list_the_allowed_values() {
+    for (arguments, allowed) in [
         (["--scenario", "nowhere"], "allowed: lagos, gujarat, target"),
         (["--zones", "0"], "allowed: 1 to 64"),
         (
@@ -80,7 +83,7 @@
             Ok(_) => None,
             Err(error) => Some(error.to_string()),
         };
-        let message = message.expect("refused");
-        assert!(message.contains(named), "{arguments:?}: {message}");
+        let message = message.expect("rejected");
+        assert!(message.contains(allowed), "{arguments:?}: {message}");
     }
 }
--- a/crates/emulator/tests/control_faults.rs
+++ b/crates/emulator/tests/control_faults.rs
@@ -1,5 +1,5 @@
-//! The control plane under faults, in tables: whatever happens, no revision goes back, and what is
-//! left of the paths is enough for every change to arrive.
+//! The control plane under faults, as tables of cases: no revision is reverted, and every change arrives
+//! over the paths that remain.
 
 use std::time::Duration;
 
@@ -10,23 +10,22 @@
 const SEED: u64 = 11;
 const ZONES: usize = 4;
 
-/// Lets a fault happen in a running deployment of four zones.
+/// Injects or repairs a fault in a running deployment of four zones.
 type Fault = fn(&mut ControlSimulation);
 
 struct Case {
     name: &'static str,
-    /// What breaks before the changes.
-    begin: Fault,
-    /// What is repaired after them.
-    end: Fault,
-    /// Zones in which every connected daemon must have the changes in force within 2 s even while
-    /// the fault lasts.
+    /// Injects the fault, before the changes.
+    inject: Fault,
+    /// Repairs the fault, after the changes.
+    repair: Fault,
+    /// Zones in which every connected daemon must have each change in force within 2 s during the fault.
     reached: &'static [usize],
 }
 
 const EVERYWHERE: &[usize] = &[0, 1, 2, 3];
 
-fn nothing(_: &mut ControlSimulation) {}
+fn no_fault(_: &mut ControlSimulation) {}
 
 fn heal_zones(simulation: &mut ControlSimulation) {
     simulation.network.heal_zones();
@@ -40,7 +39,7 @@
     simulation.network.cut(other, one);
 }
 
-/// Daemons of a zone, by number; the zones receive the daemons in turn.
+/// Returns the daemons of a zone; the daemons are assigned to the zones round-robin.
 fn in_zone(simulation: &ControlSimulation, zone: usize) -> Vec<usize> {
     let daemons = 0..simulation.topology().daemons;
     daemons.filter(|index| index % ZONES == zone).collect()
@@ -58,7 +57,7 @@
     simulation.run_for(Duration::from_secs(15));
 }
 
-fn freeze_a_reader(simulation: &mut ControlSimulation) {
+fn freeze_one_reader(simulation: &mut ControlSimulation) {
     let reader = readers(simulation)[0];
     simulation.freeze(reader, Duration::from_secs(30));
 }
@@ -66,79 +65,79 @@
 const CASES: &[Case] = &[
     Case {
         name: "no fault",
-        begin: nothing,
-        end: nothing,
+        inject: no_fault,
+        repair: no_fault,
         reached: EVERYWHERE,
     },
     Case {
-        name: "every reader is killed and comes back with an empty memory",
-        begin: kill_every_reader,
-        end: |simulation| {
-            let gone: Vec<usize> = (0..simulation.topology().daemons)
+        name: "every reader is killed and restarts without state",
+        inject: kill_every_reader,
+        repair: |simulation| {
+            let terminated: Vec<usize> = (0..simulation.topology().daemons)
                 .filter(|&index| simulation.node(index).is_none())
                 .collect();
-            for index in gone {
+            for index in terminated {
                 simulation.start(index);
             }
         },
         reached: EVERYWHERE,
     },
     Case {
-        name: "a reader is frozen past its deposition and resumes",
-        begin: freeze_a_reader,
-        end: |simulation| simulation.run_for(Duration::from_secs(30)),
+        name: "a reader is frozen until another one has replaced it, and resumes",
+        inject: freeze_one_reader,
+        repair: |simulation| simulation.run_for(Duration::from_secs(30)),
         reached: EVERYWHERE,
     },
     Case {
-        name: "a zone is cut from all other zones, and reads the store itself",
-        begin: |simulation| {
+        name: "a zone is cut off from all other zones, and reads the store itself",
+        inject: |simulation| {
             for zone in 1..ZONES {
                 cut_both_ways(simulation, 0, zone);
             }
         },
-        end: heal_zones,
+        repair: heal_zones,
         reached: EVERYWHERE,
     },
     Case {
-        name: "a zone is cut from all others one way: it hears nothing from them",
-        begin: |simulation| {
+        name: "a zone receives nothing from all other zones, but can send to them",
+        inject: |simulation| {
             for zone in 1..ZONES {
                 simulation.network.cut(zone, 0);
             }
         },
-        end: heal_zones,
+        repair: heal_zones,
         reached: EVERYWHERE,
     },
     Case {
-        name: "a zone is cut from the store",
-        begin: |simulation| simulation.set_store_reachable(2, false),
-        end: heal_zones,
+        name: "a zone is cut off from the store",
+        inject: |simulation| simulation.set_store_reachable(2, false),
+        repair: heal_zones,
         reached: EVERYWHERE,
     },
     Case {
-        name: "a zone is cut from the store and from two of three zones",
-        begin: |simulation| {
+        name: "a zone is cut off from the store and from two of three zones",
+        inject: |simulation| {
             simulation.set_store_reachable(0, false);
             cut_both_ways(simulation, 0, 1);
             cut_both_ways(simulation, 0, 2);
         },
-        end: heal_zones,
+        repair: heal_zones,
         reached: EVERYWHERE,
     },
     Case {
-        name: "a zone is cut from the store and from every zone",
-        begin: |simulation| {
+        name: "a zone is cut off from the store and from every zone",
+        inject: |simulation| {
             simulation.set_store_reachable(0, false);
             for zone in 1..ZONES {
                 cut_both_ways(simulation, 0, zone);
             }
         },
-        end: heal_zones,
+        repair: heal_zones,
         reached: &[1, 2, 3],
     },
     Case {
         name: "the link between two zones flaps",
-        begin: |simulation| {
+        inject: |simulation| {
             for _ in 0..10 {
                 cut_both_ways(simulation, 0, 1);
                 simulation.run_for(Duration::from_millis(700));
@@ -147,24 +146,24 @@
             }
             cut_both_ways(simulation, 0, 1);
         },
-        end: heal_zones,
+        repair: heal_zones,
         reached: EVERYWHERE,
     },
     Case {
-        name: "a tenth of all packets is lost",
-        begin: |simulation| simulation.network.loss = 0.1,
-        end: |simulation| simulation.network.loss = 0.0,
+        name: "10% of all packets are lost",
+        inject: |simulation| simulation.network.loss = 0.1,
+        repair: |simulation| simulation.network.loss = 0.0,
         reached: EVERYWHERE,
     },
     Case {
         name: "the store is slow",
-        begin: |simulation| simulation.store.delay = Duration::from_millis(500),
-        end: |simulation| simulation.store.delay = Duration::ZERO,
+        inject: |simulation| simulation.store.delay = Duration::from_millis(500),
+        repair: |simulation| simulation.store.delay = Duration::ZERO,
         reached: EVERYWHERE,
     },
     Case {
         name: "a zone is cut off while a reader elsewhere is frozen",
-        begin: |simulation| {
+        inject: |simulation| {
             for zone in 1..ZONES {
                 cut_both_ways(simulation, 0, zone);
             }
@@ -174,20 +173,20 @@
                 .expect("each zone has a reader");
             simulation.freeze(elsewhere, Duration::from_secs(30));
         },
-        end: |simulation| {
+        repair: |simulation| {
             heal_zones(simulation);
             simulation.run_for(Duration::from_secs(30));
         },
         reached: EVERYWHERE,
     },
     Case {
-        name: "a daemon hears nothing while another zone is cut from the store",
-        begin: |simulation| {
-            simulation.network.set_deaf(5, true);
+        name: "a daemon receives nothing while another zone is cut off from the store",
+        inject: |simulation| {
+            simulation.network.set_receive_blocked(5, true);
             simulation.set_store_reachable(2, false);
         },
-        end: |simulation| {
-            simulation.network.set_deaf(5, false);
+        repair: |simulation| {
+            simulation.network.set_receive_blocked(5, false);
             heal_zones(simulation);
         },
         reached: EVERYWHERE,
@@ -202,8 +201,9 @@
     simulation
 }
 
-/// Running daemons without the revision that neither sleep nor are deaf.
-fn lacking(simulation: &ControlSimulation, revision: u64, zones: &[usize]) -> Vec<usize> {
+/// Returns the daemons in `zones` that run, are neither frozen nor disconnected, and have not put the
+/// revision in force.
+fn without_revision(simulation: &ControlSimulation, revision: u64, zones: &[usize]) -> Vec<usize> {
     let in_zones = zones.iter().flat_map(|&zone| in_zone(simulation, zone));
     in_zones
         .filter(|&index| simulation.node(index).is_some())
@@ -213,41 +213,45 @@
 }
 
 #[test]
-fn every_change_arrives_and_none_goes_back() {
+fn every_change_arrives_and_no_revision_is_reverted() {
     for case in CASES {
         println!("{}: seed {SEED}", case.name);
         let mut simulation = started(28);
-        (case.begin)(&mut simulation);
+        (case.inject)(&mut simulation);
         for _ in 0..5 {
             let revision = simulation.accept_change();
             let limit = Duration::from_secs(2);
             let arrived = simulation.run_until_holds(limit, |simulation| {
-                lacking(simulation, revision, case.reached).is_empty()
+                without_revision(simulation, revision, case.reached).is_empty()
             });
-            let missing = lacking(&simulation, revision, case.reached);
+            let missing = without_revision(&simulation, revision, case.reached);
             assert!(
                 arrived,
-                "{}: revision {revision} is not at {missing:?}",
+                "{}: revision {revision} is not in force at {missing:?}",
                 case.name
             );
         }
-        (case.end)(&mut simulation);
+        (case.repair)(&mut simulation);
         let last = simulation.store.revision();
         let limit = Duration::from_secs(30);
         let healed = simulation.run_until_holds(limit, |simulation| {
-            lacking(simulation, last, EVERYWHERE).is_empty()
+            without_revision(simulation, last, EVERYWHERE).is_empty()
         });
-        let missing = lacking(&simulation, last, EVERYWHERE);
-        assert!(healed, "{}: after the fault not at {missing:?}", case.name);
+        let missing = without_revision(&simulation, last, EVERYWHERE);
+        assert!(
+            healed,
+            "{}: revision {last} is not in force at {missing:?} after the fault",
+            case.name
+        );
         let observations = &simulation.observations;
         assert_eq!(
-            observations.reverted, 0,
-            "{}: a revision went back",
+            observations.revisions_reverted, 0,
+            "{}: a revision was reverted",
             case.name
         );
         assert_eq!(
             observations.ready_with_older, 0,
-            "{}: ready with an older one",
+            "{}: ready with an older revision",
             case.name
         );
         assert_eq!(observations.false_deaths, 0, "{}: false deaths", case.name);
@@ -259,17 +263,21 @@
     for case in CASES {
         println!("{}: seed {SEED}", case.name);
         let mut simulation = started(28);
-        (case.begin)(&mut simulation);
+        (case.inject)(&mut simulation);
         simulation.run_for(Duration::from_secs(20));
-        (case.end)(&mut simulation);
+        (case.repair)(&mut simulation);
         let agreed = simulation.run_until_holds(Duration::from_secs(120), |simulation| {
             let running = simulation.running().count();
-            let knows = |index| simulation.node(index).map(|node| node.table().live_count());
+            let live_members = |index| simulation.node(index).map(|node| node.table().live_count());
             simulation
                 .running()
-                .all(|index| knows(index) == Some(running))
+                .all(|index| live_members(index) == Some(running))
         });
-        assert!(agreed, "{}: members differ", case.name);
+        assert!(
+            agreed,
+            "{}: the daemons disagree on the live members",
+            case.name
+        );
     }
 }
 
@@ -282,7 +290,7 @@
     }
     let newest = simulation.store.revision();
     simulation.set_store_down(true);
-    // Half of every zone, then the other half: nobody keeps its memory.
+    // Restarts half of every zone, then the other half: no daemon keeps its state.
     for half in 0..2 {
         let restarted: Vec<usize> = (0..28)
             .filter(|index| (index / ZONES) % 2 == half)
@@ -295,10 +303,13 @@
             simulation.start(index);
         }
         let ready = simulation.run_until_holds(Duration::from_secs(20), |simulation| {
-            let node = |index: usize| simulation.node(index).expect("it runs");
+            let node = |index: usize| simulation.node(index).expect("the daemon runs");
             restarted.iter().all(|&index| node(index).is_ready())
         });
-        assert!(ready, "half {half}: not ready without the store");
+        assert!(
+            ready,
+            "half {half}: some daemons are not ready without the store"
+        );
         for index in restarted {
             assert_eq!(simulation.in_force(index), newest, "daemon {index}");
         }
@@ -314,9 +325,9 @@
         simulation.run_for(Duration::from_millis(500));
     }
     let newest = simulation.store.revision();
-    simulation.set_store_behind(3);
+    simulation.set_store_revisions_behind(3);
     simulation.run_for(Duration::from_secs(5));
-    // A daemon that starts now is told the older revision by the store.
+    // Daemons that start now receive the older revision from the store.
     for index in in_zone(&simulation, 1) {
         simulation.kill(index);
     }
@@ -327,10 +338,10 @@
     simulation.run_for(Duration::from_secs(20));
     assert!(
         simulation.observations.older_store_reports > 0,
-        "nothing was reported"
+        "no daemon reported the older store"
     );
-    assert!(lacking(&simulation, newest, EVERYWHERE).is_empty());
-    assert_eq!(simulation.observations.reverted, 0);
+    assert!(without_revision(&simulation, newest, EVERYWHERE).is_empty());
+    assert_eq!(simulation.observations.revisions_reverted, 0);
     assert_eq!(simulation.observations.ready_with_older, 0);
 }
 
@@ -339,8 +350,10 @@
     let mut simulation = started(28);
     simulation.kill(6);
     let known = simulation.run_until_holds(Duration::from_secs(20), |simulation| {
-        let live = |index| simulation.node(index).map(|node| node.table().live_count());
-        simulation.running().all(|index| live(index) == Some(27))
+        let live_members = |index| simulation.node(index).map(|node| node.table().live_count());
+        simulation
+            .running()
+            .all(|index| live_members(index) == Some(27))
     });
     assert!(known);
     assert_eq!(simulation.observations.false_deaths, 0);
@@ -369,8 +382,8 @@
         };
         Node::new(settings, identity, vec![seed], now, &mut random)
     };
-    let mut foreigner = node_in(7, 1);
-    let mut own_twin = node_in(0, 0);
+    let mut foreign_sender = node_in(7, 1);
+    let mut same_id_sender = node_in(0, 0);
     let mut node = node_in(0, 0);
     let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(SEED);
     let mut message_of = |sender: &mut Node| {
@@ -391,8 +404,8 @@
             1,
             0,
         ),
-        ("other deployment", message_of(&mut foreigner), 0, 1),
-        ("own id", message_of(&mut own_twin), 0, 1),
+        ("other deployment", message_of(&mut foreign_sender), 0, 1),
+        ("own id", message_of(&mut same_id_sender), 0, 1),
     ];
     let mut random = rand_pcg::Pcg64Mcg::seed_from_u64(SEED);
     for (name, bytes, malformed, foreign) in cases {
@@ -408,7 +421,7 @@
 }
 
 #[test]
-fn loss_and_short_pauses_kill_nobody() {
+fn packet_loss_and_short_pauses_cause_no_declaration_of_death() {
     let mut simulation = started(28);
     simulation.network.loss = 0.1;
     for index in [3, 8, 17] {
@@ -419,21 +432,28 @@
     simulation.run_for(Duration::from_secs(20));
     let observations = &simulation.observations;
     assert_eq!(observations.false_deaths + observations.true_deaths, 0);
-    let knows = |index| simulation.node(index).map(|node| node.table().live_count());
-    assert!(simulation.running().all(|index| knows(index) == Some(28)));
+    let live_members = |index| simulation.node(index).map(|node| node.table().live_count());
+    assert!(
+        simulation
+            .running()
+            .all(|index| live_members(index) == Some(28))
+    );
 }
 
 #[test]
-fn a_zone_without_the_store_pulls_what_others_name() {
-    // No push crosses between these zones in time: the link loses most packets.
+fn a_zone_without_the_store_pulls_revisions_that_others_advertise() {
+    // The links lose most packets: pushed changes do not arrive in time, and the zone has to pull them.
     let mut simulation = started(28);
     simulation.set_store_reachable(0, false);
     simulation.network.loss = 0.6;
     let revision = simulation.accept_change();
     let arrived = simulation.run_until_holds(Duration::from_secs(20), |simulation| {
-        lacking(simulation, revision, EVERYWHERE).is_empty()
+        without_revision(simulation, revision, EVERYWHERE).is_empty()
     });
-    let missing = lacking(&simulation, revision, EVERYWHERE);
-    assert!(arrived, "revision {revision} is not at {missing:?}");
-    assert_eq!(simulation.observations.reverted, 0);
+    let missing = without_revision(&simulation, revision, EVERYWHERE);
+    assert!(
+        arrived,
+        "revision {revision} is not in force at {missing:?}"
+    );
+    assert_eq!(simulation.observations.revisions_reverted, 0);
 }
--- a/crates/emulator/tests/control_plane.rs
+++ b/crates/emulator/tests/control_plane.rs
@@ -1,4 +1,4 @@
-//! The control plane as a whole on the simulator: start, propagation and departures without faults.
+//! The whole control plane on the simulator: start, propagation and departures without faults.
 
 use std::time::Duration;
 
@@ -19,21 +19,21 @@
     (0..simulation.topology().daemons).all(ready)
 }
 
-fn all_hold(simulation: &ControlSimulation, revision: u64) -> bool {
+fn all_in_force(simulation: &ControlSimulation, revision: u64) -> bool {
     simulation
         .running()
         .all(|index| simulation.in_force(index) >= revision)
 }
 
-fn all_know(simulation: &ControlSimulation, members: usize) -> bool {
+fn all_members_known(simulation: &ControlSimulation, members: usize) -> bool {
     simulation.running().all(|index| {
-        let node = simulation.node(index).expect("it runs");
+        let node = simulation.node(index).expect("the daemon runs");
         node.table().live_count() == members
     })
 }
 
 #[test]
-fn a_deployment_starts_from_nothing_and_finds_itself() {
+fn a_cold_started_deployment_gets_ready_and_discovers_all_members() {
     for scenario in ["lagos", "gujarat"] {
         let mut simulation = simulation(scenario, None);
         simulation.start_cold(Duration::from_millis(500));
@@ -41,11 +41,12 @@
         let limit = Duration::from_secs(10);
         assert!(
             simulation.run_until_holds(limit, all_ready),
-            "{scenario}: not ready"
+            "{scenario}: some daemons are not ready"
         );
-        let found = simulation.run_until_holds(limit, |simulation| all_know(simulation, daemons));
-        assert!(found, "{scenario}: members unknown");
-        assert_eq!(simulation.observations.reverted, 0);
+        let discovered =
+            simulation.run_until_holds(limit, |simulation| all_members_known(simulation, daemons));
+        assert!(discovered, "{scenario}: some members are unknown");
+        assert_eq!(simulation.observations.revisions_reverted, 0);
     }
 }
 
@@ -58,17 +59,17 @@
         for _ in 0..20 {
             let revision = simulation.accept_change();
             let limit = Duration::from_secs(2);
-            let held =
-                simulation.run_until_holds(limit, |simulation| all_hold(simulation, revision));
+            let is_in_force =
+                simulation.run_until_holds(limit, |simulation| all_in_force(simulation, revision));
             assert!(
-                held,
+                is_in_force,
                 "{scenario}: revision {revision} is not in force everywhere"
             );
             simulation.run_for(Duration::from_millis(300));
         }
-        let median = simulation.observations.in_force.value_at_quantile(0.5);
+        let median = simulation.observations.time_in_force.value_at_quantile(0.5);
         assert!(median < 500_000, "{scenario}: median {median} us");
-        assert_eq!(simulation.observations.reverted, 0);
+        assert_eq!(simulation.observations.revisions_reverted, 0);
     }
 }
 
@@ -90,7 +91,7 @@
         let bound = Settings::default().readers;
         simulation.start_warm();
         simulation.run_for(Duration::from_secs(30));
-        let readers = simulation.store.most_watchers();
+        let readers = simulation.store.peak_watchers();
         assert!(
             (1..=bound).contains(&readers),
             "{scenario}: {readers} readers"
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn runs_with_the_same_seed_are_equal() {
     let run = || {
         let mut simulation = simulation("gujarat", None);
         simulation.start_cold(Duration::from_secs(1));
--- a/crates/emulator/tests/directory_start.rs
+++ b/crates/emulator/tests/directory_start.rs
@@ -1,55 +1,60 @@
-//! A common start, an end of all and a restored store: the platform's directory stays small, and everyone meets everyone.
+//! Starts and restarts of a whole deployment and a restored store: the platform's directory stays small,
+//! and every daemon discovers all others.
 
 use wharfquay_emulator::experiment::propagation::ControlOptions;
-use wharfquay_emulator::experiment::start::{self, PhaseFigures, WayFigures};
+use wharfquay_emulator::experiment::start::{self, PhaseMeasurements, StrategyMeasurements};
 use wharfquay_membership::directory::{DirectorySettings, ENTRIES};
 
-/// Several times as many as the directory keeps entries.
+/// Several times the number of entries that the directory keeps.
 const DAEMONS: usize = 320;
-/// Time after an end of all in which everyone has to know everyone, once the store serves all of them.
-const MEETING_LIMIT_MS: u64 = 5_000;
-/// Time for which it refuses a third in one of the phases, and for which listings lag behind in another.
-const STORE_TROUBLE_MS: u64 = 4_000;
+/// Time in which every daemon has to know all others, once the directory serves all of them.
+const DISCOVERY_LIMIT_MS: u64 = 5_000;
+/// Additional time in the phases in which the directory refuses a third of the daemons or its listings
+/// are stale.
+const DIRECTORY_FAULT_MS: u64 = 4_000;
 
-fn bounded_way(daemons: usize, seed: u64) -> WayFigures {
+fn bounded_strategy(daemons: usize, seed: u64) -> StrategyMeasurements {
     let options = ControlOptions {
         scenario: "gujarat".to_owned(),
         daemons: Some(daemons),
         seed,
         ..ControlOptions::default()
     };
-    start::run_way(&options, "bounded", &DirectorySettings::default()).expect("figures")
+    start::run_strategy(&options, "bounded", &DirectorySettings::default()).expect("measurements")
 }
 
-fn phase<'way>(way: &'way WayFigures, name: &str) -> &'way PhaseFigures {
-    let mut phases = way.phases.iter();
+fn phase<'strategy>(
+    strategy: &'strategy StrategyMeasurements,
+    name: &str,
+) -> &'strategy PhaseMeasurements {
+    let mut phases = strategy.phases.iter();
     phases.find(|phase| phase.phase == name).expect("the phase")
 }
 
 #[test]
 fn the_directory_does_not_grow_with_the_deployment() {
-    let way = bounded_way(DAEMONS, 3);
-    for phase in &way.phases {
+    let strategy = bounded_strategy(DAEMONS, 3);
+    for phase in &strategy.phases {
         let most = ENTRIES + DAEMONS / 4;
         assert!(phase.entries <= most, "{phase:?}");
     }
-    let first = phase(&way, "first start");
-    // With an entry for each it is 1.2.
+    let first = phase(&strategy, "first start");
+    // With an entry for each daemon it is 1.2.
     assert!(first.calls_per_daemon <= 0.5, "{first:?}");
-    let again = phase(&way, "end of all");
+    let again = phase(&strategy, "end of all");
     assert!(again.calls_per_daemon <= 0.25, "{again:?}");
 }
 
 #[test]
-fn everyone_meets_everyone_after_each_trouble() {
+fn every_daemon_discovers_all_others_in_each_phase() {
     for (daemons, seed) in [(5, 1), (12, 2), (71, 3)] {
-        let way = bounded_way(daemons, seed);
-        for phase in way.phases {
-            let met = phase.met_after_ms;
-            let has_trouble = phase.phase.contains("refused") || phase.phase.contains("old");
-            let trouble = if has_trouble { STORE_TROUBLE_MS } else { 0 };
+        let strategy = bounded_strategy(daemons, seed);
+        for phase in strategy.phases {
+            let converged_after = phase.converged_after_ms;
+            let has_fault = phase.phase.contains("refused") || phase.phase.contains("old");
+            let additional = if has_fault { DIRECTORY_FAULT_MS } else { 0 };
             assert!(
-                met.is_some_and(|after| after <= MEETING_LIMIT_MS + trouble),
+                converged_after.is_some_and(|after| after <= DISCOVERY_LIMIT_MS + additional),
                 "{daemons} daemons: {phase:?}"
             );
         }
--- a/crates/emulator/tests/surge_experiment.rs
+++ b/crates/emulator/tests/surge_experiment.rs
@@ -4,12 +4,12 @@
 
 use wharfquay_emulator::arguments::Command;
 use wharfquay_emulator::experiment::surge::{
-    PolicyMeasure, SurgeReport, SurgeSettings, compare, oracle_goodput, parse, sweep_all,
+    PolicyMeasurements, SurgeReport, SurgeSettings, compare, oracle_goodput, parse, sweep_all,
 };
 use wharfquay_emulator::scenario::Scenario;
 use wharfquay_emulator::simulator::call_path::Layout;
 
-/// A short surge, so that the suite stays fast in a debug build.
+/// A short surge, which keeps the tests fast in a debug build.
 const SHORT: &str = "--before 1 --seconds 3 --after 2";
 
 fn settings(line: &str) -> SurgeSettings {
@@ -24,27 +24,28 @@
     compare(&settings(line))
 }
 
-fn wharfquay(line: &str) -> PolicyMeasure {
+fn wharfquay(line: &str) -> PolicyMeasurements {
     let report = run(&format!("{line} {SHORT} --policy wharfquay"));
     report.policies.into_iter().next().expect("one policy ran")
 }
 
 #[test]
-fn one_seed_gives_the_same_bytes_and_another_does_not() {
+fn reports_are_equal_for_equal_seeds_and_differ_for_others() {
     let line = "--scenario gujarat --factor 4 --before 0.5 --seconds 1 --after 0.5 --kills 2";
     let text = |seed: u64| {
         let report = run(&format!("{line} --seed {seed}"));
-        serde_json::to_string(&report).expect("the report is plain data")
+        serde_json::to_string(&report).expect("the report serializes")
     };
     assert_eq!(text(7), text(7));
     assert_ne!(text(7), text(8));
     assert_eq!(text(u64::MAX), text(u64::MAX), "any seed is accepted");
 }
 
-/// Thresholds lie 0.02 to 0.04 below what was measured for seed 1, since the surge is short.
+/// Guards goodput and recovery against regressions. The thresholds are 0.02 to 0.04 below the results for
+/// seed 1, which vary because the surge is short.
 #[test]
 fn goodput_and_recovery_hold() {
-    // Scenario, least goodput of all kinds, least goodput of the most important kind.
+    // Arguments, minimum goodput of all kinds, minimum goodput of the most important kind.
     let cases = [
         ("--scenario lagos --factor 2", 0.86, 0.95),
         ("--scenario lagos --factor 8", 0.82, 0.76),
@@ -58,7 +59,7 @@
         ),
         ("--scenario gujarat --factor 1 --slow stock=5", 0.88, 0.95),
     ];
-    for (line, least, least_important) in cases {
+    for (line, min_goodput, min_important) in cases {
         let measure = wharfquay(line);
         let important = measure.kinds[0].goodput_ratio.unwrap_or(0.0);
         let goodput = measure.goodput_ratio;
@@ -66,8 +67,8 @@
             "{line}: {goodput} {important} {:?}",
             measure.recovery_seconds
         );
-        assert!(goodput >= least, "{line}: {goodput}");
-        assert!(important >= least_important, "{line}: {important}");
+        assert!(goodput >= min_goodput, "{line}: {goodput}");
+        assert!(important >= min_important, "{line}: {important}");
         let recovered = measure
             .recovery_seconds
             .is_some_and(|seconds| seconds <= 2.0);
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn control_beats_its_absence_on_the_same_arrivals() {
+fn admission_control_improves_goodput_on_the_same_arrivals() {
     let line = "--scenario lagos --factor 4 --policy all";
     let report = run(&format!("{line} {SHORT}"));
     let goodput = |name: &str| {
@@ -111,9 +112,9 @@
     }
 }
 
-/// The counters are not blind: hops that retry on their own break the promises.
+/// Checks that the counters of broken promises detect violations: naive retries at each hop cause them.
 #[test]
-fn the_checks_see_what_naive_hops_break() {
+fn naive_policies_are_counted_as_breaking_promises() {
     let line = "--scenario lagos --factor 4 --policy all";
     let report = run(&format!("{line} {SHORT}"));
     let naive = |name: &str| {
@@ -131,11 +132,11 @@
 }
 
 #[test]
-fn the_oracle_serves_by_importance_up_to_the_slots() {
+fn the_oracle_serves_by_priority_up_to_the_slots() {
     let scenario = Scenario::parse("tiny.toml", TINY).expect("valid");
     let layout = Layout::new(&scenario);
     let cases = [
-        // Factor, whole answers of both kinds expected in ten seconds.
+        // Factor, complete responses of both kinds expected in ten seconds.
         (0.5, [250.0, 250.0]),
         (1.0, [500.0, 500.0]),
         (4.0, [1_000.0, 0.0]),
@@ -143,14 +144,17 @@
     for (factor, expected) in cases {
         let line = format!("--scenario lagos --factor {factor} --before 0.1");
         let oracle = oracle_goodput(&layout, &settings(&line).run);
-        for (whole, expected) in oracle.whole.iter().zip(expected) {
+        for (completed, expected) in oracle.completed.iter().zip(expected) {
             let tolerance = 0.12 * f64::max(expected, 100.0);
-            assert!((whole - expected).abs() < tolerance, "{factor}: {oracle:?}");
+            assert!(
+                (completed - expected).abs() < tolerance,
+                "{factor}: {oracle:?}"
+            );
         }
     }
 }
 
-/// One back end with two slots and 20 ms of work: 100 calls a second.
+/// One backend with two slots and 20 ms of work per call: a capacity of 100 calls per second.
 const TINY: &str = r#"
 name = "tiny"
 zones = ["one"]
@@ -188,7 +192,7 @@
 "#;
 
 #[test]
-fn bad_arguments_name_option_value_and_what_is_allowed() {
+fn argument_errors_name_option_value_and_allowed_values() {
     let cases = [
         ("", "--scenario is missing"),
         (
