--- a/crates/emulator/src/experiment/start.rs
+++ b/crates/emulator/src/experiment/start.rs
@@ -37,7 +37,8 @@
 /// Measurements of one phase.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PhaseMeasurements {
-    /// Name of the phase.
+    /// Name of the phase. "End of all" in it means that all daemons terminate at the same time and are
+    /// restarted.
     pub phase: &'static str,
     /// Cost of the calls to the directory, per daemon.
     pub calls_per_daemon: f64,
@@ -56,7 +57,7 @@
 /// Measurements of one strategy of keeping the directory.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StrategyMeasurements {
-    /// Name of the strategy.
+    /// Name of the strategy: an entry for each daemon, or a bounded number of entries.
     #[serde(rename = "way")]
     pub strategy: &'static str,
     /// Measurements of the phases, in order.
@@ -159,12 +160,14 @@
     phases
 }
 
+/// Starts all daemons without state.
 fn first_start(simulation: &mut ControlSimulation, phase: &'static str) -> PhaseMeasurements {
     measure(simulation, phase, |simulation| {
         simulation.start_cold(START_SPREAD)
     })
 }
 
+/// Terminates all daemons at the same time and restarts them; `change` changes the directory before.
 fn restart_all(
     simulation: &mut ControlSimulation,
     phase: &'static str,
@@ -184,6 +187,7 @@
     })
 }
 
+/// Restores the directory's store to its state at `copied_at`, while all daemons run.
 fn restore_store(
     simulation: &mut ControlSimulation,
     copied_at: wharfquay_core::time::Timestamp,
@@ -193,6 +197,8 @@
     })
 }
 
+/// Runs `trigger` and measures the time until every daemon knows all others. The counters cover
+/// [`SETTLE_TIME`] after that too.
 fn measure(
     simulation: &mut ControlSimulation,
     phase: &'static str,
