--- a/crates/emulator/src/backend/arguments.rs
+++ b/crates/emulator/src/backend/arguments.rs
@@ -1,15 +1,15 @@
-//! Command line of the back end stand-in.
+//! Command-line arguments of the emulated backend.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use lexopt::Parser;
 
-use super::faults::{Faults, HealthAnswer};
+use super::faults::{Faults, HealthMode};
 use super::state::BackendSettings;
 use crate::arguments::{self, ArgumentError, Command};
 
-/// Usage of the command.
+/// Usage text, printed for `--help` and after an argument error.
 pub const USAGE: &str = "\
 wharfquay-emulator backend --scenario NAME|FILE --service NAME --id ID --listen IP:PORT
     [--outbound IP:PORT] [--queue-limit N] [--seed N] [--warm]
@@ -17,7 +17,7 @@
     [--refuse SHARE] [--hang SHARE] [--end SHARE] [--report-lag-ms N] [--load-factor F]
     [--health truthful|always_live|always_leaving]
 
-Serves the steps of one service, slower at first unless --warm is given. SHARE is a probability from 0 to 1.
+Executes the steps of one service; slower during the cold start, which --warm skips. SHARE is a probability from 0 to 1.
 Endpoints: GET /wharfquay/health, /wharfquay/load, /wharfquay/executions,
 GET and PUT /wharfquay/faults, POST and DELETE /wharfquay/drain.
 
@@ -26,10 +26,10 @@
       --listen 127.0.0.1:9001
 ";
 
-const SHARE: &str = "0 to 1";
+const SHARE_RANGE: &str = "0 to 1";
 
 #[derive(Default)]
-struct Given {
+struct RawArguments {
     scenario: Option<String>,
     service: Option<String>,
     id: Option<String>,
@@ -41,27 +41,31 @@
     faults: Faults,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// [`ArgumentError`] names the option, what was given and what is allowed.
+/// [`ArgumentError`] names the option, the specified value and the allowed values.
 pub fn parse(parser: Parser) -> Result<Command<BackendSettings>, ArgumentError> {
-    arguments::read(parser, Given::default(), read_option)?.try_map(settings)
+    arguments::read(parser, RawArguments::default(), read_option)?.try_map(settings)
 }
 
-fn read_option(parser: &mut Parser, name: &str, given: &mut Given) -> Result<(), ArgumentError> {
+fn read_option(
+    parser: &mut Parser,
+    name: &str,
+    raw: &mut RawArguments,
+) -> Result<(), ArgumentError> {
     match name {
-        "scenario" => given.scenario = Some(arguments::text(parser)?),
-        "service" => given.service = Some(arguments::text(parser)?),
-        "id" => given.id = Some(arguments::text(parser)?),
-        "listen" => given.listen = Some(arguments::address(parser, "listen")?),
-        "outbound" => given.outbound = Some(arguments::address(parser, "outbound")?),
+        "scenario" => raw.scenario = Some(arguments::text(parser)?),
+        "service" => raw.service = Some(arguments::text(parser)?),
+        "id" => raw.id = Some(arguments::text(parser)?),
+        "listen" => raw.listen = Some(arguments::address(parser, "listen")?),
+        "outbound" => raw.outbound = Some(arguments::address(parser, "outbound")?),
         "queue-limit" => {
-            given.queue_limit = Some(arguments::value(parser, "queue-limit", "0 or more")?);
+            raw.queue_limit = Some(arguments::value(parser, "queue-limit", "0 or more")?);
         }
-        "seed" => given.seed = Some(arguments::seed(parser)?),
-        "warm" => given.warm = true,
-        _ => return read_fault(parser, name, &mut given.faults),
+        "seed" => raw.seed = Some(arguments::seed(parser)?),
+        "warm" => raw.warm = true,
+        _ => return read_fault(parser, name, &mut raw.faults),
     }
     Ok(())
 }
@@ -82,44 +86,44 @@
         "report-lag-ms" => {
             faults.report_lag_ms = arguments::value(parser, "report-lag-ms", "0 to 600000")?;
         }
-        "health" => faults.health = health(&arguments::text(parser)?)?,
+        "health" => faults.health = health_mode(&arguments::text(parser)?)?,
         other => return Err(arguments::unknown_option(other)),
     }
     Ok(())
 }
 
 fn share(parser: &mut Parser, option: &'static str) -> Result<f64, ArgumentError> {
-    arguments::number_in(parser, option, 0.0..=1.0, SHARE)
+    arguments::number_in(parser, option, 0.0..=1.0, SHARE_RANGE)
 }
 
-fn health(given: &str) -> Result<HealthAnswer, ArgumentError> {
-    match given {
-        "truthful" => Ok(HealthAnswer::Truthful),
-        "always_live" => Ok(HealthAnswer::AlwaysLive),
-        "always_leaving" => Ok(HealthAnswer::AlwaysLeaving),
+fn health_mode(value: &str) -> Result<HealthMode, ArgumentError> {
+    match value {
+        "truthful" => Ok(HealthMode::Truthful),
+        "always_live" => Ok(HealthMode::AlwaysLive),
+        "always_leaving" => Ok(HealthMode::AlwaysLeaving),
         other => Err(arguments::invalid(
             "health",
             other,
-            "unknown answer",
+            "unknown health mode",
             "truthful, always_live, always_leaving",
         )),
     }
 }
 
-fn settings(given: Given) -> Result<BackendSettings, ArgumentError> {
-    let name = given.scenario.ok_or(ArgumentError::Missing("scenario"))?;
+fn settings(raw: RawArguments) -> Result<BackendSettings, ArgumentError> {
+    let name = raw.scenario.ok_or(ArgumentError::Missing("scenario"))?;
     let scenario = Arc::new(arguments::scenario(&name)?);
-    let service = given.service.ok_or(ArgumentError::Missing("service"))?;
-    let id = given.id.ok_or(ArgumentError::Missing("id"))?;
+    let service = raw.service.ok_or(ArgumentError::Missing("service"))?;
+    let id = raw.id.ok_or(ArgumentError::Missing("id"))?;
     let mut settings = BackendSettings::new(scenario, &service, &id);
-    settings.listen = given.listen.ok_or(ArgumentError::Missing("listen"))?;
-    settings.outbound = given.outbound;
-    settings.faults = given.faults;
-    settings.warm = given.warm;
-    if let Some(limit) = given.queue_limit {
+    settings.listen = raw.listen.ok_or(ArgumentError::Missing("listen"))?;
+    settings.outbound = raw.outbound;
+    settings.faults = raw.faults;
+    settings.warm = raw.warm;
+    if let Some(limit) = raw.queue_limit {
         settings.queue_limit = limit;
     }
-    if let Some(seed) = given.seed {
+    if let Some(seed) = raw.seed {
         settings.seed = seed;
     }
     Ok(settings)
--- a/crates/emulator/src/backend/body.rs
+++ b/crates/emulator/src/backend/body.rs
@@ -1,4 +1,4 @@
-//! Answer bodies, whole or cut by fault.
+//! Response bodies, complete or truncated by an injected fault.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,40 +8,41 @@
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::{Either, Full};
 
-/// The connection was closed by fault
+/// connection closed by an injected fault
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(super) struct ConnectionAborted;
 
 impl std::error::Error for ConnectionAborted {}
 
-/// Body of every answer.
-pub(super) type AnswerBody = Either<WholeBody, CutBody>;
+/// Body of every response.
+pub(super) type ResponseBody = Either<CompleteBody, TruncatedBody>;
 
-/// A body that is sent whole.
-pub(super) type WholeBody = http_body_util::combinators::MapErr<Full<Bytes>, NeverToAborted>;
-type NeverToAborted = fn(std::convert::Infallible) -> ConnectionAborted;
+/// A body that is sent completely.
+pub(super) type CompleteBody =
+    http_body_util::combinators::MapErr<Full<Bytes>, InfallibleToAborted>;
+type InfallibleToAborted = fn(std::convert::Infallible) -> ConnectionAborted;
 
-/// A body that is sent whole.
-pub(super) fn whole(bytes: Bytes) -> AnswerBody {
-    let never: NeverToAborted = |never| match never {};
+/// Returns a body that is sent completely.
+pub(super) fn complete(bytes: Bytes) -> ResponseBody {
+    let never: InfallibleToAborted = |never| match never {};
     Either::Left(http_body_util::BodyExt::map_err(Full::new(bytes), never))
 }
 
-/// A body that declares its full length and breaks off in the middle.
-pub(super) fn cut(bytes: &Bytes) -> AnswerBody {
-    Either::Right(CutBody {
+/// Returns a body that declares the full length and aborts the connection after half of the bytes.
+pub(super) fn truncated(bytes: &Bytes) -> ResponseBody {
+    Either::Right(TruncatedBody {
         declared: bytes.len() as u64,
-        rest: Some(bytes.slice(..bytes.len() / 2)),
+        remaining: Some(bytes.slice(..bytes.len() / 2)),
     })
 }
 
-/// A body that breaks off.
-pub(super) struct CutBody {
+/// A body that ends with an error before its declared length.
+pub(super) struct TruncatedBody {
     declared: u64,
-    rest: Option<Bytes>,
+    remaining: Option<Bytes>,
 }
 
-impl Body for CutBody {
+impl Body for TruncatedBody {
     type Data = Bytes;
     type Error = ConnectionAborted;
 
@@ -49,7 +50,7 @@
         mut self: Pin<&mut Self>,
         _context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ConnectionAborted>>> {
-        let next = match self.rest.take() {
+        let next = match self.remaining.take() {
             Some(part) => Ok(Frame::data(part)),
             None => Err(ConnectionAborted),
         };
--- a/crates/emulator/src/backend/calls.rs
+++ b/crates/emulator/src/backend/calls.rs
@@ -1,4 +1,4 @@
-//! The deeper calls of a back end, through its own daemon.
+//! Calls that a backend makes to other services, through its local daemon.
 
 use std::net::SocketAddr;
 use std::sync::{PoisonError, RwLock};
@@ -14,39 +14,40 @@
 use wharfquay_protocol::headers;
 
 use super::request::BackendRequest;
-use crate::answer_body::{self, BodyFault};
+use crate::response_body::{self, BodyError};
 
-const IDLE_CONNECTION: Duration = Duration::from_secs(20);
-const IDLE_CONNECTIONS: usize = 64;
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Why a deeper call gave no usable answer.
+/// An error that kept an outbound call from returning a valid response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum CallFailure {
-    /// It was answered with an error.
-    Answered {
+    /// The response has a status other than 200.
+    ErrorStatus {
         status: StatusCode,
         retry_after: Option<HeaderValue>,
     },
-    /// No whole answer came back.
-    Lost,
-    /// The answer belongs to another request or is not whole though it ended cleanly.
-    Wrong(BodyFault),
+    /// No complete response was received, or the request could not be sent.
+    NoResponse,
+    /// The status is 200 and the body ended cleanly, but it belongs to another request or is
+    /// truncated or altered.
+    InvalidBody(BodyError),
 }
 
-/// Client of the outbound side of the back end's own daemon.
-pub(super) struct DeeperCalls {
+/// HTTP client for the outbound listener of the local daemon.
+pub(super) struct OutboundCalls {
     outbound: RwLock<Option<SocketAddr>>,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl DeeperCalls {
+impl OutboundCalls {
     pub(super) fn new(outbound: Option<SocketAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_CONNECTION)
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .build(connector);
         Self {
             outbound: RwLock::new(outbound),
@@ -61,8 +62,9 @@
             .unwrap_or_else(PoisonError::into_inner) = Some(address);
     }
 
-    /// Calls `service` on behalf of `request` and checks the answer. `call` identifies this call
-    /// in the records of the callee.
+    /// Calls `service` on behalf of `request` and verifies the response. `call` identifies this
+    /// call in the callee's execution log. `remaining` is the time left until the deadline; without
+    /// it the call has none.
     pub(super) async fn call(
         &self,
         service: &str,
@@ -70,23 +72,24 @@
         call: &str,
         remaining: Option<Duration>,
     ) -> Result<(), CallFailure> {
-        let outgoing = self
-            .outgoing(service, request, call, remaining)
-            .ok_or(CallFailure::Lost)?;
-        let response = self.client.request(outgoing).await;
-        let response = response.map_err(|_| CallFailure::Lost)?;
+        let outbound_request = self
+            .build_request(service, request, call, remaining)
+            .ok_or(CallFailure::NoResponse)?;
+        let response = self.client.request(outbound_request).await;
+        let response = response.map_err(|_| CallFailure::NoResponse)?;
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|_| CallFailure::Lost)?;
+        let body = body.collect().await.map_err(|_| CallFailure::NoResponse)?;
         if head.status != StatusCode::OK {
-            return Err(CallFailure::Answered {
+            return Err(CallFailure::ErrorStatus {
                 status: head.status,
                 retry_after: head.headers.get(RETRY_AFTER).cloned(),
             });
         }
-        answer_body::verify(&body.to_bytes(), service, &request.token).map_err(CallFailure::Wrong)
+        response_body::verify(&body.to_bytes(), service, &request.token)
+            .map_err(CallFailure::InvalidBody)
     }
 
-    fn outgoing(
+    fn build_request(
         &self,
         service: &str,
         request: &BackendRequest,
--- a/crates/emulator/src/backend/endpoints.rs
+++ b/crates/emulator/src/backend/endpoints.rs
@@ -1,18 +1,18 @@
-//! The endpoints beside the service itself: health, load, records, faults and drain.
+//! Control endpoints of a backend: health, load, execution log, faults and drain.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Method, Response, StatusCode};
 use serde::Serialize;
 
-use super::body::{AnswerBody, whole};
+use super::body::{ResponseBody, complete};
 use super::faults::Faults;
 use super::state::BackendState;
 
 const PREFIX: &str = "/wharfquay/";
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// What the health endpoint says.
+/// Body of the health endpoint's response.
 #[derive(Clone, Debug, Serialize)]
 struct Health<'a> {
     id: &'a str,
@@ -20,24 +20,24 @@
     state: &'static str,
 }
 
-/// Answer to a request that can't be served.
+/// Body of an error response.
 #[derive(Clone, Debug, Serialize)]
-struct Problem {
+struct ErrorBody {
     error: String,
 }
 
-/// Whether the path belongs to one of these endpoints.
-pub(super) fn owns(path: &str) -> bool {
+/// Returns true if the path belongs to a control endpoint.
+pub(super) fn handles(path: &str) -> bool {
     path.starts_with(PREFIX)
 }
 
-/// Serves one of these endpoints.
+/// Serves a control endpoint; an unknown one gets 404.
 pub(super) fn serve(
     state: &BackendState,
     method: &Method,
     path: &str,
     body: &Bytes,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     match (method.as_str(), &path[PREFIX.len()..]) {
         ("GET", "health") => health(state),
         ("GET", "load") => json(StatusCode::OK, &state.report().load),
@@ -51,11 +51,11 @@
         ("PUT", "faults") => put_faults(state, body),
         ("POST", "drain") => set_leaving(state, true),
         ("DELETE", "drain") => set_leaving(state, false),
-        _ => problem(StatusCode::NOT_FOUND, "no such endpoint"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such endpoint"),
     }
 }
 
-fn health(state: &BackendState) -> Response<AnswerBody> {
+fn health(state: &BackendState) -> Response<ResponseBody> {
     let health = Health {
         id: &state.settings.id,
         service: &state.settings.service,
@@ -68,31 +68,31 @@
     json(StatusCode::OK, &health)
 }
 
-fn put_faults(state: &BackendState, body: &Bytes) -> Response<AnswerBody> {
+fn put_faults(state: &BackendState, body: &Bytes) -> Response<ResponseBody> {
     match Faults::from_json(body) {
         Ok(faults) => {
             state.set_faults(faults);
             json(StatusCode::OK, &faults)
         }
-        Err(error) => problem(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
-fn set_leaving(state: &BackendState, leaving: bool) -> Response<AnswerBody> {
+fn set_leaving(state: &BackendState, leaving: bool) -> Response<ResponseBody> {
     state.set_leaving(leaving);
     health(state)
 }
 
-fn problem(status: StatusCode, error: &str) -> Response<AnswerBody> {
-    let problem = Problem {
+fn error_response(status: StatusCode, error: &str) -> Response<ResponseBody> {
+    let body = ErrorBody {
         error: error.to_owned(),
     };
-    json(status, &problem)
+    json(status, &body)
 }
 
-fn json<T: Serialize>(status: StatusCode, message: &T) -> Response<AnswerBody> {
+fn json<T: Serialize>(status: StatusCode, message: &T) -> Response<ResponseBody> {
     let text = serde_json::to_vec(message).unwrap_or_default();
-    let mut response = Response::new(whole(text.into()));
+    let mut response = Response::new(complete(text.into()));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, JSON);
     response
--- a/crates/emulator/src/backend/execution.rs
+++ b/crates/emulator/src/backend/execution.rs
@@ -1,4 +1,4 @@
-//! One execution: queue, slot, work, deeper calls, answer.
+//! Execution of one request: queue, slot, service time, outbound calls, response.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,53 +9,53 @@
 use tokio::task::JoinSet;
 use wharfquay_protocol::headers;
 
-use super::body::{AnswerBody, ConnectionAborted, cut, whole};
+use super::body::{ConnectionAborted, ResponseBody, complete, truncated};
 use super::calls::CallFailure;
 use super::record::{ExecutionNumber, ExecutionRecord, ExecutionState, Unexecuted};
 use super::request::BackendRequest;
 use super::speed::work_time;
 use super::state::BackendState;
 use super::{BEFORE_EXECUTION, REFUSED_HEADER};
-use crate::answer_body;
+use crate::response_body;
 use crate::scenario::StepModel;
 
-/// Numbers the calls of this process, so that each deeper call has a name of its own.
+/// Number of the next outbound call of this process, which makes call ids unique.
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
-/// Time from the begin of a request that ends the back end to that end.
-const TIME_TO_END: Duration = Duration::from_millis(30);
+/// Time from the start of an execution that terminates the backend until the termination.
+const TERMINATION_DELAY: Duration = Duration::from_millis(30);
 
-pub(super) type Answer = Result<Response<AnswerBody>, ConnectionAborted>;
+pub(super) type ResponseResult = Result<Response<ResponseBody>, ConnectionAborted>;
 
-/// Serves one request of the scenario.
-pub(super) async fn serve(state: Arc<BackendState>, request: BackendRequest) -> Answer {
+/// Serves one request of a scenario's request kind.
+pub(super) async fn serve(state: Arc<BackendState>, request: BackendRequest) -> ResponseResult {
     let Some((kind, step)) = find_step(&state, &request) else {
         return Ok(refusal(StatusCode::NOT_FOUND, "no step for this request"));
     };
-    if !body_is_whole(&request) {
+    if !has_valid_body(&request) {
         return Ok(refusal(
             StatusCode::BAD_REQUEST,
             "the body is not the token's",
         ));
     }
     let faults = state.faults();
-    if state.hits(faults.close_before) {
-        not_executed(&state, &request, |counts| counts.closed += 1);
+    if state.should_inject(faults.close_before) {
+        record_unexecuted(&state, &request, |counts| counts.closed += 1);
         return Err(ConnectionAborted);
     }
-    if refuses(&state, faults.refuse) {
-        not_executed(&state, &request, |counts| counts.refused += 1);
+    if should_refuse(&state, faults.refuse) {
+        record_unexecuted(&state, &request, |counts| counts.refused += 1);
         return Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, "refused"));
     }
     execute_in_slot(&state, request, &kind, &step).await
 }
 
-fn not_executed(
+fn record_unexecuted(
     state: &BackendState,
     request: &BackendRequest,
     count: impl FnOnce(&mut Unexecuted),
 ) {
-    state.log.not_executed(&request.call, count);
+    state.log.record_unexecuted(&request.call, count);
 }
 
 fn find_step(state: &BackendState, request: &BackendRequest) -> Option<(String, StepModel)> {
@@ -64,17 +64,18 @@
     Some((model.kind.clone(), step.clone()))
 }
 
-/// Callers give each request with a body the body of its token.
-fn body_is_whole(request: &BackendRequest) -> bool {
-    request.body.is_empty() || answer_body::verify(&request.body, "caller", &request.token).is_ok()
+/// Returns true if the body is empty or is the one that callers derive from the request's token.
+fn has_valid_body(request: &BackendRequest) -> bool {
+    request.body.is_empty()
+        || response_body::verify(&request.body, "caller", &request.token).is_ok()
 }
 
-fn refuses(state: &BackendState, share: f64) -> bool {
-    let Some(leaving_for) = state.leaving_for() else {
-        return state.hits(share);
+fn should_refuse(state: &BackendState, share: f64) -> bool {
+    let Some(time_since_drain_started) = state.time_since_drain_started() else {
+        return state.should_inject(share);
     };
-    let millis = u64::try_from(leaving_for.as_millis()).unwrap_or(u64::MAX);
-    state.log.note(|counts| {
+    let millis = u64::try_from(time_since_drain_started.as_millis()).unwrap_or(u64::MAX);
+    state.log.update_counts(|counts| {
         counts.after_drain += 1;
         counts.last_after_drain_ms = millis;
     });
@@ -86,26 +87,26 @@
     request: BackendRequest,
     kind: &str,
     step: &StepModel,
-) -> Answer {
+) -> ResponseResult {
     let deadline = request.deadline.map(|remaining| Instant::now() + remaining);
-    let in_queue = LeavesQueue::new(state, &request.call);
-    let taken = match deadline {
+    let queued = QueuedRequest::new(state, &request.call);
+    let acquired = match deadline {
         Some(deadline) => tokio::time::timeout_at(deadline.into(), state.slots.take()).await,
         None => Ok(state.slots.take().await),
     };
-    let Ok(taken) = taken else {
+    let Ok(acquired) = acquired else {
         return Ok(refusal(StatusCode::GATEWAY_TIMEOUT, "deadline in queue"));
     };
-    in_queue.done();
-    let Ok(_slot) = taken else {
-        not_executed(state, &request, |counts| counts.refused += 1);
+    queued.dequeue();
+    let Ok(_slot) = acquired else {
+        record_unexecuted(state, &request, |counts| counts.refused += 1);
         return Ok(refusal(StatusCode::SERVICE_UNAVAILABLE, "queue full"));
     };
     let running = RunningExecution::start(state, &request, kind);
-    if state.ends_under(&request.token) {
-        tokio::time::sleep(TIME_TO_END).await;
-        state.end.notify_one();
-        // The end takes this task along.
+    if state.terminates_on(&request.token) {
+        tokio::time::sleep(TERMINATION_DELAY).await;
+        state.terminate.notify_one();
+        // The termination drops this task.
         std::future::pending::<()>().await;
     }
     let execution = execute(state, &request, step, deadline);
@@ -115,16 +116,16 @@
     };
     match result {
         Ok(Ok(())) => {
-            running.end(ExecutionState::Completed);
-            completed_answer(state, &request).await
+            running.finish(ExecutionState::Completed);
+            completed_response(state, &request).await
         }
         Ok(Err(failure)) => {
-            running.end(failure_state(&failure));
-            Ok(failure_answer(state, &failure))
+            running.finish(failure_state(&failure));
+            Ok(failure_response(state, &failure))
         }
         Err(_) => {
-            running.end(ExecutionState::DeadlineExceeded);
-            Ok(plain(
+            running.finish(ExecutionState::DeadlineExceeded);
+            Ok(plain_response(
                 state,
                 StatusCode::GATEWAY_TIMEOUT,
                 "deadline exceeded",
@@ -140,7 +141,7 @@
     deadline: Option<Instant>,
 ) -> Result<(), CallFailure> {
     let mean = Duration::from_micros(step.work_us);
-    let work = work_time(mean, &mut *state.rng()).mul_f64(state.work_factor());
+    let work = work_time(mean, &mut *state.rng()).mul_f64(state.service_time_factor());
     if !work.is_zero() {
         tokio::time::sleep(work).await;
     }
@@ -148,7 +149,7 @@
         return call_concurrently(state, request, step, deadline).await;
     }
     for service in &step.calls {
-        call(state, request, service, deadline).await?;
+        call_service(state, request, service, deadline).await?;
     }
     Ok(())
 }
@@ -163,82 +164,95 @@
     for service in step.calls.clone() {
         let state = Arc::clone(state);
         let request = request.clone();
-        calls.spawn(async move { call(&state, &request, &service, deadline).await });
+        calls.spawn(async move { call_service(&state, &request, &service, deadline).await });
     }
     while let Some(result) = calls.join_next().await {
-        result.unwrap_or(Err(CallFailure::Lost))?;
+        result.unwrap_or(Err(CallFailure::NoResponse))?;
     }
     Ok(())
 }
 
-async fn call(
+async fn call_service(
     state: &BackendState,
     request: &BackendRequest,
     service: &str,
     deadline: Option<Instant>,
 ) -> Result<(), CallFailure> {
     let number = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
-    let name = format!("{}.{}-{number}", request.call, state.settings.id);
+    let call_id = format!("{}.{}-{number}", request.call, state.settings.id);
     let remaining = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
-    state.calls.call(service, request, &name, remaining).await
+    state
+        .calls
+        .call(service, request, &call_id, remaining)
+        .await
 }
 
 const fn failure_state(failure: &CallFailure) -> ExecutionState {
     match failure {
-        CallFailure::Wrong(_) => ExecutionState::WrongDeeperAnswer,
-        CallFailure::Answered { .. } | CallFailure::Lost => ExecutionState::DependencyFailed,
+        CallFailure::InvalidBody(_) => ExecutionState::WrongDeeperAnswer,
+        CallFailure::ErrorStatus { .. } | CallFailure::NoResponse => {
+            ExecutionState::DependencyFailed
+        }
     }
 }
 
-async fn completed_answer(state: &BackendState, request: &BackendRequest) -> Answer {
+async fn completed_response(state: &BackendState, request: &BackendRequest) -> ResponseResult {
     let faults = state.faults();
-    if state.hits(faults.hang) {
+    if state.should_inject(faults.hang) {
         std::future::pending::<()>().await;
     }
-    if state.hits(faults.close_after) {
+    if state.should_inject(faults.close_after) {
         return Err(ConnectionAborted);
     }
-    let bytes = answer_body::render(&state.settings.service, &request.token);
-    let body = if state.hits(faults.cut_answer) {
-        cut(&bytes)
+    let bytes = response_body::render(&state.settings.service, &request.token);
+    let body = if state.should_inject(faults.cut_answer) {
+        truncated(&bytes)
     } else {
-        whole(bytes)
+        complete(bytes)
     };
-    Ok(with_load(state, Response::new(body)))
+    Ok(with_load_header(state, Response::new(body)))
 }
 
-/// Passes the status of a failed deeper call on, with its advice on when to come back.
-fn failure_answer(state: &BackendState, failure: &CallFailure) -> Response<AnswerBody> {
-    let CallFailure::Answered {
+/// Returns the status and the Retry-After header of a failed outbound call, or 502 if that call got
+/// no valid response.
+fn failure_response(state: &BackendState, failure: &CallFailure) -> Response<ResponseBody> {
+    let CallFailure::ErrorStatus {
         status,
         retry_after,
     } = failure
     else {
-        return plain(state, StatusCode::BAD_GATEWAY, "deeper call lost");
+        return plain_response(state, StatusCode::BAD_GATEWAY, "deeper call lost");
     };
-    let mut response = plain(state, *status, "deeper call failed");
+    let mut response = plain_response(state, *status, "deeper call failed");
     if let Some(value) = retry_after {
         response.headers_mut().insert(RETRY_AFTER, value.clone());
     }
     response
 }
 
-fn plain(state: &BackendState, status: StatusCode, text: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(text.into()));
+fn plain_response(
+    state: &BackendState,
+    status: StatusCode,
+    text: &'static str,
+) -> Response<ResponseBody> {
+    let mut response = Response::new(complete(text.into()));
     *response.status_mut() = status;
-    with_load(state, response)
+    with_load_header(state, response)
 }
 
-/// An answer that says that nothing was executed.
-fn refusal(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(whole(text.into()));
+/// Returns a response which states that the request was not executed.
+fn refusal(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(complete(text.into()));
     *response.status_mut() = status;
     let value = http::HeaderValue::from_static(BEFORE_EXECUTION);
     response.headers_mut().insert(REFUSED_HEADER, value);
     response
 }
 
-fn with_load(state: &BackendState, mut response: Response<AnswerBody>) -> Response<AnswerBody> {
+fn with_load_header(
+    state: &BackendState,
+    mut response: Response<ResponseBody>,
+) -> Response<ResponseBody> {
     let load = state.reported_in_flight();
     response
         .headers_mut()
@@ -246,11 +260,11 @@
     response
 }
 
-/// Records an execution; one that is dropped before its end was cancelled.
+/// Guard of an execution; dropping it before [`Self::finish`] records the execution as cancelled.
 struct RunningExecution<'a> {
     state: &'a BackendState,
     number: ExecutionNumber,
-    ended: bool,
+    finished: bool,
 }
 
 impl<'a> RunningExecution<'a> {
@@ -268,47 +282,54 @@
         Self {
             state,
             number,
-            ended: false,
+            finished: false,
         }
     }
 
-    fn end(mut self, execution_state: ExecutionState) {
-        self.state.log.end(self.number, execution_state);
-        self.ended = true;
+    fn finish(mut self, execution_state: ExecutionState) {
+        self.state.log.finish(self.number, execution_state);
+        self.finished = true;
     }
 }
 
 impl Drop for RunningExecution<'_> {
     fn drop(&mut self) {
-        if !self.ended {
-            self.state.log.end(self.number, ExecutionState::Cancelled);
+        if !self.finished {
+            self.state
+                .log
+                .finish(self.number, ExecutionState::Cancelled);
         }
     }
 }
 
-/// Counts a request that leaves the queue without a slot.
-struct LeavesQueue<'a> {
+/// Guard of a queued request; dropping it before [`Self::dequeue`] counts the request as one whose
+/// caller disconnected or whose deadline passed in the queue.
+struct QueuedRequest<'a> {
     state: &'a BackendState,
     call: &'a str,
-    done: bool,
+    dequeued: bool,
 }
 
-impl<'a> LeavesQueue<'a> {
+impl<'a> QueuedRequest<'a> {
     const fn new(state: &'a BackendState, call: &'a str) -> Self {
-        let done = false;
-        Self { state, call, done }
+        let dequeued = false;
+        Self {
+            state,
+            call,
+            dequeued,
+        }
     }
 
-    fn done(mut self) {
-        self.done = true;
+    fn dequeue(mut self) {
+        self.dequeued = true;
     }
 }
 
-impl Drop for LeavesQueue<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
-        if !self.done {
+        if !self.dequeued {
             let count = |counts: &mut Unexecuted| counts.left_queue += 1;
-            self.state.log.not_executed(self.call, count);
+            self.state.log.record_unexecuted(self.call, count);
         }
     }
 }
--- a/crates/emulator/src/backend/faults.rs
+++ b/crates/emulator/src/backend/faults.rs
@@ -1,45 +1,45 @@
-//! Faults of a back end that can be switched while it runs.
+//! Faults of a backend, which can be changed while it runs.
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// What the health endpoint says.
+/// State that the health endpoint reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HealthAnswer {
-    /// The state as it is.
+pub enum HealthMode {
+    /// Reports the actual state.
     #[default]
     Truthful,
-    /// Live, whatever the state.
+    /// Reports live regardless of the actual state.
     AlwaysLive,
-    /// Leaving, whatever the state.
+    /// Reports leaving regardless of the actual state.
     AlwaysLeaving,
 }
 
-/// The faults in force. Shares are probabilities per request, 0 to 1.
+/// The injected faults. Shares are probabilities per request, 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// Factor on the service time; 1 is normal. 0.01 to 1000.
     pub slow: f64,
-    /// Share of answers that are cut in the middle of their body.
+    /// Share of responses whose body is truncated in the middle.
     pub cut_answer: f64,
     /// Share of requests whose connection is closed before execution.
     pub close_before: f64,
-    /// Share of requests whose connection is closed after execution, without an answer.
+    /// Share of requests whose connection is closed after execution, without a response.
     pub close_after: f64,
     /// Share of requests that are refused before execution.
     pub refuse: f64,
-    /// Share of requests that are executed and never answered.
+    /// Share of requests that are executed and get no response while the connection stays open.
     pub hang: f64,
-    /// Share of requests, told by their tokens, that end each back end which begins to execute them. It is back, at the
-    /// same address, a second later.
+    /// Share of requests, selected by a hash of their token, that terminate every backend that
+    /// starts to execute them. The backend listens on the same address again after a second.
     pub end: f64,
-    /// What the health endpoint says.
-    pub health: HealthAnswer,
-    /// Age of what health and load endpoints say, in milliseconds. 0 to 600000.
+    /// State that the health endpoint reports.
+    pub health: HealthMode,
+    /// Age of the state that the health and load endpoints report, in milliseconds. 0 to 600000.
     pub report_lag_ms: u64,
-    /// Factor on the load that is reported; 1 is the truth. 0 to 1000.
+    /// Factor on the reported load; 1 reports the actual load. 0 to 1000.
     pub load_factor: f64,
 }
 
@@ -53,38 +53,38 @@
             refuse: 0.0,
             hang: 0.0,
             end: 0.0,
-            health: HealthAnswer::Truthful,
+            health: HealthMode::Truthful,
             report_lag_ms: 0,
             load_factor: 1.0,
         }
     }
 }
 
-/// Why faults can't be put in force.
+/// An error in a specification of faults.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum FaultError {
     /// {0}
     Malformed(String),
     /// {field}: {given} is out of range (allowed: {allowed})
     OutOfRange {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What was given.
+        /// The specified value.
         given: f64,
-        /// The range.
+        /// Allowed range.
         allowed: &'static str,
     },
 }
 
 impl std::error::Error for FaultError {}
 
-const LONGEST_LAG_MS: f64 = 600_000.0;
+const MAX_LAG_MS: f64 = 600_000.0;
 
 impl Faults {
-    /// Reads faults from JSON; absent fields are without fault.
+    /// Parses faults from JSON; an absent field injects no fault.
     ///
     /// # Errors
-    /// [`FaultError`] when the text is malformed or a value is out of range.
+    /// [`FaultError`] if the text is malformed or a value is out of range.
     pub fn from_json(text: &[u8]) -> Result<Self, FaultError> {
         let faults: Self = serde_json::from_slice(text)
             .map_err(|error| FaultError::Malformed(error.to_string()))?;
@@ -92,7 +92,7 @@
         Ok(faults)
     }
 
-    /// Checks the ranges.
+    /// Checks the range of every field.
     ///
     /// # Errors
     /// [`FaultError::OutOfRange`] names the first field that is out of range.
@@ -100,7 +100,7 @@
         check("slow", self.slow, 0.01, 1_000.0, "0.01 to 1000")?;
         check("load_factor", self.load_factor, 0.0, 1_000.0, "0 to 1000")?;
         let lag = self.report_lag_ms as f64;
-        check("report_lag_ms", lag, 0.0, LONGEST_LAG_MS, "0 to 600000")?;
+        check("report_lag_ms", lag, 0.0, MAX_LAG_MS, "0 to 600000")?;
         let shares = [
             ("cut_answer", self.cut_answer),
             ("close_before", self.close_before),
--- a/crates/emulator/src/backend/mod.rs
+++ b/crates/emulator/src/backend/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in for a back end: slots, connection limit, service time, cold start, drain and faults.
+//! Emulated backend with execution slots, a connection limit, random service times, a cold start,
+//! drain and fault injection.
 
 pub mod arguments;
 mod body;
@@ -16,7 +17,7 @@
 pub use server::{RunningBackend, StartError};
 pub use state::BackendSettings;
 
-/// Header of an answer that says that the request was provably not executed.
+/// Response header which guarantees that the backend did not execute the request.
 pub const REFUSED_HEADER: http::HeaderName = http::HeaderName::from_static("wharfquay-refused");
-/// Value of [`REFUSED_HEADER`].
+/// The only value of [`REFUSED_HEADER`].
 pub const BEFORE_EXECUTION: &str = "before-execution";
--- a/crates/emulator/src/backend/record.rs
+++ b/crates/emulator/src/backend/record.rs
@@ -1,88 +1,90 @@
-//! The record of every execution, by originating request.
+//! Log of every execution of a backend, with the originating request of each.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use serde::{Deserialize, Serialize};
 
-/// How an execution stands.
+/// State of an execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionState {
-    /// In a slot.
+    /// Occupies a slot.
     Running,
-    /// Done; its effect took place.
+    /// Completed; its effect took place.
     Completed,
-    /// A deeper call gave no usable answer.
+    /// An outbound call failed or got no complete response.
     DependencyFailed,
-    /// A deeper call gave the answer of another request, or a part of one.
+    /// An outbound call got the response to another request, or a truncated or altered one, as if it
+    /// were valid.
     WrongDeeperAnswer,
-    /// The caller went away.
+    /// The caller disconnected, or the backend terminated.
     Cancelled,
-    /// The deadline passed.
+    /// The deadline passed during the execution.
     DeadlineExceeded,
 }
 
-/// One execution.
+/// Record of one execution.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionRecord {
-    /// Origin id that the back end's daemon gave; empty without a daemon.
+    /// Origin id from the header that the daemon sets; empty without a daemon.
     pub origin: String,
-    /// Token of the caller's originating request.
+    /// Token of the originating request.
     pub token: String,
-    /// Identity of the logical call; retries by daemons keep it. It begins with the identity of
-    /// the call that caused it, up to a dot.
+    /// Id of the logical call, which daemons keep when they retry it. It consists of the id of the
+    /// parent call, a dot and a suffix of its own; calls of callers have no dot.
     pub call: String,
-    /// Request kind.
+    /// Name of the request kind.
     pub request_kind: String,
-    /// Idempotency key, when the request carries one.
+    /// Idempotency key, if the request carries one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idempotency_key: Option<String>,
-    /// Unix time at which the execution took its slot, in microseconds.
+    /// Unix time at which the execution acquired its slot, in microseconds.
     pub started_us: u64,
-    /// Unix time at which the execution ended, in microseconds; zero while it runs.
+    /// Unix time at which the execution completed, failed or was cancelled, in microseconds; zero
+    /// while it runs.
     pub ended_us: u64,
-    /// How the execution stands.
+    /// State of the execution.
     pub state: ExecutionState,
 }
 
-/// What the back end received without executing it.
+/// Counts of requests and connections that the backend received without executing anything.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unexecuted {
-    /// Refused because the queue was full, by fault or while draining.
+    /// Requests refused because of a full queue, an injected fault or a drain.
     pub refused: u64,
-    /// Callers that went away, or deadlines that passed, in the queue.
+    /// Requests that left the queue because their caller disconnected or their deadline passed.
     pub left_queue: u64,
-    /// Requests whose connection was closed by fault.
+    /// Requests whose connection an injected fault closed before execution.
     pub closed: u64,
-    /// Connections that were closed over the limit.
+    /// Connections closed because the connection limit was reached.
     pub connections_over_limit: u64,
-    /// Requests that arrived after the drain began.
+    /// Requests that arrived after the drain started.
     pub after_drain: u64,
     /// Time from the start of the drain to the last request, in milliseconds.
     pub last_after_drain_ms: u64,
 }
 
-/// Everything that a back end recorded.
+/// Contents of a backend's execution log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionReport {
-    /// The back end.
+    /// Id of the backend.
     pub id: String,
-    /// Its service.
+    /// Name of the backend's service.
     pub service: String,
-    /// The executions in order of their start.
+    /// Executions, ordered by start.
     pub executions: Vec<ExecutionRecord>,
-    /// Logical calls that arrived without being executed, once per arrival.
+    /// Ids of logical calls that arrived and were not executed, once per arrival.
     pub unexecuted_calls: Vec<String>,
-    /// What was not executed.
+    /// Counts of what was not executed, by reason.
     pub unexecuted: Unexecuted,
 }
 
-/// Position of an execution in the record.
+/// Index of an execution in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionNumber(usize);
 
-/// The record of one back end.
+/// Execution log of one backend.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     inner: Mutex<LogInner>,
@@ -96,7 +98,7 @@
 }
 
 impl ExecutionLog {
-    /// Notes an execution that takes its slot now.
+    /// Records the start of an execution and sets its start time and state.
     pub fn start(&self, mut record: ExecutionRecord) -> ExecutionNumber {
         record.started_us = unix_micros();
         record.ended_us = 0;
@@ -106,8 +108,8 @@
         ExecutionNumber(inner.executions.len() - 1)
     }
 
-    /// Notes how an execution ended.
-    pub fn end(&self, number: ExecutionNumber, state: ExecutionState) {
+    /// Records the final state of an execution.
+    pub fn finish(&self, number: ExecutionNumber, state: ExecutionState) {
         let mut inner = self.lock();
         if let Some(record) = inner.executions.get_mut(number.0) {
             record.ended_us = unix_micros();
@@ -115,19 +117,19 @@
         }
     }
 
-    /// Notes that a request of this logical call was not executed, and counts why.
-    pub fn not_executed(&self, call: &str, change: impl FnOnce(&mut Unexecuted)) {
+    /// Records that a request of this logical call was not executed; `change` counts the reason.
+    pub fn record_unexecuted(&self, call: &str, change: impl FnOnce(&mut Unexecuted)) {
         let mut inner = self.lock();
         change(&mut inner.unexecuted);
         inner.unexecuted_calls.push(call.to_owned());
     }
 
-    /// Changes the counts of what was not executed.
-    pub fn note(&self, change: impl FnOnce(&mut Unexecuted)) {
+    /// Updates the counts of what was not executed.
+    pub fn update_counts(&self, change: impl FnOnce(&mut Unexecuted)) {
         change(&mut self.lock().unexecuted);
     }
 
-    /// A copy of everything recorded so far.
+    /// Returns a copy of the log.
     #[must_use]
     pub fn report(&self, id: &str, service: &str) -> ExecutionReport {
         let inner = self.lock();
@@ -145,7 +147,7 @@
     }
 }
 
-/// Unix time in microseconds.
+/// Returns the current Unix time in microseconds.
 #[must_use]
 pub fn unix_micros() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/emulator/src/backend/request.rs
+++ b/crates/emulator/src/backend/request.rs
@@ -1,4 +1,4 @@
-//! What a back end reads from a request: its kind, token, identity and deadline.
+//! Fields that a backend reads from a request: kind, token, ids and deadline.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::scenario::{RequestModel, Scenario};
 
-/// A request, read whole.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub(super) struct BackendRequest {
     pub(super) method: Method,
@@ -23,7 +23,7 @@
 }
 
 impl BackendRequest {
-    /// Reads head and body.
+    /// Reads the fields from the head; absent query parameters become empty strings.
     pub(super) fn new<B>(request: &Request<B>, body: Bytes) -> Self {
         let query = request.uri().query().unwrap_or_default();
         let header_values = request.headers();
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The request kind: method and the longest matching path.
+    /// Returns the request kind with the same method and the longest matching path prefix.
     pub(super) fn model<'a>(&self, scenario: &'a Scenario) -> Option<&'a RequestModel> {
         scenario
             .requests
@@ -53,7 +53,7 @@
             .max_by_key(|model| model.path.len())
     }
 
-    /// The origin id as text; empty without a daemon.
+    /// Returns the origin id as text; empty without a daemon.
     pub(super) fn origin_text(&self) -> String {
         let text = self.origin.as_ref().and_then(|value| value.to_str().ok());
         text.unwrap_or_default().to_owned()
--- a/crates/emulator/src/backend/server.rs
+++ b/crates/emulator/src/backend/server.rs
@@ -1,4 +1,4 @@
-//! Listener and connections of a back end.
+//! Listener and connections of an emulated backend.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,28 +16,28 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use super::body::whole;
-use super::execution::{self, Answer};
+use super::body::complete;
+use super::execution::{self, ResponseResult};
 use super::faults::Faults;
 use super::record::ExecutionReport;
 use super::request::BackendRequest;
 use super::state::{BackendSettings, BackendState};
 use super::{body::ConnectionAborted, endpoints};
 
-const LARGEST_BODY: usize = 1_024 * 1_024;
-/// Time until a back end that ended is back.
-const TIME_DOWN: Duration = Duration::from_secs(1);
-const REPORT_SAMPLE: Duration = Duration::from_millis(100);
+const MAX_BODY_BYTES: usize = 1_024 * 1_024;
+/// Time from the termination of a backend until it listens again.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
+const REPORT_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 const REPORT_HISTORY: Duration = Duration::from_secs(60);
 
-/// Why a back end can't start.
+/// An error that prevents a backend from starting.
 #[derive(Debug, Display)]
 pub enum StartError {
     /// listen {address}: {source}
     Listen {
-        /// The address.
+        /// Address of the settings.
         address: SocketAddr,
-        /// What the operating system reported.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// service: "{0}" is not in the scenario (allowed: {1})
@@ -46,7 +46,7 @@
 
 impl std::error::Error for StartError {}
 
-/// A back end that serves.
+/// A running emulated backend; dropping it stops it.
 pub struct RunningBackend {
     address: SocketAddr,
     state: Arc<BackendState>,
@@ -55,10 +55,10 @@
 }
 
 impl RunningBackend {
-    /// Starts a back end.
+    /// Starts a backend.
     ///
     /// # Errors
-    /// [`StartError`] when the service is unknown or the address can't be listened on.
+    /// [`StartError`] if the scenario lacks the service or the address can't be bound.
     pub async fn start(settings: BackendSettings) -> Result<Self, StartError> {
         let Some(model) = settings.scenario.service(&settings.service).cloned() else {
             return Err(unknown_service(&settings));
@@ -71,49 +71,53 @@
         let state = Arc::new(BackendState::new(settings, model));
         state.sample_report(REPORT_HISTORY);
         let stop = CancellationToken::new();
-        let accepting = tokio::spawn(live(listener, Arc::clone(&state), stop.clone()));
+        let serving = tokio::spawn(serve_with_restarts(
+            listener,
+            Arc::clone(&state),
+            stop.clone(),
+        ));
         let sampling = tokio::spawn(sample_reports(Arc::clone(&state), stop.clone()));
         Ok(Self {
             address,
             state,
             stop,
-            tasks: vec![accepting, sampling],
+            tasks: vec![serving, sampling],
         })
     }
 
-    /// Where the back end listens.
+    /// Returns the address that the backend listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets where deeper calls go.
+    /// Sets the address that outbound calls are sent to.
     pub fn set_outbound(&self, address: SocketAddr) {
         self.state.calls.set_outbound(address);
     }
 
-    /// Puts faults in force.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state.set_faults(faults);
     }
 
-    /// Begins the drain.
+    /// Starts the drain: further requests are refused, executions in flight complete.
     pub fn drain(&self) {
         self.state.set_leaving(true);
     }
 
-    /// Everything recorded so far.
+    /// Returns a copy of the execution log.
     #[must_use]
     pub fn report(&self) -> ExecutionReport {
         let settings = &self.state.settings;
         self.state.log.report(&settings.id, &settings.service)
     }
 
-    /// Closes listener and connections; executions under way are cancelled.
+    /// Closes the listener and all connections, which cancels the executions in flight.
     pub async fn shutdown(mut self) {
         self.stop.cancel();
         for task in std::mem::take(&mut self.tasks) {
-            // A task that panicked has ended too.
+            // The result doesn't matter: a task that panicked has stopped as well.
             let _ended = task.await;
         }
     }
@@ -138,7 +142,7 @@
 }
 
 async fn sample_reports(state: Arc<BackendState>, stop: CancellationToken) {
-    let mut interval = tokio::time::interval(REPORT_SAMPLE);
+    let mut interval = tokio::time::interval(REPORT_SAMPLE_INTERVAL);
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
@@ -147,27 +151,37 @@
     }
 }
 
-/// Serves, ends as a process would when a request ends the back end, and is back at the same address a while later.
-async fn live(first: TcpListener, state: Arc<BackendState>, stop: CancellationToken) {
+/// Serves until `stop`. When a request terminates the backend, closes the listener and all
+/// connections like the exit of a process and listens on the same address again after
+/// [`RESTART_DELAY`].
+async fn serve_with_restarts(
+    first: TcpListener,
+    state: Arc<BackendState>,
+    stop: CancellationToken,
+) {
     let Ok(address) = first.local_addr() else {
         return;
     };
     let mut listener = first;
     loop {
-        let life = stop.child_token();
+        let incarnation = stop.child_token();
         tokio::select! {
-            () = accept(listener, Arc::clone(&state), life.clone()) => return,
-            () = state.end.notified() => life.cancel(),
+            () = accept_connections(listener, Arc::clone(&state), incarnation.clone()) => return,
+            () = state.terminate.notified() => incarnation.cancel(),
         }
-        tokio::time::sleep(TIME_DOWN).await;
+        tokio::time::sleep(RESTART_DELAY).await;
         match listen(address).await {
-            Ok(again) => listener = again,
+            Ok(rebound) => listener = rebound,
             Err(error) => return log::error!("event=backend_not_back error=\"{error}\""),
         }
     }
 }
 
-async fn accept(listener: TcpListener, state: Arc<BackendState>, stop: CancellationToken) {
+async fn accept_connections(
+    listener: TcpListener,
+    state: Arc<BackendState>,
+    stop: CancellationToken,
+) {
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
@@ -183,18 +197,20 @@
     }
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts one open connection until it is dropped.
 struct OpenConnection(Arc<BackendState>);
 
 impl OpenConnection {
-    /// Counts one more connection, unless the limit is reached.
+    /// Counts one more connection, or returns `None` if the limit is reached.
     fn count(state: &Arc<BackendState>) -> Option<Self> {
         let open = state.connections.fetch_add(1, Ordering::Relaxed);
         let counted = Self(Arc::clone(state));
         if open < state.model.connections as usize {
             return Some(counted);
         }
-        state.log.note(|counts| counts.connections_over_limit += 1);
+        state
+            .log
+            .update_counts(|counts| counts.connections_over_limit += 1);
         None
     }
 }
@@ -206,9 +222,9 @@
 }
 
 async fn serve_connection(stream: TcpStream, open: OpenConnection, stop: CancellationToken) {
-    let set_up = Duration::from_micros(open.0.model.connect_us);
-    if !set_up.is_zero() {
-        tokio::time::sleep(set_up).await;
+    let setup_time = Duration::from_micros(open.0.model.connect_us);
+    if !setup_time.is_zero() {
+        tokio::time::sleep(setup_time).await;
     }
     if stream.set_nodelay(true).is_err() {
         return;
@@ -221,23 +237,23 @@
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         () = stop.cancelled() => {}
-        // An error here is the peer's loss of the connection, or a fault that closed it.
+        // An error means that the peer lost the connection or an injected fault closed it.
         _ended = connection => {}
     }
 }
 
-async fn respond(state: Arc<BackendState>, request: Request<Incoming>) -> Answer {
+async fn respond(state: Arc<BackendState>, request: Request<Incoming>) -> ResponseResult {
     let (head, body) = request.into_parts();
-    let body = match Limited::new(body, LARGEST_BODY).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-            let mut response = http::Response::new(whole("body too large".into()));
+            let mut response = http::Response::new(complete("body too large".into()));
             *response.status_mut() = StatusCode::PAYLOAD_TOO_LARGE;
             return Ok(response);
         }
         Err(_) => return Err(ConnectionAborted),
     };
-    if endpoints::owns(head.uri.path()) {
+    if endpoints::handles(head.uri.path()) {
         let path = head.uri.path();
         return Ok(endpoints::serve(&state, &head.method, path, &body));
     }
--- a/crates/emulator/src/backend/slots.rs
+++ b/crates/emulator/src/backend/slots.rs
@@ -1,11 +1,11 @@
-//! Slots and the back end's own queue in order of arrival, as a naive server has it.
+//! Execution slots and the backend's FIFO queue, as a server without admission control has them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A fixed number of slots and a bounded queue before them.
+/// A fixed number of execution slots and a bounded FIFO queue in front of them.
 #[derive(Debug)]
 pub(super) struct Slots {
     semaphore: Arc<Semaphore>,
@@ -14,27 +14,27 @@
     queue_limit: usize,
 }
 
-/// A taken slot; free again when dropped.
+/// An occupied slot; dropping it frees the slot.
 #[derive(Debug)]
 pub(super) struct Slot {
     _permit: OwnedSemaphorePermit,
 }
 
-/// The queue is full.
+/// An error that means that no slot is free and the queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueueFull;
 
-/// Counts one waiting request for as long as it lives.
-struct Waiting(Arc<AtomicUsize>);
+/// Counts one queued request until it is dropped.
+struct QueuedCount(Arc<AtomicUsize>);
 
-impl Drop for Waiting {
+impl Drop for QueuedCount {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Slots {
-    /// `slots` executions at a time and at most `queue_limit` requests that wait.
+    /// Creates `slots` free slots and an empty queue for at most `queue_limit` requests.
     #[must_use]
     pub(super) fn new(slots: usize, queue_limit: usize) -> Self {
         Self {
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Takes a slot, waiting in order of arrival. Dropping the future leaves the queue.
+    /// Acquires a slot, waiting in order of arrival. Dropping the future leaves the queue.
     ///
     /// # Errors
-    /// [`QueueFull`] when no slot is free and the queue is at its limit.
+    /// [`QueueFull`] if no slot is free and the queue is at its limit.
     pub(super) async fn take(&self) -> Result<Slot, QueueFull> {
         if let Ok(permit) = Arc::clone(&self.semaphore).try_acquire_owned() {
             return Ok(Slot { _permit: permit });
         }
-        let already_waiting = self.queued.fetch_add(1, Ordering::Relaxed);
-        let _waiting = Waiting(Arc::clone(&self.queued));
-        if already_waiting >= self.queue_limit {
+        let already_queued = self.queued.fetch_add(1, Ordering::Relaxed);
+        let _queued_count = QueuedCount(Arc::clone(&self.queued));
+        if already_queued >= self.queue_limit {
             return Err(QueueFull);
         }
         let permit = Arc::clone(&self.semaphore).acquire_owned().await;
@@ -64,13 +64,13 @@
             .map_err(|_| QueueFull)
     }
 
-    /// Executions under way.
+    /// Returns the number of occupied slots.
     #[must_use]
     pub(super) fn in_flight(&self) -> usize {
         self.slots - self.semaphore.available_permits()
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub(super) fn queued(&self) -> usize {
         self.queued.load(Ordering::Relaxed)
--- a/crates/emulator/src/backend/speed.rs
+++ b/crates/emulator/src/backend/speed.rs
@@ -1,24 +1,24 @@
-//! Service time: the step's distribution, cold start and the slow fault.
+//! Service time of an execution and its increase during the cold start.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// How many times longer work takes at the start of a cold back end.
+/// Factor on the service time of a backend that has just started cold.
 const COLD_FACTOR: f64 = 3.0;
 
-/// Time of one execution without its deeper calls: half the mean is certain, the rest is
-/// exponentially distributed.
+/// Returns a random service time with this mean, without the time of outbound calls: half of the
+/// mean is fixed, the other half is the mean of an exponential distribution.
 #[must_use]
 pub fn work_time(mean: Duration, rng: &mut impl Rng) -> Duration {
-    let certain = mean / 2;
+    let fixed = mean / 2;
     let uniform: f64 = rng.random();
     let exponential = -(1.0 - uniform).ln();
-    certain + (mean - certain).mul_f64(exponential)
+    fixed + (mean - fixed).mul_f64(exponential)
 }
 
-/// Factor on the work of a back end that started `age` ago: falls in a line from three to one
-/// over the cold start.
+/// Returns the factor on the service time of a backend that started `age` ago. It falls linearly
+/// from three to one during the cold start.
 #[must_use]
 pub fn cold_factor(age: Duration, cold_start: Duration) -> f64 {
     if age >= cold_start {
--- a/crates/emulator/src/backend/state.rs
+++ b/crates/emulator/src/backend/state.rs
@@ -1,4 +1,4 @@
-//! What the connections of one back end share.
+//! State that the connections of one backend share.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,39 +10,40 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use super::calls::DeeperCalls;
-use super::faults::{Faults, HealthAnswer};
+use super::calls::OutboundCalls;
+use super::faults::{Faults, HealthMode};
 use super::record::ExecutionLog;
 use super::slots::Slots;
 use crate::scenario::{Scenario, ServiceModel};
 
 const DEFAULT_QUEUE_LIMIT: usize = 1_000;
 
-/// Settings of a back end.
+/// Settings of an emulated backend.
 #[derive(Clone, Debug)]
 pub struct BackendSettings {
-    /// The deployment, for the steps of the service.
+    /// The scenario, which defines the steps of the service.
     pub scenario: Arc<Scenario>,
-    /// Service that the back end belongs to.
+    /// Name of the service that the backend belongs to.
     pub service: String,
-    /// Name in records.
+    /// Id of the backend, used in its execution log and in call ids.
     pub id: String,
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where its deeper calls go; may be set after the start.
+    /// Address that outbound calls are sent to, usually the outbound listener of the local daemon.
+    /// Absent until set; calls fail until then.
     pub outbound: Option<SocketAddr>,
-    /// Whether it starts at full speed, as if its cold start were over.
+    /// True if the backend starts at full speed, without a cold start.
     pub warm: bool,
-    /// Requests that wait for a slot before others are refused.
+    /// Maximum number of queued requests; further requests are refused.
     pub queue_limit: usize,
-    /// Seed of service times and faults.
+    /// Seed of the random service times and faults.
     pub seed: u64,
-    /// Faults at the start.
+    /// Faults injected from the start.
     pub faults: Faults,
 }
 
 impl BackendSettings {
-    /// Settings of a back end without faults on a free loopback port.
+    /// Returns the settings of a backend without faults on a free loopback port.
     #[must_use]
     pub fn new(scenario: Arc<Scenario>, service: &str, id: &str) -> Self {
         Self {
@@ -59,36 +60,36 @@
     }
 }
 
-/// What the load endpoint says.
+/// Body of the load endpoint's response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub(super) struct ReportedLoad {
-    /// Executions under way.
+    /// Occupied slots.
     pub(super) in_flight: usize,
-    /// Requests that wait.
+    /// Queued requests.
     pub(super) queued: usize,
-    /// Slots of the back end.
+    /// Total number of slots.
     pub(super) slots: u32,
     /// Open connections.
     pub(super) connections: usize,
 }
 
-/// What health and load endpoints say at one moment.
+/// Sample of the state that the health and load endpoints report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Report {
     pub(super) leaving: bool,
     pub(super) load: ReportedLoad,
 }
 
-/// The shared state of one back end.
+/// State shared by the connections of one backend.
 pub(super) struct BackendState {
     pub(super) settings: BackendSettings,
     pub(super) model: ServiceModel,
     pub(super) slots: Slots,
     pub(super) log: ExecutionLog,
-    pub(super) calls: DeeperCalls,
+    pub(super) calls: OutboundCalls,
     pub(super) connections: AtomicUsize,
-    /// Told when a request ends the back end.
-    pub(super) end: Notify,
+    /// Notified when a request terminates the backend.
+    pub(super) terminate: Notify,
     started: Instant,
     faults: RwLock<Faults>,
     drain_started: RwLock<Option<Instant>>,
@@ -102,9 +103,9 @@
         Self {
             slots,
             log: ExecutionLog::default(),
-            calls: DeeperCalls::new(settings.outbound),
+            calls: OutboundCalls::new(settings.outbound),
             connections: AtomicUsize::new(0),
-            end: Notify::new(),
+            terminate: Notify::new(),
             started: Instant::now(),
             faults: RwLock::new(settings.faults),
             drain_started: RwLock::new(None),
@@ -123,7 +124,8 @@
         *self.faults.write().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// Begins the drain, or ends it when `leaving` is false.
+    /// Starts the drain, or withdraws it if `leaving` is false. A drain in progress keeps its start
+    /// time.
     pub(super) fn set_leaving(&self, leaving: bool) {
         let mut started = self
             .drain_started
@@ -136,8 +138,8 @@
         };
     }
 
-    /// Time since the drain began, if it did.
-    pub(super) fn leaving_for(&self) -> Option<Duration> {
+    /// Returns the time since the drain started, or `None` if the backend isn't draining.
+    pub(super) fn time_since_drain_started(&self) -> Option<Duration> {
         let started = self
             .drain_started
             .read()
@@ -145,13 +147,14 @@
         started.map(|instant| instant.elapsed())
     }
 
-    /// Whether a fault with this probability hits now.
-    pub(super) fn hits(&self, share: f64) -> bool {
+    /// Returns true with probability `share`, to decide whether to inject a fault.
+    pub(super) fn should_inject(&self, share: f64) -> bool {
         share > 0.0 && self.rng().random::<f64>() < share
     }
 
-    /// Whether the request with this token ends each back end which begins to execute it.
-    pub(super) fn ends_under(&self, token: &str) -> bool {
+    /// Returns true if the request with this token terminates every backend that starts to execute
+    /// it. The decision depends on the token only, so it is the same on all backends.
+    pub(super) fn terminates_on(&self, token: &str) -> bool {
         let share = self.faults().end;
         let hash = wharfquay_membership::hash::hash_bytes(token.as_bytes());
         share > 0.0 && (hash as f64 / u64::MAX as f64) < share
@@ -161,8 +164,8 @@
         self.rng.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Factor on the work that is due to cold start and to the slow fault.
-    pub(super) fn work_factor(&self) -> f64 {
+    /// Returns the factor on the service time that results from the cold start and the slow fault.
+    pub(super) fn service_time_factor(&self) -> f64 {
         let slow = self.faults().slow;
         if self.settings.warm {
             return slow;
@@ -171,28 +174,30 @@
         slow * super::speed::cold_factor(self.started.elapsed(), cold_start)
     }
 
-    /// What health and load endpoints say, with lag and lies.
+    /// Returns the state for the health and load endpoints, with the lag and the falsification of the
+    /// injected faults.
     pub(super) fn report(&self) -> Report {
         let faults = self.faults();
-        let mut report = self.lagging_report(Duration::from_millis(faults.report_lag_ms));
+        let mut report = self.report_with_lag(Duration::from_millis(faults.report_lag_ms));
         report.load.in_flight = scaled(report.load.in_flight, faults.load_factor);
         report.load.queued = scaled(report.load.queued, faults.load_factor);
         report.leaving = match faults.health {
-            HealthAnswer::Truthful => report.leaving,
-            HealthAnswer::AlwaysLive => false,
-            HealthAnswer::AlwaysLeaving => true,
+            HealthMode::Truthful => report.leaving,
+            HealthMode::AlwaysLive => false,
+            HealthMode::AlwaysLeaving => true,
         };
         report
     }
 
-    /// The load that each answer carries: without lag, but with the lie.
+    /// Returns the number of executions in flight for the header of each response: without lag, but
+    /// multiplied by the injected load factor.
     pub(super) fn reported_in_flight(&self) -> usize {
         scaled(self.slots.in_flight(), self.faults().load_factor)
     }
 
     fn current_report(&self) -> Report {
         Report {
-            leaving: self.leaving_for().is_some(),
+            leaving: self.time_since_drain_started().is_some(),
             load: ReportedLoad {
                 in_flight: self.slots.in_flight(),
                 queued: self.slots.queued(),
@@ -202,7 +207,7 @@
         }
     }
 
-    fn lagging_report(&self, lag: Duration) -> Report {
+    fn report_with_lag(&self, lag: Duration) -> Report {
         if lag.is_zero() {
             return self.current_report();
         }
@@ -212,7 +217,7 @@
         oldest.map_or_else(|| self.current_report(), |(_, report)| *report)
     }
 
-    /// Keeps the current state for later lagging reports, and forgets what is older than `keep`.
+    /// Stores a sample of the current state for lagging reports and drops samples older than `keep`.
     pub(super) fn sample_report(&self, keep: Duration) {
         let report = self.current_report();
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/emulator/src/latency/measure.rs
+++ b/crates/emulator/src/latency/measure.rs
@@ -19,8 +19,8 @@
 
 use super::processes::SchedulerTimes;
 use super::report::{DaemonTimes, KindLatency, LatencyReport, calls_of};
-use crate::answer_body;
 use crate::load::arrivals::Arrivals;
+use crate::response_body;
 use crate::scenario::{RequestModel, Scenario};
 
 const LONGEST_LATENCY_NS: u64 = 60_000_000_000;
@@ -173,7 +173,7 @@
         let response = self.client.request(request).await.ok()?;
         let body = response.into_body().collect().await.ok()?.to_bytes();
         let time = sent.elapsed();
-        answer_body::verify(&body, &model.entry, &token).ok()?;
+        response_body::verify(&body, &model.entry, &token).ok()?;
         Some(time)
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,5 @@
 //! Stand-ins for the platform, back ends and callers, the simulator and its experiments.
 
-pub mod answer_body;
 pub mod arguments;
 pub mod backend;
 pub mod command;
@@ -10,5 +9,6 @@
 pub mod load;
 pub mod platform;
 pub mod readiness;
+pub mod response_body;
 pub mod scenario;
 pub mod simulator;
--- a/crates/emulator/src/load/attempt.rs
+++ b/crates/emulator/src/load/attempt.rs
@@ -9,8 +9,8 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_protocol::headers;
 
-use crate::answer_body::{self, BodyFault};
 use crate::backend::{BEFORE_EXECUTION, REFUSED_HEADER};
+use crate::response_body::{self, BodyError};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// The whole answer to this request came back.
     Whole,
     /// An answer ended cleanly, but is not the whole answer to this request.
-    Wrong(BodyFault),
+    Wrong(BodyError),
     /// The answer says that the request was not run.
     NotRun,
     /// The answer says that it is not known whether the request was run.
@@ -70,7 +70,7 @@
     #[must_use]
     pub fn from_answer(head: &Parts, body: &Bytes, service: &str, token: &str) -> Self {
         let end = match head.status {
-            StatusCode::OK => answer_body::verify(body, service, token)
+            StatusCode::OK => response_body::verify(body, service, token)
                 .map_or_else(AttemptEnd::Wrong, |()| AttemptEnd::Whole),
             _ => end_of_refusal(&head.headers),
         };
--- a/crates/emulator/src/load/caller.rs
+++ b/crates/emulator/src/load/caller.rs
@@ -17,7 +17,7 @@
 use super::audit::AttemptNote;
 use super::run::LoadState;
 use super::tally::RequestEnd;
-use crate::answer_body;
+use crate::response_body;
 use crate::scenario::RequestModel;
 
 /// How long a caller waits past the deadline for an answer that says what became of its request.
@@ -156,7 +156,7 @@
         let body = if model.method == "GET" {
             Bytes::new()
         } else {
-            answer_body::render("caller", token)
+            response_body::render("caller", token)
         };
         builder.body(Full::new(body))
     }
--- a/crates/emulator/src/load/tally.rs
+++ b/crates/emulator/src/load/tally.rs
@@ -7,7 +7,7 @@
 
 use super::attempt::{Attempt, AttemptEnd};
 use super::recovery::Buckets;
-use crate::answer_body::BodyFault;
+use crate::response_body::BodyError;
 
 const LONGEST_LATENCY_US: u64 = 120_000_000;
 const SIGNIFICANT_FIGURES: u8 = 3;
@@ -26,7 +26,7 @@
     /// Answered with an error.
     Failed,
     /// Answered with something that is not its whole answer.
-    Wrong(BodyFault),
+    Wrong(BodyError),
 }
 
 impl RequestEnd {
@@ -100,9 +100,9 @@
 
     fn count_wrong(&mut self, attempt: &Attempt) {
         match attempt.end {
-            AttemptEnd::Wrong(BodyFault::Foreign) => self.mixed_up += 1,
-            AttemptEnd::Wrong(BodyFault::Truncated) => self.truncated += 1,
-            AttemptEnd::Wrong(BodyFault::Altered) => self.altered += 1,
+            AttemptEnd::Wrong(BodyError::OtherRequest) => self.mixed_up += 1,
+            AttemptEnd::Wrong(BodyError::Truncated) => self.truncated += 1,
+            AttemptEnd::Wrong(BodyError::Altered) => self.altered += 1,
             _ => {}
         }
     }
--- a/crates/emulator/src/answer_body.rs
+++ b/crates/emulator/src/response_body.rs
@@ -1,31 +1,31 @@
-//! Bodies whose content follows from the caller's request, so that a mixed-up, cut or altered body
-//! is recognised by whoever receives it.
+//! Bodies whose content is derived from the originating request, which lets every receiver detect a
+//! body that belongs to another request or is truncated or altered.
 //!
-//! A body is one header line with service, token, payload length and checksum, then the payload,
-//! which is derived from service and token.
+//! A body consists of a header line with service, token, payload length and checksum, and of a
+//! payload that is derived from service and token.
 
 use bytes::Bytes;
 use displaydoc::Display;
 
 const MAGIC: &str = "wharfquay-answer";
-const SHORTEST_PAYLOAD: u64 = 200;
-const PAYLOAD_SPREAD: u64 = 1_800;
+const MIN_PAYLOAD_BYTES: u64 = 200;
+const PAYLOAD_BYTES_RANGE: u64 = 1_800;
 const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
-/// What is wrong with a body.
+/// An error that the verification of a body found.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
-pub enum BodyFault {
+pub enum BodyError {
     /// the body ends before its payload is complete
     Truncated,
     /// the body belongs to another request
-    Foreign,
-    /// the body differs from what service and token give
+    OtherRequest,
+    /// the body differs from the one derived from service and token
     Altered,
 }
 
-impl std::error::Error for BodyFault {}
+impl std::error::Error for BodyError {}
 
-/// The body that `service` gives to the request with this token.
+/// Returns the body with which `service` responds to the request with this token.
 #[must_use]
 pub fn render(service: &str, token: &str) -> Bytes {
     let payload = payload(service, token);
@@ -34,25 +34,25 @@
     Bytes::from(body)
 }
 
-/// Checks that `body` is the whole answer of `service` to the request with this token.
+/// Checks that `body` is the complete response of `service` to the request with this token.
 ///
 /// # Errors
-/// [`BodyFault`] when it is cut, belongs to another request or was altered.
-pub fn verify(body: &[u8], service: &str, token: &str) -> Result<(), BodyFault> {
+/// [`BodyError`] if it is truncated, belongs to another request or was altered.
+pub fn verify(body: &[u8], service: &str, token: &str) -> Result<(), BodyError> {
     let expected = render(service, token);
     if body == expected {
         return Ok(());
     }
     if expected.starts_with(body) {
-        return Err(BodyFault::Truncated);
+        return Err(BodyError::Truncated);
     }
-    if names_other_request(body, service, token) {
-        return Err(BodyFault::Foreign);
+    if is_for_other_request(body, service, token) {
+        return Err(BodyError::OtherRequest);
     }
-    Err(BodyFault::Altered)
+    Err(BodyError::Altered)
 }
 
-fn names_other_request(body: &[u8], service: &str, token: &str) -> bool {
+fn is_for_other_request(body: &[u8], service: &str, token: &str) -> bool {
     let line = body.split(|&byte| byte == b'\n').next().unwrap_or(body);
     let Ok(line) = std::str::from_utf8(line) else {
         return false;
@@ -69,7 +69,7 @@
 
 fn payload(service: &str, token: &str) -> Vec<u8> {
     let mut state = fingerprint(service.as_bytes()) ^ fingerprint(token.as_bytes()).rotate_left(17);
-    let length = SHORTEST_PAYLOAD + state % PAYLOAD_SPREAD;
+    let length = MIN_PAYLOAD_BYTES + state % PAYLOAD_BYTES_RANGE;
     let mut payload = Vec::with_capacity(length as usize);
     for _ in 0..length {
         state = state
@@ -80,7 +80,7 @@
     payload
 }
 
-/// 64-bit FNV-1a hash.
+/// Returns the 64-bit FNV-1a hash.
 fn fingerprint(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xCBF2_9CE4_8422_2325, |hash, &byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3)
--- a/crates/emulator/tests/backend_contract/faults.rs
+++ b/crates/emulator/tests/backend_contract/faults.rs
@@ -1,18 +1,18 @@
-//! The fault table: what a caller gets and what the record says.
+//! Effect of each fault on the client and on the execution log.
 
 use http::{Method, StatusCode};
 use http_body_util::Full;
 use wharfquay_emulator::backend::faults::Faults;
 use wharfquay_emulator::backend::record::ExecutionState;
 
-use super::support::{Got, client, look, request, send, start, states, whole};
+use super::support::{Observed, client, complete_response, look, request, send, start, states};
 
-/// What a caller is expected to get.
+/// Expected result for the client.
 #[derive(Clone, Copy, Debug)]
 enum Expected {
-    Whole,
-    Broken,
-    Nothing,
+    Complete,
+    ConnectionClosed,
+    Timeout,
     Refused,
 }
 
@@ -33,11 +33,11 @@
         recorded,
     };
     vec![
-        case("none", none, Expected::Whole, completed),
+        case("none", none, Expected::Complete, completed),
         case(
             "slow",
             Faults { slow: 5.0, ..none },
-            Expected::Whole,
+            Expected::Complete,
             completed,
         ),
         case(
@@ -46,7 +46,7 @@
                 cut_answer: 1.0,
                 ..none
             },
-            Expected::Broken,
+            Expected::ConnectionClosed,
             completed,
         ),
         case(
@@ -55,7 +55,7 @@
                 close_before: 1.0,
                 ..none
             },
-            Expected::Broken,
+            Expected::ConnectionClosed,
             &[],
         ),
         case(
@@ -64,7 +64,7 @@
                 close_after: 1.0,
                 ..none
             },
-            Expected::Broken,
+            Expected::ConnectionClosed,
             completed,
         ),
         case(
@@ -79,33 +79,33 @@
         case(
             "hang",
             Faults { hang: 1.0, ..none },
-            Expected::Nothing,
+            Expected::Timeout,
             completed,
         ),
         case(
             "end",
             Faults { end: 1.0, ..none },
-            Expected::Broken,
+            Expected::ConnectionClosed,
             &[ExecutionState::Cancelled],
         ),
     ]
 }
 
 #[tokio::test]
-async fn each_fault_shows_to_the_caller_and_in_the_record() {
+async fn each_fault_is_visible_to_the_client_and_in_the_execution_log() {
     for case in cases() {
         let deep = start("deep").await;
         deep.set_faults(case.faults);
         let path = "/look?token=t1&call=t1-1";
-        let bound = std::time::Duration::from_millis(500);
-        let got = send(request(Method::GET, deep.address(), path), bound).await;
+        let limit = std::time::Duration::from_millis(500);
+        let got = send(request(Method::GET, deep.address(), path), limit).await;
         let name = case.name;
         match case.expected {
-            Expected::Whole => assert_eq!(got, whole("deep", "t1"), "{name}"),
-            Expected::Broken => assert_eq!(got, Got::Broken, "{name}"),
-            Expected::Nothing => assert_eq!(got, Got::Nothing, "{name}"),
+            Expected::Complete => assert_eq!(got, complete_response("deep", "t1"), "{name}"),
+            Expected::ConnectionClosed => assert_eq!(got, Observed::ConnectionClosed, "{name}"),
+            Expected::Timeout => assert_eq!(got, Observed::Timeout, "{name}"),
             Expected::Refused => assert!(
-                matches!(got, Got::Answer(StatusCode::SERVICE_UNAVAILABLE, _)),
+                matches!(got, Observed::Response(StatusCode::SERVICE_UNAVAILABLE, _)),
                 "{name}: {got:?}"
             ),
         }
@@ -114,43 +114,46 @@
 }
 
 #[tokio::test]
-async fn a_back_end_that_ended_accepts_nothing_and_is_back_later() {
+async fn a_terminated_backend_refuses_connections_until_it_restarts() {
     let deep = start("deep").await;
     deep.set_faults(Faults {
         end: 1.0,
         ..Faults::default()
     });
-    let bound = std::time::Duration::from_millis(500);
-    let ask = async |token: &str| {
+    let limit = std::time::Duration::from_millis(500);
+    let send_look = async |token: &str| {
         let path = format!("/look?token={token}&call={token}-1");
-        send(request(Method::GET, deep.address(), &path), bound).await
+        send(request(Method::GET, deep.address(), &path), limit).await
     };
-    assert_eq!(ask("t1").await, Got::Broken);
+    assert_eq!(send_look("t1").await, Observed::ConnectionClosed);
     deep.set_faults(Faults::default());
-    let away = tokio::net::TcpStream::connect(deep.address()).await;
-    assert!(away.is_err());
+    let refused_connection = tokio::net::TcpStream::connect(deep.address()).await;
+    assert!(refused_connection.is_err());
     let end = std::time::Instant::now() + std::time::Duration::from_secs(10);
-    while ask("t2").await != whole("deep", "t2") {
-        assert!(std::time::Instant::now() < end, "never back");
+    while send_look("t2").await != complete_response("deep", "t2") {
+        assert!(
+            std::time::Instant::now() < end,
+            "the backend did not listen again in time"
+        );
     }
 }
 
 #[tokio::test]
-async fn a_refusal_says_that_nothing_was_executed() {
+async fn a_refusal_carries_the_header_for_requests_not_executed() {
     let deep = start("deep").await;
     deep.set_faults(Faults {
         refuse: 1.0,
         ..Faults::default()
     });
     let request = request(Method::GET, deep.address(), "/look?token=t&call=t-1");
-    let response = client().request(request).await.expect("answer");
+    let response = client().request(request).await.expect("response");
     let proof = response.headers().get("wharfquay-refused");
-    assert_eq!(proof.expect("proof"), "before-execution");
+    assert_eq!(proof.expect("wharfquay-refused header"), "before-execution");
     assert_eq!(deep.report().unexecuted_calls, ["t-1"]);
 }
 
 #[tokio::test]
-async fn a_fault_below_reaches_the_caller_as_an_error_never_as_an_answer() {
+async fn a_fault_of_a_callee_results_in_an_error_response_and_never_in_a_success() {
     let table = [
         (
             Faults {
@@ -179,8 +182,8 @@
         deep.set_faults(faults);
         let front = start("front").await;
         front.set_outbound(deep.address());
-        let Got::Answer(status, _) = look(&front, "t").await else {
-            panic!("no answer with {faults:?}");
+        let Observed::Response(status, _) = look(&front, "t").await else {
+            panic!("no response with {faults:?}");
         };
         assert_eq!(status, expected, "{faults:?}");
         assert_eq!(
@@ -192,7 +195,7 @@
 }
 
 #[tokio::test]
-async fn faults_are_switched_by_request_and_bad_ones_are_refused() {
+async fn faults_are_set_over_http_and_invalid_ones_are_rejected() {
     let table = [
         (r#"{"slow":2}"#, StatusCode::OK, "\"slow\":2"),
         (
@@ -216,8 +219,9 @@
     for (text, status, part) in table {
         let mut put = request(Method::PUT, deep.address(), "/wharfquay/faults");
         *put.body_mut() = Full::from(text);
-        let Got::Answer(got, body) = send(put, std::time::Duration::from_secs(1)).await else {
-            panic!("no answer to {text}");
+        let Observed::Response(got, body) = send(put, std::time::Duration::from_secs(1)).await
+        else {
+            panic!("no response to {text}");
         };
         let body = String::from_utf8_lossy(&body).into_owned();
         assert_eq!(got, status, "{text}: {body}");
--- a/crates/emulator/tests/backend_contract/limits.rs
+++ b/crates/emulator/tests/backend_contract/limits.rs
@@ -6,39 +6,41 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 use wharfquay_emulator::backend::RunningBackend;
-use wharfquay_emulator::backend::faults::{Faults, HealthAnswer};
+use wharfquay_emulator::backend::faults::{Faults, HealthMode};
 use wharfquay_emulator::backend::record::ExecutionState;
 use wharfquay_emulator::backend::speed::cold_factor;
 use wharfquay_protocol::headers;
 
-use super::support::{Got, eventually, look, request, send, start, start_with, states, whole};
+use super::support::{
+    Observed, complete_response, look, request, send, start, start_with, states, wait_until,
+};
 
-const SHORT: Duration = Duration::from_millis(500);
+const SHORT_LIMIT: Duration = Duration::from_millis(500);
 
-/// Sends a request that stays in the slot until it is aborted.
-fn occupy(backend: &RunningBackend, token: &str) -> tokio::task::JoinHandle<Got> {
+/// Sends a request that occupies a slot for 20 s on average, until its task is aborted.
+fn occupy(backend: &RunningBackend, token: &str) -> tokio::task::JoinHandle<Observed> {
     let path = format!("/wait?token={token}&call={token}-1");
     let request = request(Method::GET, backend.address(), &path);
     tokio::spawn(send(request, Duration::from_secs(30)))
 }
 
 async fn get(backend: &RunningBackend, path: &str) -> serde_json::Value {
-    let Got::Answer(status, body) =
-        send(request(Method::GET, backend.address(), path), SHORT).await
+    let Observed::Response(status, body) =
+        send(request(Method::GET, backend.address(), path), SHORT_LIMIT).await
     else {
-        panic!("no answer from {path}");
+        panic!("no response from {path}");
     };
     assert_eq!(status, StatusCode::OK, "{path}");
     serde_json::from_slice(&body).expect("JSON")
 }
 
 #[tokio::test]
-async fn a_chain_answers_with_the_body_of_the_callers_token() {
+async fn a_call_chain_responds_with_the_body_for_the_token() {
     let deep = start("deep").await;
     let front = start("front").await;
     front.set_outbound(deep.address());
     for token in ["t1", "t2"] {
-        assert_eq!(look(&front, token).await, whole("front", token));
+        assert_eq!(look(&front, token).await, complete_response("front", token));
     }
     let calls: Vec<_> = deep
         .report()
@@ -50,30 +52,33 @@
 }
 
 #[tokio::test]
-async fn a_request_over_the_slots_waits_and_one_over_the_queue_is_refused() {
+async fn a_request_without_a_free_slot_is_queued_and_refused_once_the_queue_is_full() {
     let deep = start_with("deep", |settings| settings.queue_limit = 1).await;
     let first = occupy(&deep, "a");
-    eventually("first runs", || states(&deep).len() == 1).await;
+    wait_until("first runs", || states(&deep).len() == 1).await;
     let second = occupy(&deep, "b");
-    eventually_load(&deep, "queued", 1).await;
+    wait_for_load(&deep, "queued", 1).await;
     let third = occupy(&deep, "c").await.expect("task");
     assert!(
-        matches!(third, Got::Answer(StatusCode::SERVICE_UNAVAILABLE, _)),
+        matches!(
+            third,
+            Observed::Response(StatusCode::SERVICE_UNAVAILABLE, _)
+        ),
         "{third:?}"
     );
     first.abort();
-    eventually("second runs", || {
+    wait_until("second runs", || {
         states(&deep) == [ExecutionState::Cancelled, ExecutionState::Running]
     })
     .await;
     second.abort();
-    eventually("second is cancelled", || {
+    wait_until("second is cancelled", || {
         states(&deep) == [ExecutionState::Cancelled, ExecutionState::Cancelled]
     })
     .await;
 }
 
-async fn eventually_load(backend: &RunningBackend, field: &str, value: u64) {
+async fn wait_for_load(backend: &RunningBackend, field: &str, value: u64) {
     for _ in 0..1_000 {
         if get(backend, "/wharfquay/load").await[field] == value {
             return;
@@ -90,16 +95,16 @@
     for _ in 0..8 {
         open.push(TcpStream::connect(deep.address()).await.expect("connects"));
     }
-    let mut over = TcpStream::connect(deep.address()).await.expect("connects");
+    let mut excess_connection = TcpStream::connect(deep.address()).await.expect("connects");
     let mut byte = [0];
-    let read = tokio::time::timeout(Duration::from_secs(5), over.read(&mut byte));
-    // A close may show as an end or as a reset.
+    let read = tokio::time::timeout(Duration::from_secs(5), excess_connection.read(&mut byte));
+    // A closed connection is read as end of stream or as a reset.
     assert!(matches!(read.await.expect("closed"), Ok(0) | Err(_)));
     assert_eq!(deep.report().unexecuted.connections_over_limit, 1);
 }
 
 #[tokio::test]
-async fn the_deadline_ends_an_execution_and_a_wait() {
+async fn the_deadline_cancels_executions_and_queued_requests() {
     let deep = start("deep").await;
     let with_deadline = || {
         let mut request = request(Method::GET, deep.address(), "/wait?token=t&call=t-1");
@@ -110,18 +115,18 @@
     let (first, second) = tokio::join!(with_deadline(), with_deadline());
     for got in [first, second] {
         assert!(
-            matches!(got, Got::Answer(StatusCode::GATEWAY_TIMEOUT, _)),
+            matches!(got, Observed::Response(StatusCode::GATEWAY_TIMEOUT, _)),
             "{got:?}"
         );
     }
     let report = deep.report();
     assert_eq!(report.executions[0].state, ExecutionState::DeadlineExceeded);
-    let ended = report.executions.len() as u64 + report.unexecuted.left_queue;
-    assert_eq!(ended, 2, "{report:?}");
+    let cancelled = report.executions.len() as u64 + report.unexecuted.left_queue;
+    assert_eq!(cancelled, 2, "{report:?}");
 }
 
 #[tokio::test]
-async fn a_draining_back_end_finishes_and_refuses() {
+async fn a_draining_backend_refuses_new_requests_and_completes_those_in_flight() {
     let front = start("front").await;
     let deep = start_with("deep", |settings| settings.faults.slow = 100.0).await;
     front.set_outbound(deep.address());
@@ -131,28 +136,34 @@
         request(Method::GET, address, path),
         Duration::from_secs(5),
     ));
-    eventually("deep runs", || states(&deep).len() == 1).await;
+    wait_until("deep runs", || states(&deep).len() == 1).await;
     front.drain();
     assert_eq!(get(&front, "/wharfquay/health").await["state"], "leaving");
     let refused = look(&front, "u").await;
     assert!(
-        matches!(refused, Got::Answer(StatusCode::SERVICE_UNAVAILABLE, _)),
+        matches!(
+            refused,
+            Observed::Response(StatusCode::SERVICE_UNAVAILABLE, _)
+        ),
         "{refused:?}"
     );
     assert_eq!(front.report().unexecuted.after_drain, 1);
     deep.set_faults(Faults::default());
-    assert_eq!(running.await.expect("task"), whole("front", "t"));
+    assert_eq!(
+        running.await.expect("task"),
+        complete_response("front", "t")
+    );
 }
 
 #[tokio::test]
-async fn health_and_load_lie_when_told_to() {
+async fn health_and_load_endpoints_report_injected_values() {
     let deep = start("deep").await;
     let running = occupy(&deep, "a");
-    eventually("runs", || states(&deep).len() == 1).await;
+    wait_until("runs", || states(&deep).len() == 1).await;
     let table = [
-        (HealthAnswer::Truthful, 1.0, "live", 1),
-        (HealthAnswer::AlwaysLeaving, 0.0, "leaving", 0),
-        (HealthAnswer::AlwaysLive, 3.0, "live", 3),
+        (HealthMode::Truthful, 1.0, "live", 1),
+        (HealthMode::AlwaysLeaving, 0.0, "leaving", 0),
+        (HealthMode::AlwaysLive, 3.0, "live", 3),
     ];
     for (health, load_factor, state, in_flight) in table {
         deep.set_faults(Faults {
@@ -176,7 +187,7 @@
 }
 
 #[test]
-fn a_cold_back_end_starts_three_times_slower_and_warms_up() {
+fn a_cold_backend_starts_three_times_slower_and_speeds_up_linearly() {
     let cold_start = Duration::from_secs(4);
     let table = [(0, 3.0), (1, 2.5), (2, 2.0), (4, 1.0), (9, 1.0)];
     for (age, factor) in table {
--- a/crates/emulator/tests/backend_contract/main.rs
+++ b/crates/emulator/tests/backend_contract/main.rs
@@ -1,4 +1,4 @@
-//! Contract of the back end stand-in: what it answers, records and does under faults.
+//! Contract tests of the emulated backend: responses, execution log and behaviour under faults.
 
 mod faults;
 mod limits;
--- a/crates/emulator/tests/backend_contract/support.rs
+++ b/crates/emulator/tests/backend_contract/support.rs
@@ -1,4 +1,4 @@
-//! A two-service deployment and a client of its back ends.
+//! A scenario of two services and a client of its backends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,9 +10,9 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use wharfquay_emulator::answer_body;
 use wharfquay_emulator::backend::record::ExecutionState;
 use wharfquay_emulator::backend::{BackendSettings, RunningBackend};
+use wharfquay_emulator::response_body;
 use wharfquay_emulator::scenario::Scenario;
 
 const SCENARIO: &str = r#"
@@ -61,15 +61,15 @@
 step = [{ service = "deep", work_us = 20000000 }]
 "#;
 
-/// What a request came to.
+/// Result of a request, as its client sees it.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Got {
-    /// A clean answer.
-    Answer(StatusCode, Bytes),
-    /// The connection ended before a whole answer.
-    Broken,
-    /// No answer within the bound.
-    Nothing,
+pub(crate) enum Observed {
+    /// A complete response.
+    Response(StatusCode, Bytes),
+    /// The connection closed before a complete response.
+    ConnectionClosed,
+    /// No complete response within the time limit.
+    Timeout,
 }
 
 pub(crate) fn scenario() -> Arc<Scenario> {
@@ -105,33 +105,33 @@
         .expect("request")
 }
 
-/// Sends a request and waits at most `bound` for its whole answer.
-pub(crate) async fn send(request: Request<Full<Bytes>>, bound: Duration) -> Got {
+/// Sends a request and waits at most `limit` for its complete response.
+pub(crate) async fn send(request: Request<Full<Bytes>>, limit: Duration) -> Observed {
     let exchange = async {
         let Ok(response) = client().request(request).await else {
-            return Got::Broken;
+            return Observed::ConnectionClosed;
         };
         let status = response.status();
         match response.into_body().collect().await {
-            Ok(body) => Got::Answer(status, body.to_bytes()),
-            Err(_) => Got::Broken,
+            Ok(body) => Observed::Response(status, body.to_bytes()),
+            Err(_) => Observed::ConnectionClosed,
         }
     };
-    tokio::time::timeout(bound, exchange)
+    tokio::time::timeout(limit, exchange)
         .await
-        .unwrap_or(Got::Nothing)
+        .unwrap_or(Observed::Timeout)
 }
 
-/// Sends `GET /look` with this token.
-pub(crate) async fn look(backend: &RunningBackend, token: &str) -> Got {
+/// Sends `GET /look` with this token and waits at most 500 ms.
+pub(crate) async fn look(backend: &RunningBackend, token: &str) -> Observed {
     let path = format!("/look?token={token}&call={token}-1");
     let request = request(Method::GET, backend.address(), &path);
     send(request, Duration::from_millis(500)).await
 }
 
-/// The whole answer of `service` to this token.
-pub(crate) fn whole(service: &str, token: &str) -> Got {
-    Got::Answer(StatusCode::OK, answer_body::render(service, token))
+/// Returns the complete response of `service` to this token.
+pub(crate) fn complete_response(service: &str, token: &str) -> Observed {
+    Observed::Response(StatusCode::OK, response_body::render(service, token))
 }
 
 pub(crate) fn states(backend: &RunningBackend) -> Vec<ExecutionState> {
@@ -139,8 +139,8 @@
     executions.iter().map(|execution| execution.state).collect()
 }
 
-/// Polls until `holds`, at most five seconds.
-pub(crate) async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+/// Polls until `holds` returns true; panics after five seconds.
+pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let limit = Instant::now() + Duration::from_secs(5);
     while !holds() {
         assert!(Instant::now() < limit, "not in time: {what}");
