--- a/crates/emulator/src/load/arrivals.rs
+++ b/crates/emulator/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrival times: a Poisson process per request kind, with a surge.
+//! Arrival times of originating requests: a Poisson process per request kind, with a surge.
 
 use std::time::Duration;
 
@@ -7,41 +7,41 @@
 
 use crate::scenario::Scenario;
 
-/// A period of higher demand.
+/// A period with increased arrival rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Surge {
-    /// Factor on every rate.
+    /// Factor on every arrival rate.
     pub factor: f64,
-    /// Start, from the start of the load.
+    /// Time from the start of the load to the start of the surge.
     pub start: Duration,
-    /// Length.
+    /// Duration of the surge.
     pub length: Duration,
 }
 
 impl Surge {
-    /// End, from the start of the load.
+    /// Returns the time from the start of the load to the end of the surge.
     #[must_use]
     pub fn end(&self) -> Duration {
         self.start + self.length
     }
 
-    /// Whether the surge lasts at this time.
+    /// Returns true if `at`, a time since the start of the load, is within the surge.
     #[must_use]
     pub fn covers(&self, at: Duration) -> bool {
         (self.start..self.end()).contains(&at)
     }
 }
 
-/// One originating request to send.
+/// Arrival of one originating request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When, from the start of the load.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// Index of the request kind in the scenario.
+    /// Index of the request kind in [`Scenario::requests`].
     pub kind: usize,
 }
 
-/// The arrivals of all request kinds in order of time.
+/// Iterator over the arrivals of all request kinds, ordered by time.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     kinds: Vec<KindArrivals>,
@@ -57,7 +57,7 @@
 }
 
 impl Arrivals {
-    /// The arrivals of a scenario from zero to `end`; `rate_factor` scales every rate.
+    /// Creates the arrivals of a scenario from zero to `end`; `rate_factor` multiplies every rate.
     #[must_use]
     pub fn new(
         scenario: &Scenario,
@@ -105,8 +105,8 @@
         arrivals
     }
 
-    /// Moves on to the next arrival. The exponential distribution has no memory, so a wait that
-    /// crosses a change of the rate is drawn anew from there.
+    /// Advances to the next arrival. Because the exponential distribution is memoryless, a wait that
+    /// crosses a change of the rate is drawn again from the time of that change.
     fn advance(&mut self) {
         let mut from = self.next;
         loop {
--- a/crates/emulator/src/load/attempt.rs
+++ b/crates/emulator/src/load/attempt.rs
@@ -1,4 +1,4 @@
-//! What one attempt of a caller came to.
+//! Outcome of one attempt of a caller.
 
 use std::time::Duration;
 
@@ -12,70 +12,74 @@
 use crate::backend::{BEFORE_EXECUTION, REFUSED_HEADER};
 use crate::response_body::{self, BodyError};
 
-/// How an attempt ended.
+/// Outcome of an attempt, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
-    /// The whole answer to this request came back.
-    Whole,
-    /// An answer ended cleanly, but is not the whole answer to this request.
-    Wrong(BodyError),
-    /// The answer says that the request was not run.
+pub enum AttemptOutcome {
+    /// The complete response to this request was received.
+    Complete,
+    /// The response has status 200 and its body ended cleanly, but the body isn't the complete
+    /// response to this request.
+    InvalidBody(BodyError),
+    /// The response states that the request was not executed.
     NotRun,
-    /// The answer says that it is not known whether the request was run.
+    /// The response states that it is unknown whether the request was executed.
     Unknown,
-    /// The back end's own answer is an error.
+    /// The response is an error of the backend.
     ServerError,
     /// No connection could be opened.
     ConnectFailed,
-    /// The connection was lost before a whole answer.
+    /// The connection was lost before the response was complete.
     ConnectionLost,
-    /// The body of the answer was broken off because the deadline had come.
-    CutAtDeadline,
-    /// The caller went away.
+    /// The response body was truncated because the deadline had passed.
+    TruncatedAtDeadline,
+    /// The caller gave up after the deadline and a grace period.
     TimedOut,
 }
 
-/// One attempt.
+/// Result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// How it ended.
-    pub end: AttemptEnd,
-    /// HTTP status, when there was an answer.
+    /// Outcome of the attempt.
+    pub outcome: AttemptOutcome,
+    /// HTTP status, if a response was received.
     pub status: Option<u16>,
-    /// Result code, when the answer carries one.
+    /// Result code, if the response carries one.
     pub result: Option<u16>,
-    /// When the answer asks the caller to come back.
+    /// Value of the response's Retry-After header, if it has one.
     pub retry_after: Option<Duration>,
 }
 
 impl Attempt {
-    /// An attempt without an answer.
+    /// Creates the result of an attempt without a response.
     #[must_use]
-    pub const fn without_answer(end: AttemptEnd) -> Self {
+    pub const fn without_response(outcome: AttemptOutcome) -> Self {
         Self {
-            end,
+            outcome,
             status: None,
             result: None,
             retry_after: None,
         }
     }
 
-    /// Whether the caller may conclude that nothing was executed.
+    /// Returns true if the caller may conclude that the request was not executed.
     #[must_use]
     pub const fn is_not_run(&self) -> bool {
-        matches!(self.end, AttemptEnd::NotRun | AttemptEnd::ConnectFailed)
+        matches!(
+            self.outcome,
+            AttemptOutcome::NotRun | AttemptOutcome::ConnectFailed
+        )
     }
 
-    /// Judges an answer whose body ended cleanly.
+    /// Classifies a response whose body ended cleanly.
     #[must_use]
-    pub fn from_answer(head: &Parts, body: &Bytes, service: &str, token: &str) -> Self {
-        let end = match head.status {
+    pub fn from_response(head: &Parts, body: &Bytes, service: &str, token: &str) -> Self {
+        let outcome = match head.status {
             StatusCode::OK => response_body::verify(body, service, token)
-                .map_or_else(AttemptEnd::Wrong, |()| AttemptEnd::Whole),
-            _ => end_of_refusal(&head.headers),
+                .map_or_else(AttemptOutcome::InvalidBody, |()| AttemptOutcome::Complete),
+            _ => outcome_of_error_response(&head.headers),
         };
         Self {
-            end,
+            outcome,
             status: Some(head.status.as_u16()),
             result: text(&head.headers, &headers::RESULT).and_then(|text| text.parse().ok()),
             retry_after: text(&head.headers, &RETRY_AFTER)
@@ -85,30 +89,30 @@
     }
 }
 
-fn end_of_refusal(header_values: &HeaderMap) -> AttemptEnd {
+fn outcome_of_error_response(header_values: &HeaderMap) -> AttemptOutcome {
     if text(header_values, &REFUSED_HEADER) == Some(BEFORE_EXECUTION) {
-        return AttemptEnd::NotRun;
+        return AttemptOutcome::NotRun;
     }
-    match outcome(header_values) {
-        Some(OutcomeClass::NotRun) => AttemptEnd::NotRun,
-        Some(OutcomeClass::Unknown) => AttemptEnd::Unknown,
-        Some(OutcomeClass::Run) | None => AttemptEnd::ServerError,
+    match outcome_class(header_values) {
+        Some(OutcomeClass::NotRun) => AttemptOutcome::NotRun,
+        Some(OutcomeClass::Unknown) => AttemptOutcome::Unknown,
+        Some(OutcomeClass::Run) | None => AttemptOutcome::ServerError,
     }
 }
 
-fn outcome(header_values: &HeaderMap) -> Option<OutcomeClass> {
+fn outcome_class(header_values: &HeaderMap) -> Option<OutcomeClass> {
     let classes = [
         OutcomeClass::NotRun,
         OutcomeClass::Unknown,
         OutcomeClass::Run,
     ];
-    let given = text(header_values, &headers::OUTCOME);
+    let name = text(header_values, &headers::OUTCOME);
     let code = text(header_values, &headers::RESULT)
         .and_then(|text| text.parse().ok())
         .and_then(ResultCode::from_number);
     classes
         .into_iter()
-        .find(|class| given == Some(class.as_str()))
+        .find(|class| name == Some(class.as_str()))
         .or(code.map(ResultCode::outcome))
 }
 
--- a/crates/emulator/src/load/audit.rs
+++ b/crates/emulator/src/load/audit.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what back ends recorded.
+//! Audit of a load: compares the outcomes that callers saw with the execution logs of backends.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt::{self, Display};
@@ -12,88 +12,95 @@
 use hyper_util::rt::TokioExecutor;
 use serde::Serialize;
 
-use super::attempt::{Attempt, AttemptEnd};
+use super::attempt::{Attempt, AttemptOutcome};
 use super::report::LoadReport;
 use crate::backend::record::{ExecutionRecord, ExecutionReport, ExecutionState};
 use crate::scenario::Scenario;
 
-/// What a caller was told about one attempt.
+/// Record of one attempt of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AttemptNote {
-    /// Identity of the attempt in the records of back ends.
+pub struct AttemptRecord {
+    /// Id of the attempt's call in the execution logs of backends.
     pub call: String,
-    /// What it came to.
+    /// Result of the attempt.
     pub attempt: Attempt,
-    /// Whether it ended before the deadline of the originating request.
+    /// True if it completed before the deadline of the originating request.
     pub in_time: bool,
 }
 
-/// Why the records of a back end can't be read.
+/// An error that prevented the execution log of a backend from being read.
 #[derive(Clone, Debug, DisplayDoc, PartialEq, Eq)]
 pub enum FetchError {
-    /// back end {0}: {1}
+    /// backend {0}: {1}
     Connect(SocketAddr, String),
-    /// back end {0}: malformed records: {1}
+    /// backend {0}: malformed execution log: {1}
     Malformed(SocketAddr, String),
 }
 
 impl std::error::Error for FetchError {}
 
-/// What the comparison found.
+/// Result of the comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Audit {
-    /// Executions of all back ends.
+    /// Number of executions of all backends.
     pub executions: u64,
-    /// Attempts of callers that got no answer, neither an outcome nor a result.
+    /// Attempts of callers that lost their connection or timed out, and thus received neither a
+    /// response nor an outcome.
     pub lost: u64,
-    /// Whole answers for which no back end of the entry service recorded a completed execution.
+    /// Complete responses for which no backend of the entry service recorded a completed execution.
     pub answers_without_execution: u64,
-    /// Attempts that were told *not run* although the entry service executed them.
+    /// Attempts whose outcome was *not run* although the entry service executed them.
     pub not_run_but_ran: u64,
-    /// Requests that are not repeatable and took effect more than once.
+    /// Non-repeatable requests that took effect more than once.
     pub duplicate_effects: u64,
-    /// Answers of another request, cut or altered, at callers or at back ends.
+    /// Responses, received by callers or backends, that belong to another request or are truncated or
+    /// altered.
     pub wrong_answers: u64,
-    /// Most retries that one attempt of a caller caused, over all hops.
+    /// Maximum number of retries, summed over all hops, that one attempt of a caller caused.
     pub retries_max: u64,
-    /// Share of the execution time that went into attempts without a whole answer in time.
+    /// Share of the execution time spent on attempts that got no complete response before the
+    /// deadline.
     pub wasted_work_ratio: f64,
-    /// Requests that reached a back end after its drain began.
+    /// Requests that reached a backend after its drain started.
     pub after_drain: u64,
 }
 
-/// A promise that was broken, with the number of times.
+/// A broken promise: a guarantee of the system that the audit found violated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct BrokenPromise {
-    /// Field of the audit.
+    /// Name of the field of [`Audit`] that shows it.
     pub promise: &'static str,
-    /// How often, or the value that was reached.
+    /// Value of that field.
     pub count: u64,
 }
 
 impl Audit {
-    /// Compares a finished load with the records of all back ends.
+    /// Compares the report of a finished load with the execution logs of all backends.
     #[must_use]
     pub fn new(scenario: &Scenario, load: &LoadReport, records: &[ExecutionReport]) -> Self {
         let entries = EntryExecutions::new(scenario, records);
-        let notes = || load.notes.values().flatten();
+        let attempt_records = || load.attempt_records.values().flatten();
         let executions = || records.iter().flat_map(|report| &report.executions);
-        let wrong_deeper = executions().filter(|e| e.state == ExecutionState::WrongDeeperAnswer);
+        let wrong_outbound = executions().filter(|e| e.state == ExecutionState::WrongDeeperAnswer);
         Self {
             executions: executions().count() as u64,
-            lost: notes().filter(|note| is_lost(&note.attempt)).count() as u64,
+            lost: attempt_records()
+                .filter(|record| is_lost(&record.attempt))
+                .count() as u64,
             answers_without_execution: entries.answers_without_execution(load),
-            not_run_but_ran: notes().filter(|note| entries.ran_unsaid(note)).count() as u64,
+            not_run_but_ran: attempt_records()
+                .filter(|record| entries.executed_despite_not_run(record))
+                .count() as u64,
             duplicate_effects: entries.duplicate_effects(),
-            wrong_answers: load.wrong_answers() + wrong_deeper.count() as u64,
+            wrong_answers: load.wrong_answers() + wrong_outbound.count() as u64,
             retries_max: retries_max(records),
             wasted_work_ratio: wasted_work(load, records),
             after_drain: records.iter().map(|r| r.unexecuted.after_drain).sum(),
         }
     }
 
-    /// The promises that were broken; `retry_bound` is the configured number of retries per
-    /// originating request.
+    /// Returns the broken promises. `retry_bound` is the configured maximum number of retries per
+    /// originating request; without it retries are not checked.
     #[must_use]
     pub fn broken_promises(&self, retry_bound: Option<u64>) -> Vec<BrokenPromise> {
         let over_bound = retry_bound.is_some_and(|bound| self.retries_max > bound);
@@ -137,12 +144,12 @@
 
 const fn is_lost(attempt: &Attempt) -> bool {
     matches!(
-        attempt.end,
-        AttemptEnd::ConnectionLost | AttemptEnd::TimedOut
+        attempt.outcome,
+        AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut
     )
 }
 
-/// Executions at the service that callers address.
+/// Executions at the entry service, to which callers address their requests.
 struct EntryExecutions<'a> {
     calls: HashSet<&'a str>,
     completed: HashMap<&'a str, u64>,
@@ -181,8 +188,9 @@
         }
     }
 
-    fn ran_unsaid(&self, note: &AttemptNote) -> bool {
-        note.attempt.end == AttemptEnd::NotRun && self.calls.contains(note.call.as_str())
+    fn executed_despite_not_run(&self, record: &AttemptRecord) -> bool {
+        record.attempt.outcome == AttemptOutcome::NotRun
+            && self.calls.contains(record.call.as_str())
     }
 
     fn duplicate_effects(&self) -> u64 {
@@ -190,20 +198,23 @@
     }
 
     fn answers_without_execution(&self, load: &LoadReport) -> u64 {
-        let answered = load.notes.iter().filter(|(_, notes)| has_whole(notes));
+        let answered = load
+            .attempt_records
+            .iter()
+            .filter(|(_, attempt_records)| has_complete_response(attempt_records));
         answered
             .filter(|(token, _)| !self.completed.contains_key(token.as_str()))
             .count() as u64
     }
 }
 
-fn has_whole(notes: &[AttemptNote]) -> bool {
-    let mut ends = notes.iter().map(|note| note.attempt.end);
-    ends.any(|end| end == AttemptEnd::Whole)
+fn has_complete_response(attempt_records: &[AttemptRecord]) -> bool {
+    let mut outcomes = attempt_records.iter().map(|record| record.attempt.outcome);
+    outcomes.any(|outcome| outcome == AttemptOutcome::Complete)
 }
 
-/// A call that arrives more than once was retried by a daemon. Retries count for the caller's
-/// attempt that they descend from.
+/// Returns the maximum number of retries for one attempt of a caller. Each arrival of a call after
+/// its first is a retry by a daemon and is attributed to the caller's attempt that caused the call.
 fn retries_max(records: &[ExecutionReport]) -> u64 {
     let mut arrivals: HashMap<&str, u64> = HashMap::new();
     for report in records {
@@ -215,30 +226,30 @@
     }
     let mut retries: HashMap<&str, u64> = HashMap::new();
     for (call, count) in arrivals {
-        *retries.entry(first_call(call)).or_default() += count - 1;
+        *retries.entry(root_call(call)).or_default() += count - 1;
     }
     retries.into_values().max().unwrap_or_default()
 }
 
-/// The caller's attempt that a call descends from.
-fn first_call(call: &str) -> &str {
+/// Returns the call id of the caller's attempt that caused a call.
+fn root_call(call: &str) -> &str {
     call.split('.').next().unwrap_or(call)
 }
 
 fn wasted_work(load: &LoadReport, records: &[ExecutionReport]) -> f64 {
     let useful: HashSet<&str> = load
-        .notes
+        .attempt_records
         .values()
         .flatten()
-        .filter(|note| note.attempt.end == AttemptEnd::Whole && note.in_time)
-        .map(|note| note.call.as_str())
+        .filter(|record| record.attempt.outcome == AttemptOutcome::Complete && record.in_time)
+        .map(|record| record.call.as_str())
         .collect();
     let mut total = 0;
     let mut wasted = 0;
     for execution in records.iter().flat_map(|report| &report.executions) {
         let time = execution.ended_us.saturating_sub(execution.started_us);
         total += time;
-        if !useful.contains(first_call(&execution.call)) {
+        if !useful.contains(root_call(&execution.call)) {
             wasted += time;
         }
     }
@@ -248,10 +259,10 @@
     wasted as f64 / total as f64
 }
 
-/// Reads the records of back ends.
+/// Fetches the execution logs of backends.
 ///
 /// # Errors
-/// [`FetchError`] names the back end that can't be read.
+/// [`FetchError`] names the backend whose log can't be read.
 pub async fn fetch(backends: &[SocketAddr]) -> Result<Vec<ExecutionReport>, FetchError> {
     let mut records = Vec::with_capacity(backends.len());
     for &backend in backends {
--- a/crates/emulator/src/load/caller.rs
+++ b/crates/emulator/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: its originating request and the attempts that it makes for it.
+//! An emulated caller: one originating request and its attempts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use uuid::Uuid;
 use wharfquay_protocol::headers;
 
-use super::attempt::{Attempt, AttemptEnd};
-use super::audit::AttemptNote;
+use super::attempt::{Attempt, AttemptOutcome};
+use super::audit::AttemptRecord;
 use super::run::LoadState;
-use super::tally::RequestEnd;
+use super::tally::RequestOutcome;
 use crate::response_body;
 use crate::scenario::RequestModel;
 
-/// How long a caller waits past the deadline for an answer that says what became of its request.
-const GRACE: Duration = Duration::from_millis(150);
-/// What the hops of a path keep back of the deadline altogether, at most.
-const HOP_MARGINS: Duration = Duration::from_millis(10);
+/// Time after the deadline during which a caller still waits for a response that states the outcome.
+const RESPONSE_GRACE: Duration = Duration::from_millis(150);
+/// Maximum sum of the margins that all hops of a call path subtract from the deadline.
+const TOTAL_HOP_MARGIN: Duration = Duration::from_millis(10);
 
-/// An originating request and who sends it.
+/// A caller with its originating request.
 pub(super) struct Caller {
     state: Arc<LoadState>,
     kind: usize,
@@ -37,7 +37,7 @@
 }
 
 impl Caller {
-    /// A caller whose request arrives at `arrived` after the start of the load.
+    /// Creates a caller whose request arrives `arrived` after the start of the load.
     pub(super) fn new(
         state: Arc<LoadState>,
         kind: usize,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends the request, repeats it as this caller does, and counts what became of it.
+    /// Sends the request, repeats it according to the caller model and counts its outcome.
     pub(super) async fn run(self) {
         self.state
             .tally(self.kind, |tally| tally.sent(self.arrived));
@@ -65,7 +65,7 @@
         let mut number = 1;
         let last = loop {
             let attempt = self.attempt(number).await;
-            if attempt.end == AttemptEnd::Whole || number >= attempts {
+            if attempt.outcome == AttemptOutcome::Complete || number >= attempts {
                 break attempt;
             }
             let Some(wait) = self.wait_before_next(&attempt) else {
@@ -85,8 +85,9 @@
         Duration::from_millis(self.model().deadline_ms)
     }
 
-    /// Impatient callers come back on their own terms, even after the deadline; the others when
-    /// the answer says so, as long as the answer could still come in time.
+    /// Returns the wait before the next attempt, or `None` to give up. Impatient callers use the
+    /// scenario's fixed wait and continue even after the deadline; the others use Retry-After and
+    /// stop if the wait would pass the deadline.
     fn wait_before_next(&self, attempt: &Attempt) -> Option<Duration> {
         if self.impatient {
             let wait = self.state.settings.scenario.callers.retry_wait_ms;
@@ -101,15 +102,15 @@
         let call = format!("{}-{number}", self.token);
         let edge = self.state.next_edge();
         let exchange = self.exchange(edge, &call);
-        let attempt = tokio::time::timeout(self.deadline() + GRACE, exchange)
+        let attempt = tokio::time::timeout(self.deadline() + RESPONSE_GRACE, exchange)
             .await
-            .unwrap_or(Attempt::without_answer(AttemptEnd::TimedOut));
-        let note = AttemptNote {
+            .unwrap_or(Attempt::without_response(AttemptOutcome::TimedOut));
+        let record = AttemptRecord {
             call,
             attempt,
             in_time: self.scheduled.elapsed() <= self.deadline(),
         };
-        self.state.note_attempt(&self.token, note);
+        self.state.record_attempt(&self.token, record);
         self.state
             .tally(self.kind, |tally| tally.attempted(&attempt));
         attempt
@@ -118,28 +119,29 @@
     async fn exchange(&self, edge: SocketAddr, call: &str) -> Attempt {
         let started = Instant::now();
         let Ok(request) = self.request(edge, call) else {
-            return Attempt::without_answer(AttemptEnd::ConnectFailed);
+            return Attempt::without_response(AttemptOutcome::ConnectFailed);
         };
         let response = match self.state.client.request(request).await {
             Ok(response) => response,
             Err(error) if error.is_connect() => {
-                return Attempt::without_answer(AttemptEnd::ConnectFailed);
+                return Attempt::without_response(AttemptOutcome::ConnectFailed);
             }
-            Err(_) => return Attempt::without_answer(AttemptEnd::ConnectionLost),
+            Err(_) => return Attempt::without_response(AttemptOutcome::ConnectionLost),
         };
         let (head, body) = response.into_parts();
         let Ok(body) = body.collect().await else {
-            return Attempt::without_answer(self.end_of_cut(started.elapsed()));
+            return Attempt::without_response(self.outcome_of_truncation(started.elapsed()));
         };
-        Attempt::from_answer(&head, &body.to_bytes(), &self.model().entry, &self.token)
+        Attempt::from_response(&head, &body.to_bytes(), &self.model().entry, &self.token)
     }
 
-    /// A body may be broken off once the deadline has come, and never before.
-    fn end_of_cut(&self, elapsed: Duration) -> AttemptEnd {
-        if elapsed + HOP_MARGINS >= self.deadline() {
-            AttemptEnd::CutAtDeadline
+    /// Returns the outcome for a truncated body: daemons may truncate a body after the deadline, so
+    /// before it the connection was lost.
+    fn outcome_of_truncation(&self, elapsed: Duration) -> AttemptOutcome {
+        if elapsed + TOTAL_HOP_MARGIN >= self.deadline() {
+            AttemptOutcome::TruncatedAtDeadline
         } else {
-            AttemptEnd::ConnectionLost
+            AttemptOutcome::ConnectionLost
         }
     }
 
@@ -164,9 +166,10 @@
     fn finish(&self, last: &Attempt) {
         let latency = self.scheduled.elapsed();
         let in_time = latency <= self.deadline();
-        let end = RequestEnd::of(last, in_time);
-        self.state
-            .tally(self.kind, |tally| tally.ended(self.arrived, end, latency));
-        self.state.ended.fetch_add(1, Ordering::Relaxed);
+        let outcome = RequestOutcome::of(last, in_time);
+        self.state.tally(self.kind, |tally| {
+            tally.completed(self.arrived, outcome, latency)
+        });
+        self.state.completed.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/crates/emulator/src/load/inversions.rs
+++ b/crates/emulator/src/load/inversions.rs
@@ -1,15 +1,15 @@
-//! Refusals of important requests beside answers to less important ones.
+//! Priority inversions: refusals of important requests while less important ones were served.
 
 use std::collections::BTreeSet;
 
 use super::recovery::Buckets;
 use crate::scenario::RequestModel;
 
-/// Refused requests of one kind, for each of which a less important request that arrived in the
-/// same bucket was answered whole in time though it needs a service that the refused one needs.
+/// Counts the refused requests of one kind that can each be paired with a less important request
+/// which arrived in the same bucket, needs a common service and got a complete response in time.
 ///
-/// This is an upper bound of what priority promises: the refusal may be due to a service that the
-/// other request doesn't need.
+/// The count is an upper bound of the violations of priority, because a refusal may be due to a
+/// service that the other request doesn't need.
 pub(super) fn count(
     model: &RequestModel,
     buckets: &Buckets,
@@ -21,8 +21,8 @@
             served.add(other_buckets);
         }
     }
-    let pairs = buckets.refused_counts().zip(served.whole_counts());
-    pairs.map(|(refused, whole)| refused.min(whole)).sum()
+    let pairs = buckets.refused_counts().zip(served.complete_counts());
+    pairs.map(|(refused, complete)| refused.min(complete)).sum()
 }
 
 fn share_a_service(one: &RequestModel, other: &RequestModel) -> bool {
--- a/crates/emulator/src/load/mod.rs
+++ b/crates/emulator/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in for callers: open-loop arrivals, impatient retries and a report per request kind.
+//! Load generator that emulates callers: open-loop arrivals, repeats by impatient callers, a report
+//! per request kind and an audit against the execution logs of the backends.
 
 pub mod arguments;
 pub mod arrivals;
--- a/crates/emulator/src/load/recovery.rs
+++ b/crates/emulator/src/load/recovery.rs
@@ -1,17 +1,17 @@
-//! Time from the end of a surge until goodput is back.
+//! Recovery time: from the end of a surge until goodput has recovered.
 
 use std::time::Duration;
 
 use super::arrivals::Surge;
 
-/// Width of a bucket of arrivals.
+/// Length of the interval of arrival times that one bucket counts.
 pub const BUCKET: Duration = Duration::from_millis(250);
-/// Part of the rate before the surge that counts as recovered.
+/// Ratio of the goodput to that before the surge from which goodput counts as recovered.
 pub const RECOVERED_RATIO: f64 = 0.98;
-/// Buckets in a row that must have recovered.
-const BUCKETS_IN_A_ROW: usize = 4;
+/// Number of consecutive buckets, one second in total, over which goodput must have recovered.
+const CONSECUTIVE_BUCKETS: usize = 4;
 
-/// Arrivals and whole answers in time, per bucket of arrival time.
+/// Counts of arrivals, complete responses in time and refusals, per bucket of arrival time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Buckets {
     counts: Vec<BucketCount>,
@@ -20,37 +20,37 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct BucketCount {
     arrived: u64,
-    whole: u64,
+    complete: u64,
     refused: u64,
 }
 
 impl Buckets {
-    /// Counts a request that arrived at `at`.
+    /// Counts a request that arrived `at` after the start of the load.
     pub fn arrived(&mut self, at: Duration) {
         self.bucket(at).arrived += 1;
     }
 
-    /// Counts the whole answer in time of a request that arrived at `at`.
-    pub fn whole(&mut self, at: Duration) {
-        self.bucket(at).whole += 1;
+    /// Counts a complete response in time to a request that arrived at `at`.
+    pub fn complete(&mut self, at: Duration) {
+        self.bucket(at).complete += 1;
     }
 
-    /// Counts the refusal of a request that arrived at `at`.
+    /// Counts a refusal of a request that arrived at `at`.
     pub fn refused(&mut self, at: Duration) {
         self.bucket(at).refused += 1;
     }
 
-    /// Whole answers in time per bucket.
-    pub fn whole_counts(&self) -> impl Iterator<Item = u64> {
-        self.counts.iter().map(|count| count.whole)
+    /// Returns the number of complete responses in time per bucket.
+    pub fn complete_counts(&self) -> impl Iterator<Item = u64> {
+        self.counts.iter().map(|count| count.complete)
     }
 
-    /// Refusals per bucket.
+    /// Returns the number of refusals per bucket.
     pub fn refused_counts(&self) -> impl Iterator<Item = u64> {
         self.counts.iter().map(|count| count.refused)
     }
 
-    /// Adds the counts of other requests.
+    /// Adds the counts of `other`, bucket by bucket.
     pub fn add(&mut self, other: &Self) {
         if self.counts.len() < other.counts.len() {
             self.counts
@@ -58,12 +58,13 @@
         }
         for (count, added) in self.counts.iter_mut().zip(&other.counts) {
             count.arrived += added.arrived;
-            count.whole += added.whole;
+            count.complete += added.complete;
             count.refused += added.refused;
         }
     }
 
-    /// Share of the requests that arrived from `from` to `to` that were answered whole in time.
+    /// Returns the share of the requests that arrived between `from` and `to` that got a complete
+    /// response in time; `None` if none arrived.
     #[must_use]
     pub fn ratio(&self, from: Duration, to: Duration) -> Option<f64> {
         let first = index(from).min(self.counts.len());
@@ -71,18 +72,18 @@
         ratio_of(&self.counts[first..last])
     }
 
-    /// Seconds from the end of the surge until the goodput per arrival is back within two percent
-    /// of what it was before the surge and stays there for a second. Goodput is taken per arrival
-    /// so that the randomness of the arrivals themselves doesn't count. `None` when there was
-    /// nothing before the surge or goodput did not come back.
+    /// Returns the time from the end of the surge until the goodput per arrival is at least 98% of
+    /// that in the second half of the time before the surge, averaged over one second. Dividing by
+    /// the arrivals removes the randomness of the arrivals themselves. `None` if nothing arrived
+    /// before the surge or goodput did not recover.
     #[must_use]
     pub fn recovery(&self, surge: &Surge) -> Option<Duration> {
         let before = self.ratio(surge.start / 2, surge.start)?;
         let after = self.counts.get(index(surge.end())..)?;
-        let wanted = before * RECOVERED_RATIO;
+        let required = before * RECOVERED_RATIO;
         let position = after
-            .windows(BUCKETS_IN_A_ROW)
-            .position(|window| ratio_of(window).is_some_and(|ratio| ratio >= wanted))?;
+            .windows(CONSECUTIVE_BUCKETS)
+            .position(|window| ratio_of(window).is_some_and(|ratio| ratio >= required))?;
         let buckets = u32::try_from(position).unwrap_or(u32::MAX);
         Some(BUCKET * buckets)
     }
@@ -102,6 +103,6 @@
 
 fn ratio_of(counts: &[BucketCount]) -> Option<f64> {
     let arrived: u64 = counts.iter().map(|count| count.arrived).sum();
-    let whole: u64 = counts.iter().map(|count| count.whole).sum();
-    (arrived > 0).then(|| whole as f64 / arrived as f64)
+    let complete: u64 = counts.iter().map(|count| count.complete).sum();
+    (arrived > 0).then(|| complete as f64 / arrived as f64)
 }
--- a/crates/emulator/src/load/report.rs
+++ b/crates/emulator/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a load: counts, latencies and goodput per request kind.
+//! Report of a load: counts, latencies and goodput per request kind.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::{self, Display};
@@ -7,14 +7,14 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::audit::AttemptNote;
+use super::audit::AttemptRecord;
 use super::inversions;
 use super::recovery::Buckets;
 use super::run::LoadSettings;
 use super::tally::KindTally;
 use crate::scenario::RequestModel;
 
-/// Latency percentiles of answers whole in time, in milliseconds.
+/// Latency percentiles of complete responses in time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Latencies {
     /// Median.
@@ -25,7 +25,7 @@
     pub p99: f64,
     /// 99.9th percentile.
     pub p999: f64,
-    /// Longest.
+    /// Maximum.
     pub max: f64,
 }
 
@@ -42,10 +42,12 @@
     }
 }
 
-/// Share of requests answered whole in time, by the time of their arrival.
+/// Share of requests with a complete response in time, by phase of their arrival. Absent if no
+/// request arrived in the phase or the load has no such phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PhaseRatios {
-    /// Before the surge, without its first half, in which connections open and back ends warm up.
+    /// Second half of the time before the surge; in the first half connections are opened and
+    /// backends warm up. Without a surge, the whole load.
     pub before: Option<f64>,
     /// During the surge.
     pub surge: Option<f64>,
@@ -53,79 +55,83 @@
     pub after: Option<f64>,
 }
 
-/// What became of the requests of one kind.
+/// Counts, latencies and goodput of one request kind.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct KindReport {
-    /// Request kind.
+    /// Name of the request kind.
     pub kind: String,
-    /// Importance, 0 to 7.
+    /// Priority, 0 (most important) to 7.
     pub priority: u8,
-    /// Originating requests.
+    /// Originating requests sent.
     pub sent: u64,
-    /// Attempts of callers.
+    /// Attempts that callers made for them.
     pub attempts: u64,
-    /// Answered whole in time.
+    /// Requests with a complete response in time.
     pub whole: u64,
-    /// Answered whole after the deadline, or given up by the caller.
+    /// Requests with a complete response after the deadline, with a body truncated at the deadline, or
+    /// given up by the caller.
     pub late: u64,
-    /// Not run.
+    /// Requests refused without being executed.
     pub refused: u64,
-    /// Not known whether run.
+    /// Requests of which it is unknown whether they were executed.
     pub unknown: u64,
-    /// Answered with an error or a wrong answer.
+    /// Requests with an error response, without a connection, or with a response that belongs to
+    /// another request or is truncated or altered.
     pub failed: u64,
-    /// Attempts that got the answer of another request.
+    /// Attempts that got the response to another request.
     pub mixed_up: u64,
-    /// Attempts that got a part of their answer as if it were whole.
+    /// Attempts that got a truncated response whose body ended cleanly.
     pub truncated: u64,
-    /// Attempts that got an altered answer.
+    /// Attempts that got an altered response.
     pub altered: u64,
-    /// Refusals that did not say when to come back.
+    /// Refusals without a Retry-After header.
     pub without_retry_after: u64,
-    /// Refused requests beside which a less important request that needs a common service was
-    /// answered whole in time; an upper bound, since the refusal may be due to another service.
+    /// Refused requests that coincide with a complete response in time to a less important request
+    /// that needs a common service; an upper bound, since the refusal may be due to another service.
     pub priority_inversions: u64,
-    /// Attempts per result code.
+    /// Number of attempts per result code.
     pub result_codes: BTreeMap<u16, u64>,
-    /// Latency from the planned arrival to the whole answer in time.
+    /// Latency from the scheduled arrival to the complete response in time.
     pub latency_ms: Latencies,
-    /// Whole answers in time per second.
+    /// Complete responses in time per second.
     pub goodput_per_second: f64,
-    /// Share of the originating requests answered whole in time.
+    /// Share of the originating requests with a complete response in time.
     pub goodput_ratio: f64,
-    /// The same by phase of the load.
+    /// The same ratio by phase of the load.
     pub phase_ratios: PhaseRatios,
-    /// Time from the end of the surge until goodput is back, in seconds.
+    /// Time from the end of the surge until goodput has recovered, in seconds; absent without a surge
+    /// or if goodput did not recover.
     pub recovery_seconds: Option<f64>,
 }
 
 /// Report of a load.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Seed of the arrivals.
+    /// Seed of the arrivals and of the callers' impatience.
     pub seed: u64,
-    /// Length in seconds.
+    /// Length of the load in seconds.
     pub seconds: f64,
-    /// Per request kind, in the order of the scenario.
+    /// Reports per request kind, in the order of the scenario.
     pub kinds: Vec<KindReport>,
-    /// Whole answers in time per second.
+    /// Complete responses in time per second.
     pub goodput_per_second: f64,
-    /// Share of all originating requests answered whole in time.
+    /// Share of all originating requests with a complete response in time.
     pub goodput_ratio: f64,
-    /// Time from the end of the surge until the goodput of all kinds is back, in seconds.
+    /// Time from the end of the surge until the goodput of all kinds together has recovered, in
+    /// seconds; absent without a surge or if goodput did not recover.
     pub recovery_seconds: Option<f64>,
-    /// What each attempt came to, by token.
+    /// Attempts of each originating request, by its token.
     #[serde(skip)]
-    pub notes: HashMap<String, Vec<AttemptNote>>,
+    pub attempt_records: HashMap<String, Vec<AttemptRecord>>,
 }
 
 impl LoadReport {
     pub(super) fn new(
         settings: &LoadSettings,
         tallies: &[KindTally],
-        notes: HashMap<String, Vec<AttemptNote>>,
+        attempt_records: HashMap<String, Vec<AttemptRecord>>,
     ) -> Self {
         let pairs = || settings.scenario.requests.iter().zip(tallies);
         let buckets: Vec<_> = pairs()
@@ -144,24 +150,24 @@
             goodput_per_second: whole as f64 / settings.length.as_secs_f64(),
             goodput_ratio: ratio(whole, sent),
             recovery_seconds: recovery(settings, &all_buckets(tallies)),
-            notes,
+            attempt_records,
         }
     }
 
-    /// Originating requests of all kinds.
+    /// Returns the number of originating requests of all kinds.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.kinds.iter().map(|kind| kind.sent).sum()
     }
 
-    /// Upper bound of the requests that were refused before less important ones.
+    /// Returns an upper bound of the requests that were refused while less important ones were served.
     #[must_use]
     pub fn priority_inversions(&self) -> u64 {
         let kinds = self.kinds.iter();
         kinds.map(|kind| kind.priority_inversions).sum()
     }
 
-    /// Answers that belong to another request, are cut or altered.
+    /// Returns the number of responses that belong to another request or are truncated or altered.
     #[must_use]
     pub fn wrong_answers(&self) -> u64 {
         let kinds = self.kinds.iter();
@@ -260,14 +266,14 @@
         }
         writeln!(
             formatter,
-            "goodput {:.1}/s, {:.1}% of {} requests whole in time",
+            "goodput {:.1}/s, {:.1}% of {} requests complete in time",
             self.goodput_per_second,
             self.goodput_ratio * 100.0,
             self.sent()
         )?;
         match self.recovery_seconds {
             Some(seconds) => writeln!(formatter, "recovery after the surge {seconds:.2} s"),
-            None => writeln!(formatter, "recovery after the surge: not seen"),
+            None => writeln!(formatter, "recovery after the surge: not observed"),
         }
     }
 }
--- a/crates/emulator/src/load/run.rs
+++ b/crates/emulator/src/load/run.rs
@@ -1,4 +1,4 @@
-//! A running load: sends each arrival at its time, whatever became of those before.
+//! A running load: sends each request at its arrival time, independent of earlier responses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,55 +16,55 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::arrivals::{Arrivals, Surge};
-use super::audit::AttemptNote;
+use super::audit::AttemptRecord;
 use super::caller::Caller;
 use super::report::LoadReport;
 use super::tally::KindTally;
 use crate::scenario::Scenario;
 
-const IDLE_CONNECTION: Duration = Duration::from_secs(10);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Settings of a load.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// The deployment, for the request kinds and the behaviour of callers.
+    /// The scenario, which defines the request kinds and the behaviour of callers.
     pub scenario: Arc<Scenario>,
-    /// Edges, used in turn.
+    /// Addresses of the edges, used round robin.
     pub edges: Vec<SocketAddr>,
-    /// Length of the load.
+    /// Time during which requests arrive.
     pub length: Duration,
-    /// Period of higher demand.
+    /// Period with increased arrival rates, if any.
     pub surge: Option<Surge>,
-    /// Factor on every rate.
+    /// Factor on every arrival rate.
     pub rate_factor: f64,
-    /// Seed of arrivals and impatience.
+    /// Seed of the arrivals and of the choice of impatient callers.
     pub seed: u64,
 }
 
-/// Counts of a load under way.
+/// Counts of a running load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Originating requests sent.
     pub sent: u64,
-    /// Whole in time.
+    /// Requests with a complete response in time.
     pub whole: u64,
-    /// Not run.
+    /// Requests refused without being executed.
     pub refused: u64,
-    /// Late, unknown or failed.
+    /// Requests that were late, failed or have an unknown outcome.
     pub other: u64,
-    /// Originating requests whose end is known.
-    pub ended: u64,
+    /// Originating requests that are completed, with any outcome.
+    pub completed: u64,
 }
 
-/// What the callers of one load share.
+/// State that the callers of one load share.
 pub(super) struct LoadState {
     pub(super) settings: LoadSettings,
     pub(super) started: Instant,
     pub(super) client: Client<HttpConnector, Full<Bytes>>,
-    pub(super) ended: AtomicU64,
+    pub(super) completed: AtomicU64,
     next_edge: AtomicUsize,
     tallies: Vec<Mutex<KindTally>>,
-    notes: Mutex<HashMap<String, Vec<AttemptNote>>>,
+    attempt_records: Mutex<HashMap<String, Vec<AttemptRecord>>>,
 }
 
 impl LoadState {
@@ -73,7 +73,7 @@
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_CONNECTION)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         let kinds = settings.scenario.requests.iter();
@@ -82,38 +82,41 @@
             settings,
             started: Instant::now(),
             client,
-            ended: AtomicU64::new(0),
+            completed: AtomicU64::new(0),
             next_edge: AtomicUsize::new(0),
-            notes: Mutex::new(HashMap::new()),
+            attempt_records: Mutex::new(HashMap::new()),
         }
     }
 
-    /// The edge whose turn it is.
+    /// Returns the next edge in round-robin order.
     pub(super) fn next_edge(&self) -> SocketAddr {
         let turn = self.next_edge.fetch_add(1, Ordering::Relaxed);
         self.settings.edges[turn % self.settings.edges.len()]
     }
 
-    /// Changes the counts of a request kind.
+    /// Updates the counts of a request kind.
     pub(super) fn tally(&self, kind: usize, change: impl FnOnce(&mut KindTally)) {
         change(&mut lock(&self.tallies[kind]));
     }
 
-    /// Keeps what an attempt came to, for the audit.
-    pub(super) fn note_attempt(&self, token: &str, note: AttemptNote) {
-        let mut notes = lock(&self.notes);
-        notes.entry(token.to_owned()).or_default().push(note);
+    /// Records an attempt for the audit.
+    pub(super) fn record_attempt(&self, token: &str, record: AttemptRecord) {
+        let mut attempt_records = lock(&self.attempt_records);
+        attempt_records
+            .entry(token.to_owned())
+            .or_default()
+            .push(record);
     }
 }
 
-/// A load under way.
+/// A running load.
 pub struct RunningLoad {
     state: Arc<LoadState>,
     sending: JoinHandle<()>,
 }
 
 impl RunningLoad {
-    /// Starts the load.
+    /// Starts sending the load.
     #[must_use]
     pub fn start(settings: LoadSettings) -> Self {
         let state = Arc::new(LoadState::new(settings));
@@ -121,11 +124,11 @@
         Self { state, sending }
     }
 
-    /// Counts so far.
+    /// Returns the counts so far.
     #[must_use]
     pub fn progress(&self) -> Progress {
         let mut progress = Progress {
-            ended: self.state.ended.load(Ordering::Relaxed),
+            completed: self.state.completed.load(Ordering::Relaxed),
             ..Progress::default()
         };
         for tally in &self.state.tallies {
@@ -138,19 +141,19 @@
         progress
     }
 
-    /// Whether every request has been sent and has ended.
+    /// Returns true if every request has been sent and is completed.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.sending.is_finished()
     }
 
-    /// Waits for the end of the last request and reports.
+    /// Waits until the last request is completed and returns the report.
     pub async fn finish(self) -> LoadReport {
-        // A panic of the sender leaves counts that say what was not sent.
-        let _ended = self.sending.await;
+        // If the sender panicked, the counts show which requests were not sent.
+        let _result = self.sending.await;
         let tallies: Vec<_> = self.state.tallies.iter().map(|t| lock(t).clone()).collect();
-        let notes = std::mem::take(&mut *lock(&self.state.notes));
-        LoadReport::new(&self.state.settings, &tallies, notes)
+        let attempt_records = std::mem::take(&mut *lock(&self.state.attempt_records));
+        LoadReport::new(&self.state.settings, &tallies, attempt_records)
     }
 }
 
--- a/crates/emulator/src/load/tally.rs
+++ b/crates/emulator/src/load/tally.rs
@@ -5,40 +5,42 @@
 
 use hdrhistogram::Histogram;
 
-use super::attempt::{Attempt, AttemptEnd};
+use super::attempt::{Attempt, AttemptOutcome};
 use super::recovery::Buckets;
 use crate::response_body::BodyError;
 
-const LONGEST_LATENCY_US: u64 = 120_000_000;
+const MAX_LATENCY_US: u64 = 120_000_000;
 const SIGNIFICANT_FIGURES: u8 = 3;
 
-/// What became of an originating request.
+/// Outcome of an originating request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RequestEnd {
-    /// Whole in time.
-    Whole,
-    /// Whole, but after its deadline, or the caller went away at the deadline.
+pub(super) enum RequestOutcome {
+    /// Complete response in time.
+    Complete,
+    /// Complete response after the deadline, body truncated at the deadline, or given up by the caller.
     Late,
-    /// Not run.
+    /// Refused without being executed.
     Refused,
-    /// Not known whether it was run.
+    /// Unknown whether it was executed.
     Unknown,
-    /// Answered with an error.
+    /// Error response, or no connection.
     Failed,
-    /// Answered with something that is not its whole answer.
-    Wrong(BodyError),
+    /// Response with status 200 that is not the complete response to the request.
+    InvalidBody(BodyError),
 }
 
-impl RequestEnd {
-    /// The end that the last attempt gives the request.
+impl RequestOutcome {
+    /// Returns the outcome that results from the last attempt.
     pub(super) const fn of(last: &Attempt, in_time: bool) -> Self {
-        match last.end {
-            AttemptEnd::Whole if in_time => Self::Whole,
-            AttemptEnd::Whole | AttemptEnd::TimedOut | AttemptEnd::CutAtDeadline => Self::Late,
-            AttemptEnd::Wrong(fault) => Self::Wrong(fault),
-            AttemptEnd::NotRun => Self::Refused,
-            AttemptEnd::Unknown | AttemptEnd::ConnectionLost => Self::Unknown,
-            AttemptEnd::ServerError | AttemptEnd::ConnectFailed => Self::Failed,
+        match last.outcome {
+            AttemptOutcome::Complete if in_time => Self::Complete,
+            AttemptOutcome::Complete
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::TruncatedAtDeadline => Self::Late,
+            AttemptOutcome::InvalidBody(fault) => Self::InvalidBody(fault),
+            AttemptOutcome::NotRun => Self::Refused,
+            AttemptOutcome::Unknown | AttemptOutcome::ConnectionLost => Self::Unknown,
+            AttemptOutcome::ServerError | AttemptOutcome::ConnectFailed => Self::Failed,
         }
     }
 }
@@ -99,44 +101,44 @@
     }
 
     fn count_wrong(&mut self, attempt: &Attempt) {
-        match attempt.end {
-            AttemptEnd::Wrong(BodyError::OtherRequest) => self.mixed_up += 1,
-            AttemptEnd::Wrong(BodyError::Truncated) => self.truncated += 1,
-            AttemptEnd::Wrong(BodyError::Altered) => self.altered += 1,
+        match attempt.outcome {
+            AttemptOutcome::InvalidBody(BodyError::OtherRequest) => self.mixed_up += 1,
+            AttemptOutcome::InvalidBody(BodyError::Truncated) => self.truncated += 1,
+            AttemptOutcome::InvalidBody(BodyError::Altered) => self.altered += 1,
             _ => {}
         }
     }
 
-    pub(super) fn ended(&mut self, at: Duration, end: RequestEnd, latency: Duration) {
-        match end {
-            RequestEnd::Whole => {
+    pub(super) fn completed(&mut self, at: Duration, outcome: RequestOutcome, latency: Duration) {
+        match outcome {
+            RequestOutcome::Complete => {
                 self.whole += 1;
-                self.buckets.whole(at);
+                self.buckets.complete(at);
                 self.latency
                     .saturating_record(u64::try_from(latency.as_micros()).unwrap_or(u64::MAX));
             }
-            RequestEnd::Late => self.late += 1,
-            RequestEnd::Refused => {
+            RequestOutcome::Late => self.late += 1,
+            RequestOutcome::Refused => {
                 self.refused += 1;
                 self.buckets.refused(at);
             }
-            RequestEnd::Unknown => self.unknown += 1,
-            // A wrong answer is counted as such by its attempt.
-            RequestEnd::Failed | RequestEnd::Wrong(_) => self.failed += 1,
+            RequestOutcome::Unknown => self.unknown += 1,
+            // Invalid bodies are counted in detail per attempt.
+            RequestOutcome::Failed | RequestOutcome::InvalidBody(_) => self.failed += 1,
         }
     }
 }
 
-/// Refusals by the system must tell the caller when to come back.
+/// Returns true for a refusal by the system without Retry-After, which it must carry.
 const fn lacks_retry_after(attempt: &Attempt) -> bool {
-    matches!(attempt.end, AttemptEnd::NotRun)
+    matches!(attempt.outcome, AttemptOutcome::NotRun)
         && matches!(attempt.status, Some(502..=504))
         && attempt.retry_after.is_none()
 }
 
-/// A histogram of latencies in microseconds.
+/// Returns an empty histogram of latencies in microseconds.
 pub(super) fn latency_histogram() -> Histogram<u64> {
     // The bounds are valid, so the fallback is never reached with these constants.
-    Histogram::new_with_max(LONGEST_LATENCY_US, SIGNIFICANT_FIGURES)
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_FIGURES)
         .unwrap_or_else(|_| Histogram::new(SIGNIFICANT_FIGURES).expect("valid precision"))
 }
--- a/crates/emulator/tests/load_report.rs
+++ b/crates/emulator/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! Arrivals, recovery time, and the report and audit of a load against one back end.
+//! Arrivals, recovery time, and the report and audit of a load against one backend.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -64,15 +64,23 @@
 }
 
 #[test]
-fn arrivals_follow_seed_rate_and_surge() {
+fn arrivals_depend_on_seed_rate_and_surge() {
     let scenario = scenario();
     let arrivals = |seed| {
         let end = Duration::from_secs(60);
         Arrivals::new(&scenario, end, Some(surge(20, 20)), 1.0, seed).collect::<Vec<_>>()
     };
     let first = arrivals(SEED);
-    assert_eq!(first, arrivals(SEED), "same seed, same arrivals");
-    assert_ne!(first, arrivals(SEED + 1), "another seed, other arrivals");
+    assert_eq!(
+        first,
+        arrivals(SEED),
+        "the same seed must produce the same arrivals"
+    );
+    assert_ne!(
+        first,
+        arrivals(SEED + 1),
+        "another seed must produce other arrivals"
+    );
     assert!(first.is_sorted_by_key(|arrival| arrival.at));
     let table = [(0, 20, 1_600.0), (20, 40, 8_000.0), (40, 60, 1_600.0)];
     for (from, to, expected) in table {
@@ -87,18 +95,18 @@
 }
 
 #[test]
-fn recovery_is_the_time_until_goodput_stays_back() {
+fn recovery_time_ends_when_goodput_has_recovered_for_a_second() {
     let surge = surge(4, 2);
     type Goodput = fn(f64) -> f64;
     let table: [(&str, Goodput, Option<f64>); 4] = [
-        ("never down", |_| 1.0, Some(0.0)),
+        ("no decrease", |_| 1.0, Some(0.0)),
         (
-            "back at 8 s",
+            "recovered at 8 s",
             |at| if (4.0..8.0).contains(&at) { 0.3 } else { 1.0 },
             Some(2.0),
         ),
         (
-            "back, down again",
+            "recovered, then decreased again",
             |at| {
                 if (4.0..6.0).contains(&at) || (6.5..9.0).contains(&at) {
                     0.3
@@ -108,7 +116,7 @@
             },
             Some(3.0),
         ),
-        ("never back", |at| if at >= 4.0 { 0.9 } else { 1.0 }, None),
+        ("no recovery", |at| if at >= 4.0 { 0.9 } else { 1.0 }, None),
     ];
     for (name, ratio, expected) in table {
         let mut buckets = Buckets::default();
@@ -117,7 +125,7 @@
             for request in 0..100 {
                 buckets.arrived(at);
                 if f64::from(request) < 100.0 * ratio(at.as_secs_f64()) {
-                    buckets.whole(at);
+                    buckets.complete(at);
                 }
             }
         }
@@ -145,7 +153,7 @@
 }
 
 #[tokio::test]
-async fn the_report_shows_what_became_of_each_request() {
+async fn the_report_counts_each_request_under_its_outcome() {
     let none = Faults::default();
     type Count = fn(&LoadReport) -> u64;
     let table: [(&str, Faults, Count); 5] = [
@@ -192,7 +200,7 @@
 }
 
 #[tokio::test]
-async fn a_healthy_load_passes_the_audit_and_repeats_keep_their_key() {
+async fn a_load_without_faults_passes_the_audit_and_repeats_keep_their_idempotency_key() {
     let scenario = scenario();
     let (report, records) = run_load(Faults::default()).await;
     let audit = Audit::new(&scenario, &report, &[records]);
@@ -229,18 +237,19 @@
 }
 
 #[tokio::test]
-async fn the_audit_finds_each_broken_promise() {
+async fn the_audit_reports_each_broken_promise() {
     let scenario = scenario();
     let completed = ExecutionState::Completed;
-    // The load's own requests were all refused, so each execution below is one too many.
+    // Every request of this load was refused, so its execution logs must be empty and each execution
+    // below breaks a promise.
     let (refused, _) = run_load(Faults {
         refuse: 1.0,
         ..Faults::default()
     })
     .await;
     let (whole, _) = run_load(Faults::default()).await;
-    let (token, notes) = refused.notes.iter().next().expect("a request");
-    let call = notes[0].call.as_str();
+    let (token, attempt_records) = refused.attempt_records.iter().next().expect("a request");
+    let call = attempt_records[0].call.as_str();
     let table = [
         (
             "not_run_but_ran",
