--- a/crates/emulator/src/arguments.rs
+++ b/crates/emulator/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What the command lines of the emulator's programs have in common.
+//! Parsing of command lines, shared by the emulator's commands.
 
 use std::fmt::Display as DisplayTrait;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 
 use crate::scenario::{Scenario, ScenarioError};
 
-/// Exit status of a program that was called with arguments it can't use.
+/// Exit status of a program whose arguments are invalid.
 pub const BAD_USE: u8 = 2;
 
-/// Why a command line can't be used.
+/// An error in a command line.
 #[derive(Debug, Display)]
 pub enum ArgumentError {
     /// {0}
@@ -22,11 +22,11 @@
     Value {
         /// The option without its dashes.
         option: &'static str,
-        /// What was given.
+        /// The specified value.
         given: String,
-        /// Why it can't be used.
+        /// Reason why it is invalid.
         problem: String,
-        /// What may be given.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
     /// --{0} is missing
@@ -49,7 +49,7 @@
     }
 }
 
-/// What a command line asks for.
+/// Action that a command line requests.
 #[derive(Debug)]
 pub enum Command<T> {
     /// Run with these settings.
@@ -59,10 +59,10 @@
 }
 
 impl<T> Command<T> {
-    /// Makes the settings to run with from what was given.
+    /// Converts the raw arguments into settings.
     ///
     /// # Errors
-    /// What `settings` returns.
+    /// The error of `settings`.
     pub fn try_map<U>(
         self,
         settings: impl FnOnce(T) -> Result<U, ArgumentError>,
@@ -74,11 +74,12 @@
     }
 }
 
-/// Reads a command line of long options into `given`. `read_option` gets the name of each option
-/// without its dashes and reads its value, if it takes one.
+/// Parses a command line of long options into `given`, which initially holds the defaults.
+/// `read_option` is called with the name of each option, without its dashes, and reads the value if
+/// the option takes one.
 ///
 /// # Errors
-/// What `read_option` returns, and [`ArgumentError::Syntax`] for anything but a long option.
+/// The error of `read_option`, and [`ArgumentError::Syntax`] for anything but a long option.
 pub fn read<T>(
     mut parser: lexopt::Parser,
     mut given: T,
@@ -97,7 +98,7 @@
     Ok(Command::Run(given))
 }
 
-/// The error about a value of `option` that can't be used.
+/// Returns the error for an invalid value of `option`.
 pub fn invalid(
     option: &'static str,
     given: impl Into<String>,
@@ -112,16 +113,16 @@
     }
 }
 
-/// The error about an option, named without its dashes, that the program doesn't have.
+/// Returns the error for an unknown option, specified without its dashes.
 #[must_use]
 pub fn unknown_option(name: &str) -> ArgumentError {
     Arg::Long(name).unexpected().into()
 }
 
-/// Reads the value of `option`.
+/// Reads and parses the value of `option`.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or can't be parsed.
+/// [`ArgumentError`] if the value is absent or can't be parsed.
 pub fn value<T>(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -138,7 +139,7 @@
 /// Reads the value of an option as text.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or not Unicode.
+/// [`ArgumentError`] if the value is absent or not Unicode.
 pub fn text(parser: &mut lexopt::Parser) -> Result<String, ArgumentError> {
     let value = parser.value()?;
     value
@@ -146,10 +147,10 @@
         .map_err(|raw| ArgumentError::Syntax(lexopt::Error::NonUnicodeValue(raw)))
 }
 
-/// Parses what was given for `option`.
+/// Parses the specified value of `option`.
 ///
 /// # Errors
-/// [`ArgumentError::Value`] when it can't be parsed.
+/// [`ArgumentError::Value`] if it can't be parsed.
 pub fn parse<T>(
     option: &'static str,
     given: &str,
@@ -164,10 +165,10 @@
         .map_err(|error: T::Err| invalid(option, given, error.to_string(), allowed))
 }
 
-/// Reads a list of values with commas in between; at least one.
+/// Reads a comma-separated list of one or more values.
 ///
 /// # Errors
-/// [`ArgumentError`] when the list is absent or one of the values can't be parsed.
+/// [`ArgumentError`] if the list is absent or one of the values can't be parsed.
 pub fn list<T>(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -184,10 +185,10 @@
         .collect()
 }
 
-/// Reads a number that must lie in a range.
+/// Reads a number and checks that it is in `range`.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent, not a number or out of range.
+/// [`ArgumentError`] if the value is absent, not a number or out of range.
 pub fn number_in(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -202,10 +203,10 @@
     Err(invalid(option, given, "out of range", allowed))
 }
 
-/// Reads the seed of what is random in a run.
+/// Reads the seed of a run's random numbers.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or not a whole number of 64 bits.
+/// [`ArgumentError`] if the value is absent or not an unsigned 64-bit integer.
 pub fn seed(parser: &mut lexopt::Parser) -> Result<u64, ArgumentError> {
     value(parser, "seed", "0 to 2^64-1")
 }
@@ -213,7 +214,7 @@
 /// Reads a socket address.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or can't be parsed.
+/// [`ArgumentError`] if the value is absent or can't be parsed.
 pub fn address(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -221,10 +222,10 @@
     value(parser, option, "ip:port")
 }
 
-/// Reads a list of socket addresses with commas in between; at least one.
+/// Reads a comma-separated list of one or more socket addresses.
 ///
 /// # Errors
-/// [`ArgumentError`] when the list is absent or one of them can't be parsed.
+/// [`ArgumentError`] if the list is absent or one of them can't be parsed.
 pub fn address_list(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -232,10 +233,10 @@
     list(parser, option, "ip:port,ip:port,…")
 }
 
-/// Loads a scenario by the name of one that ships with the program, or from a file.
+/// Loads a scenario: from a file if the text contains `/` or `.`, otherwise a built-in one by name.
 ///
 /// # Errors
-/// [`ScenarioError`] when there is no such scenario or its file can't be used.
+/// [`ScenarioError`] if there is no such scenario or its file is unreadable or invalid.
 pub fn scenario(given: &str) -> Result<Scenario, ScenarioError> {
     let names_a_file = given.contains('/') || given.contains('.');
     if names_a_file {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the platform, back ends and callers, the simulator and its experiments.
+//! Emulated platform, backends and callers for tests and demonstrations, the simulator and its
+//! experiments.
 
 pub mod arguments;
 pub mod backend;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! wharfquay-emulator: stand-ins for the platform, back ends and callers, each a process.
+//! wharfquay-emulator: runs the emulated platform, backends and callers, each as a process.
 
 use std::process::ExitCode;
 
--- a/crates/emulator/src/platform/api.rs
+++ b/crates/emulator/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The calls of the object API as functions of the store.
+//! Calls of the object API, implemented as functions on the store.
 
 use bytes::Bytes;
 use salvo::Request;
@@ -18,7 +18,7 @@
 use super::leases::Lease;
 use super::store::Store;
 
-/// What a call consists of.
+/// Input of a call.
 pub(super) struct ApiRequest {
     pub(super) now: Timestamp,
     pub(super) path: PathParameters,
@@ -26,14 +26,14 @@
     pub(super) body: Bytes,
 }
 
-/// Variable parts of the path; empty where the route has none.
+/// Parameters of the path; empty if the route doesn't have them.
 #[derive(Debug, Default)]
 pub(super) struct PathParameters {
     kind: String,
     name: String,
 }
 
-/// Parameters of the query.
+/// Parameters of the query; empty or `None` if absent.
 #[derive(Debug, Default)]
 pub(super) struct QueryParameters {
     expected_version: Option<u64>,
@@ -68,14 +68,14 @@
     }
 }
 
-/// Status and JSON body of an answer.
+/// Status and JSON body of a response.
 #[derive(Debug)]
-pub(super) struct ApiAnswer {
+pub(super) struct ApiResponse {
     pub(super) status: StatusCode,
     pub(super) body: Vec<u8>,
 }
 
-impl ApiAnswer {
+impl ApiResponse {
     fn json<T: Serialize>(status: StatusCode, body: &T) -> Self {
         match serde_json::to_vec(body) {
             Ok(body) => Self { status, body },
@@ -98,65 +98,77 @@
     }
 }
 
-/// A call of the API. The error is an answer, too.
-pub(super) type ApiCall = fn(&mut Store, &ApiRequest) -> Result<ApiAnswer, ApiAnswer>;
+/// A call of the API. Both results are responses; an error is the response to a failed call.
+pub(super) type ApiCall = fn(&mut Store, &ApiRequest) -> Result<ApiResponse, ApiResponse>;
 
-pub(super) fn list_objects(store: &mut Store, _: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn list_objects(store: &mut Store, _: &ApiRequest) -> Result<ApiResponse, ApiResponse> {
     Ok(list(store, KeyspaceName::Objects))
 }
 
-pub(super) fn list_status(store: &mut Store, _: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn list_status(store: &mut Store, _: &ApiRequest) -> Result<ApiResponse, ApiResponse> {
     Ok(list(store, KeyspaceName::Status))
 }
 
-pub(super) fn get_object(store: &mut Store, request: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn get_object(
+    store: &mut Store,
+    request: &ApiRequest,
+) -> Result<ApiResponse, ApiResponse> {
     get(store, KeyspaceName::Objects, request)
 }
 
-pub(super) fn get_status(store: &mut Store, request: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn get_status(
+    store: &mut Store,
+    request: &ApiRequest,
+) -> Result<ApiResponse, ApiResponse> {
     get(store, KeyspaceName::Status, request)
 }
 
-pub(super) fn put_object(store: &mut Store, request: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn put_object(
+    store: &mut Store,
+    request: &ApiRequest,
+) -> Result<ApiResponse, ApiResponse> {
     put(store, KeyspaceName::Objects, request)
 }
 
-pub(super) fn put_status(store: &mut Store, request: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn put_status(
+    store: &mut Store,
+    request: &ApiRequest,
+) -> Result<ApiResponse, ApiResponse> {
     put(store, KeyspaceName::Status, request)
 }
 
 pub(super) fn delete_object(
     store: &mut Store,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     delete(store, KeyspaceName::Objects, request)
 }
 
 pub(super) fn delete_status(
     store: &mut Store,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     delete(store, KeyspaceName::Status, request)
 }
 
 pub(super) fn acquire_lease(
     store: &mut Store,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     let body: LeaseBody = parse(&request.body)?;
     let ttl = std::time::Duration::from_millis(body.ttl_ms);
     let name = &request.path.name;
-    let answer = match store.leases.acquire(request.now, name, &body.holder, ttl) {
-        Ok(lease) => ApiAnswer::json(StatusCode::OK, &lease_answer(request.now, lease)),
-        Err(held) => ApiAnswer::json(StatusCode::CONFLICT, &lease_answer(request.now, held)),
+    let response = match store.leases.acquire(request.now, name, &body.holder, ttl) {
+        Ok(lease) => ApiResponse::json(StatusCode::OK, &lease_reply(request.now, lease)),
+        Err(held) => ApiResponse::json(StatusCode::CONFLICT, &lease_reply(request.now, held)),
     };
-    Ok(answer)
+    Ok(response)
 }
 
 pub(super) fn release_lease(
     store: &mut Store,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     store
         .leases
         .release(&request.path.name, &request.query.holder);
@@ -166,21 +178,24 @@
 pub(super) fn list_machines(
     store: &mut Store,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     let machines = store.visible_machines(request.now);
     if request.query.unless_version == Some(machines.version) {
-        return Ok(ApiAnswer {
+        return Ok(ApiResponse {
             status: StatusCode::NOT_MODIFIED,
             body: Vec::new(),
         });
     }
-    Ok(ApiAnswer::json(StatusCode::OK, &machines))
+    Ok(ApiResponse::json(StatusCode::OK, &machines))
 }
 
-pub(super) fn put_machine(store: &mut Store, request: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn put_machine(
+    store: &mut Store,
+    request: &ApiRequest,
+) -> Result<ApiResponse, ApiResponse> {
     let machine: Machine = parse(&request.body)?;
     if machine.id != request.path.name {
-        return Err(ApiAnswer::bad_request(format!(
+        return Err(ApiResponse::bad_request(format!(
             "id: given {:?}, allowed is the path's {:?}",
             machine.id, request.path.name
         )));
@@ -192,40 +207,47 @@
 pub(super) fn delete_machine(
     store: &mut Store,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     store.machines.remove(request.now, &request.path.name);
     Ok(done())
 }
 
-pub(super) fn get_faults(store: &mut Store, _: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
-    Ok(ApiAnswer::json(StatusCode::OK, &store.faults))
+pub(super) fn get_faults(store: &mut Store, _: &ApiRequest) -> Result<ApiResponse, ApiResponse> {
+    Ok(ApiResponse::json(StatusCode::OK, &store.faults))
 }
 
-pub(super) fn put_faults(store: &mut Store, request: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+pub(super) fn put_faults(
+    store: &mut Store,
+    request: &ApiRequest,
+) -> Result<ApiResponse, ApiResponse> {
     let faults: FaultSwitches = parse(&request.body)?;
     store.faults = faults;
     Ok(done())
 }
 
-fn list(store: &Store, name: KeyspaceName) -> ApiAnswer {
-    ApiAnswer::json(StatusCode::OK, &store.readable(name).list())
+fn list(store: &Store, name: KeyspaceName) -> ApiResponse {
+    ApiResponse::json(StatusCode::OK, &store.readable(name).list())
 }
 
-fn get(store: &Store, name: KeyspaceName, request: &ApiRequest) -> Result<ApiAnswer, ApiAnswer> {
+fn get(
+    store: &Store,
+    name: KeyspaceName,
+    request: &ApiRequest,
+) -> Result<ApiResponse, ApiResponse> {
     let key = request.path.key();
     let keyspace = store.readable(name);
     let Some(object) = keyspace.get(&key) else {
         let error = format!("{key} doesn't exist");
-        return Err(ApiAnswer::failure(StatusCode::NOT_FOUND, error));
+        return Err(ApiResponse::failure(StatusCode::NOT_FOUND, error));
     };
-    Ok(ApiAnswer::json(StatusCode::OK, object))
+    Ok(ApiResponse::json(StatusCode::OK, object))
 }
 
 fn put(
     store: &mut Store,
     name: KeyspaceName,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     let body: PutBody = parse(&request.body)?;
     let put = Put {
         key: request.path.key(),
@@ -237,33 +259,34 @@
     let object = store
         .keyspace_mut(name)
         .put(put)
-        .map_err(ApiAnswer::conflict)?;
-    Ok(ApiAnswer::json(StatusCode::OK, &object))
+        .map_err(ApiResponse::conflict)?;
+    Ok(ApiResponse::json(StatusCode::OK, &object))
 }
 
 fn delete(
     store: &mut Store,
     name: KeyspaceName,
     request: &ApiRequest,
-) -> Result<ApiAnswer, ApiAnswer> {
+) -> Result<ApiResponse, ApiResponse> {
     let expected = request.query.expected_version;
-    let expected = expected.ok_or_else(|| ApiAnswer::bad_request("expected_version is missing"))?;
+    let expected =
+        expected.ok_or_else(|| ApiResponse::bad_request("expected_version is missing"))?;
     let operation = request.query.operation;
-    let operation = operation.ok_or_else(|| ApiAnswer::bad_request("operation is missing"))?;
+    let operation = operation.ok_or_else(|| ApiResponse::bad_request("operation is missing"))?;
     let key = request.path.key();
     let version = store
         .keyspace_mut(name)
         .delete(&key, Revision::new(expected))
-        .map_err(ApiAnswer::conflict)?;
+        .map_err(ApiResponse::conflict)?;
     log::info!(
         "event=delete key={key} version={} operation={operation} author={:?}",
         version.number(),
         request.query.author
     );
-    Ok(ApiAnswer::json(StatusCode::OK, &DeleteAnswer { version }))
+    Ok(ApiResponse::json(StatusCode::OK, &DeleteAnswer { version }))
 }
 
-fn lease_answer(now: Timestamp, lease: Lease) -> LeaseAnswer {
+fn lease_reply(now: Timestamp, lease: Lease) -> LeaseAnswer {
     let left = lease.expires_at.saturating_since(now).as_millis();
     LeaseAnswer {
         holder: lease.holder,
@@ -271,12 +294,12 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &Bytes) -> Result<T, ApiAnswer> {
-    serde_json::from_slice(body).map_err(ApiAnswer::bad_request)
+fn parse<T: DeserializeOwned>(body: &Bytes) -> Result<T, ApiResponse> {
+    serde_json::from_slice(body).map_err(ApiResponse::bad_request)
 }
 
-fn done() -> ApiAnswer {
-    ApiAnswer {
+fn done() -> ApiResponse {
+    ApiResponse {
         status: StatusCode::OK,
         body: b"{}".to_vec(),
     }
--- a/crates/emulator/src/platform/keyspace.rs
+++ b/crates/emulator/src/platform/keyspace.rs
@@ -10,38 +10,38 @@
 /// A write that creates or replaces an object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Put {
-    /// Object to write.
+    /// Key of the object to write.
     pub key: ObjectKey,
-    /// Version that the object must have; zero means that it must not exist.
+    /// Version that the object must have; zero requires that it doesn't exist.
     pub expected_version: Revision,
-    /// Id of the write.
+    /// Id of the write, by which a client recognises its own write.
     pub operation: OperationId,
-    /// Who makes the write.
+    /// Name of the writer.
     pub author: String,
-    /// New content.
+    /// New spec of the object.
     pub spec: serde_json::Value,
 }
 
-/// The expected version is not the current one.
+/// An error that means that the expected version is not the current version of the object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionConflict {
-    /// The object as it stands.
+    /// Current object; `None` if it doesn't exist.
     pub current: Option<Box<Object>>,
 }
 
-/// The events after the requested version have left the log.
+/// An error that means that the log no longer holds all events after the requested version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooOld {
-    /// Oldest version that a watch can start from.
+    /// Oldest version that a watch can start after.
     pub oldest: Revision,
 }
 
-/// Objects, their version counter and the log of the last changes.
+/// Objects, their version counter and the log of the latest changes.
 #[derive(Clone, Debug)]
 pub struct Keyspace {
     objects: Objects,
     version: Revision,
-    /// The objects as they were before the first event of the log.
+    /// Objects before the first event of the log.
     base: Objects,
     base_version: Revision,
     log: VecDeque<WatchEvent>,
@@ -49,7 +49,7 @@
 }
 
 impl Keyspace {
-    /// An empty keyspace at version zero that remembers `log_capacity` changes.
+    /// Creates an empty keyspace at version zero whose log holds `log_capacity` changes.
     #[must_use]
     pub const fn new(log_capacity: usize) -> Self {
         Self {
@@ -62,19 +62,19 @@
         }
     }
 
-    /// Version of the last write.
+    /// Returns the version of the last write.
     #[must_use]
     pub const fn version(&self) -> Revision {
         self.version
     }
 
-    /// The object as it stands.
+    /// Returns the current object.
     #[must_use]
     pub fn get(&self, key: &ObjectKey) -> Option<&Object> {
         self.objects.get(key)
     }
 
-    /// Every object at the current version.
+    /// Returns every object and the current version of the keyspace.
     #[must_use]
     pub fn list(&self) -> ObjectList {
         ObjectList {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Creates or replaces an object whose version is the expected one.
+    /// Creates or replaces an object if it has the expected version.
     pub fn put(&mut self, put: Put) -> Result<Object, VersionConflict> {
         self.expect_version(&put.key, put.expected_version)?;
         let object = Object {
@@ -100,7 +100,7 @@
         Ok(object)
     }
 
-    /// Deletes an object whose version is the expected one; returns the version of the deletion.
+    /// Deletes an object if it has the expected version; returns the version of the deletion.
     pub fn delete(
         &mut self,
         key: &ObjectKey,
@@ -115,7 +115,7 @@
         Ok(version)
     }
 
-    /// At most `limit` events after version `from`, in order.
+    /// Returns at most `limit` events after version `from`, in order.
     pub fn events_after(&self, from: Revision, limit: usize) -> Result<Vec<WatchEvent>, TooOld> {
         if from < self.base_version {
             return Err(TooOld {
@@ -126,7 +126,7 @@
         Ok(events.take(limit).cloned().collect())
     }
 
-    /// The keyspace as it was at `version`, or at the nearest version that the log still reaches.
+    /// Returns the keyspace at `version`, or at the nearest version that can be rebuilt from the log.
     #[must_use]
     pub fn as_of(&self, version: Revision) -> Self {
         let mut older = Self {
@@ -168,11 +168,11 @@
         apply(&mut self.objects, &event);
         self.log.push_back(event);
         while self.log.len() > self.log_capacity {
-            self.forget_oldest_event();
+            self.evict_oldest_event();
         }
     }
 
-    fn forget_oldest_event(&mut self) {
+    fn evict_oldest_event(&mut self) {
         if let Some(event) = self.log.pop_front() {
             self.base_version = event.version();
             apply(&mut self.base, &event);
--- a/crates/emulator/src/platform/leases.rs
+++ b/crates/emulator/src/platform/leases.rs
@@ -1,27 +1,27 @@
-//! Leases that lapse unless they are renewed.
+//! Leases that expire unless they are renewed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use wharfquay_core::time::Timestamp;
 
-/// Who holds a lease, and until when.
+/// Holder and expiry of a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Who holds it.
+    /// Id of the holder.
     pub holder: String,
-    /// When it lapses.
+    /// Time at which the lease expires.
     pub expires_at: Timestamp,
 }
 
-/// The leases in force.
+/// The leases by name. Expired ones are kept until they are granted again or released.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
     by_name: BTreeMap<String, Lease>,
 }
 
 impl Leases {
-    /// Grants or renews a lease. The error is the lease that someone else holds.
+    /// Grants or renews a lease for `ttl`. The error is the unexpired lease of another holder.
     pub fn acquire(
         &mut self,
         now: Timestamp,
@@ -42,7 +42,7 @@
         Ok(lease)
     }
 
-    /// Ends a lease if `holder` holds it; returns whether it did.
+    /// Releases a lease if `holder` holds it; returns true if it did.
     pub fn release(&mut self, name: &str, holder: &str) -> bool {
         let held = self
             .by_name
@@ -54,7 +54,7 @@
         held
     }
 
-    /// The lease with this name, if it has not lapsed.
+    /// Returns the lease with this name, or `None` if there is none or it has expired.
     #[must_use]
     pub fn held(&self, now: Timestamp, name: &str) -> Option<&Lease> {
         self.by_name
--- a/crates/emulator/src/platform/machines.rs
+++ b/crates/emulator/src/platform/machines.rs
@@ -1,4 +1,4 @@
-//! The machine list, whose changes become visible after a lag.
+//! The machine list, whose changes become visible to readers after a lag.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,7 +18,7 @@
     change: MachineChange,
 }
 
-/// The list that readers see and the changes that they don't see yet.
+/// The machine list that readers see and the changes that are not visible yet.
 #[derive(Clone, Debug, Default)]
 pub struct Machines {
     visible: BTreeMap<String, Machine>,
@@ -37,14 +37,15 @@
         self.push(now, MachineChange::Remove(id.to_owned()));
     }
 
-    /// The list that readers see. A change once seen stays seen when the lag grows.
+    /// Publishes the changes that are at least `lag` old and returns the visible list. A published
+    /// change stays visible if the lag is increased later.
     pub fn list(&mut self, now: Timestamp, lag: Duration) -> MachineList {
         while self
             .pending
             .front()
             .is_some_and(|pending| pending.made_at + lag <= now)
         {
-            self.show_next();
+            self.publish_next();
         }
         MachineList {
             version: self.version,
@@ -59,7 +60,7 @@
         });
     }
 
-    fn show_next(&mut self) {
+    fn publish_next(&mut self) {
         let Some(pending) = self.pending.pop_front() else {
             return;
         };
--- a/crates/emulator/src/platform/mod.rs
+++ b/crates/emulator/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-in for the platform: object API, leases and machine list, with fault switches.
+//! Emulated platform: object API, leases and machine list, with fault injection.
 //!
-//! [`store`] and what it holds are sans-I/O; [`server`] puts HTTP around them.
+//! [`store`] and the modules that it uses are sans-I/O; [`server`] exposes them over HTTP.
 
 mod api;
 pub mod faults;
--- a/crates/emulator/src/platform/routes.rs
+++ b/crates/emulator/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of the object API: each serves one call, behind the fault switches.
+//! Routes of the object API. Each serves one call and applies the fault switches first.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,15 +7,15 @@
 use salvo::http::{HeaderValue, StatusCode, header};
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, async_trait};
 
-use super::api::{self, ApiAnswer, ApiCall, ApiRequest, PathParameters, QueryParameters};
+use super::api::{self, ApiCall, ApiRequest, ApiResponse, PathParameters, QueryParameters};
 use super::server::Platform;
 use super::store::Store;
 use super::watch::WatchHandler;
 
-/// Largest body that is read, in bytes.
-const MAXIMUM_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Every route of the API.
+/// Returns the router of the API.
 pub(super) fn routes(platform: &Arc<Platform>) -> Router {
     let read = |call| Endpoint::new(platform, call, Effect::Read);
     let write = |call| Endpoint::new(platform, call, Effect::Write);
@@ -47,7 +47,7 @@
                 .delete(write(api::delete_machine)),
         );
     let watch = Router::with_path("watch")
-        .hoop(FaultGate(Arc::clone(platform)))
+        .hoop(FaultMiddleware(Arc::clone(platform)))
         .get(WatchHandler(Arc::clone(platform)));
     let faults = Router::with_path("faults")
         .get(switch(api::get_faults))
@@ -61,18 +61,18 @@
         .push(faults)
 }
 
-/// What a call does to the store.
+/// Effect of a call on the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
-    /// Nothing.
+    /// Leaves the store unchanged.
     Read,
-    /// Changes it.
+    /// Changes the store.
     Write,
-    /// Shows or sets the fault switches, which work in spite of every fault.
+    /// Reads or sets the fault switches; the faults don't apply to it.
     Switch,
 }
 
-/// Serves one call of the API.
+/// Handler of one call of the API.
 #[derive(Clone)]
 struct Endpoint {
     platform: Arc<Platform>,
@@ -89,26 +89,26 @@
         }
     }
 
-    async fn serve(self, mut request: ApiRequest) -> Served {
+    async fn serve(self, mut request: ApiRequest) -> CallResult {
         if self.effect != Effect::Switch
-            && let Err(served) = pass_faults(&self.platform).await
+            && let Err(result) = apply_faults(&self.platform).await
         {
-            return served;
+            return result;
         }
         request.now = self.platform.now();
         let call = |store: &mut Store| (self.call)(store, &request);
         if self.effect == Effect::Read {
             let result = self.platform.with_store(call);
-            return Served::Answer(result.unwrap_or_else(|failure| failure));
+            return CallResult::Response(result.unwrap_or_else(|failure| failure));
         }
         let result = self.platform.change(call);
-        if self.effect == Effect::Write && result.is_ok() && self.loses_answer() {
-            return Served::NoAnswer;
+        if self.effect == Effect::Write && result.is_ok() && self.loses_response() {
+            return CallResult::NoResponse;
         }
-        Served::Answer(result.unwrap_or_else(|failure| failure))
+        CallResult::Response(result.unwrap_or_else(|failure| failure))
     }
 
-    fn loses_answer(&self) -> bool {
+    fn loses_response(&self) -> bool {
         self.platform.with_store(|store| {
             let lost = store.faults.lose_answers > 0;
             store.faults.lose_answers = store.faults.lose_answers.saturating_sub(1);
@@ -126,7 +126,7 @@
         response: &mut Response,
         _: &mut FlowCtrl,
     ) {
-        let body = match request.payload_with_max_size(MAXIMUM_BODY_BYTES).await {
+        let body = match request.payload_with_max_size(MAX_BODY_BYTES).await {
             Ok(body) => body.clone(),
             Err(_) => Bytes::new(),
         };
@@ -136,21 +136,21 @@
             query: QueryParameters::of(request),
             body,
         };
-        // A task of its own, so that the call goes on when the caller leaves.
-        let served = tokio::spawn(self.clone().serve(api_request)).await;
-        let served = served.unwrap_or_else(|error| {
+        // A separate task, because a write must take effect even if the client disconnects.
+        let result = tokio::spawn(self.clone().serve(api_request)).await;
+        let result = result.unwrap_or_else(|error| {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            Served::Answer(ApiAnswer::failure(status, error.to_string()))
+            CallResult::Response(ApiResponse::failure(status, error.to_string()))
         });
-        answer_or_wait(response, served).await;
+        respond_or_hang(response, result).await;
     }
 }
 
-/// Applies the fault switches in front of another handler.
-struct FaultGate(Arc<Platform>);
+/// Middleware that applies the fault switches before another handler.
+struct FaultMiddleware(Arc<Platform>);
 
 #[async_trait]
-impl Handler for FaultGate {
+impl Handler for FaultMiddleware {
     async fn handle(
         &self,
         _: &mut Request,
@@ -158,46 +158,46 @@
         response: &mut Response,
         control: &mut FlowCtrl,
     ) {
-        if let Err(served) = pass_faults(&self.0).await {
-            answer_or_wait(response, served).await;
+        if let Err(result) = apply_faults(&self.0).await {
+            respond_or_hang(response, result).await;
             control.skip_rest();
         }
     }
 }
 
-/// How a call ends.
-enum Served {
-    /// With this answer.
-    Answer(ApiAnswer),
-    /// Not at all, until the caller leaves.
-    NoAnswer,
+/// Result of a call.
+enum CallResult {
+    /// Responds with this response.
+    Response(ApiResponse),
+    /// Sends no response and keeps the request open until the client disconnects.
+    NoResponse,
 }
 
-/// Waits as the switches demand; the error is how the call ends at once.
-async fn pass_faults(platform: &Platform) -> Result<(), Served> {
+/// Applies the injected delay; the error is the result of a call that a fault prevents.
+async fn apply_faults(platform: &Platform) -> Result<(), CallResult> {
     let faults = platform.with_store(|store| store.faults.clone());
     if faults.down {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        let answer = ApiAnswer::failure(status, "down".to_owned());
-        return Err(Served::Answer(answer));
+        let api_response = ApiResponse::failure(status, "down".to_owned());
+        return Err(CallResult::Response(api_response));
     }
     if faults.hang {
-        return Err(Served::NoAnswer);
+        return Err(CallResult::NoResponse);
     }
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     Ok(())
 }
 
-async fn answer_or_wait(response: &mut Response, served: Served) {
-    match served {
-        Served::Answer(answer) => render(response, answer),
-        Served::NoAnswer => std::future::pending().await,
+async fn respond_or_hang(response: &mut Response, result: CallResult) {
+    match result {
+        CallResult::Response(api_response) => render(response, api_response),
+        CallResult::NoResponse => std::future::pending().await,
     }
 }
 
-pub(super) fn render(response: &mut Response, answer: ApiAnswer) {
-    response.status_code(answer.status);
+pub(super) fn render(response: &mut Response, api_response: ApiResponse) {
+    response.status_code(api_response.status);
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
-    response.body(answer.body);
+    response.body(api_response.body);
 }
--- a/crates/emulator/src/platform/server.rs
+++ b/crates/emulator/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! HTTP around the store.
+//! HTTP server of the emulated platform.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,24 +22,24 @@
 use super::routes::routes;
 use super::store::{DEFAULT_EVENT_LOG_CAPACITY, Store};
 
-/// Author of the objects that the stand-in starts with.
-const INITIAL_AUTHOR: &str = "initial";
+/// Author of the objects that the store initially contains.
+const INITIAL_OBJECT_AUTHOR: &str = "initial";
 
-/// How the stand-in is started.
+/// Settings of the emulated platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Address to listen on; port zero takes a free one.
+    /// Address to listen on; port zero selects a free port.
     pub listen: SocketAddr,
-    /// Configuration objects to start with.
+    /// Initial configuration objects.
     pub resources: Vec<Resource>,
-    /// Changes that the event log remembers.
+    /// Maximum number of changes in the event log; older ones are dropped.
     pub event_log_capacity: usize,
-    /// Time between bookmarks on a quiet watch.
+    /// Time between the bookmarks of a watch without events.
     pub bookmark_interval: Duration,
 }
 
 impl PlatformSettings {
-    /// Default settings with this address.
+    /// Returns the default settings with this address.
     #[must_use]
     pub const fn new(listen: SocketAddr) -> Self {
         Self {
@@ -51,28 +51,28 @@
     }
 }
 
-/// Why the stand-in can't start.
+/// An error that prevents the emulated platform from starting.
 #[derive(Debug, Display)]
 pub enum PlatformError {
     /// 6201: can't listen on {address}: {detail}
     Listen {
-        /// The address in the settings.
+        /// Address of the settings.
         address: SocketAddr,
-        /// What the system reported.
+        /// Error of the operating system.
         detail: String,
     },
     /// 6202: resource {name}: can't be stored: {detail}
     Resource {
-        /// Kind and name.
+        /// Kind and name of the resource.
         name: String,
-        /// What is wrong.
+        /// Reason.
         detail: String,
     },
 }
 
 impl std::error::Error for PlatformError {}
 
-/// The store and what its users share.
+/// State that the handlers share.
 #[derive(Debug)]
 pub(super) struct Platform {
     store: Mutex<Store>,
@@ -90,7 +90,7 @@
         self.bookmark_interval
     }
 
-    /// Tells of every change to the store, the fault switches included.
+    /// Returns a receiver that is notified of every change to the store, including the fault switches.
     pub(super) fn changes(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
@@ -99,7 +99,7 @@
         use_store(&mut self.lock())
     }
 
-    /// Changes the store and wakes the watches.
+    /// Changes the store and notifies the watches.
     pub(super) fn change<T>(&self, change: impl FnOnce(&mut Store) -> T) -> T {
         let result = self.with_store(change);
         self.changes.send_replace(());
@@ -111,7 +111,7 @@
     }
 }
 
-/// A stand-in that serves until it is shut down or dropped.
+/// A running emulated platform; dropping it stops it.
 #[derive(Debug)]
 pub struct RunningPlatform {
     address: SocketAddr,
@@ -120,29 +120,29 @@
 }
 
 impl RunningPlatform {
-    /// Address that it listens on.
+    /// Returns the address that the platform listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The fault switches as they stand.
+    /// Returns the current fault switches.
     #[must_use]
     pub fn faults(&self) -> FaultSwitches {
         self.platform.with_store(|store| store.faults.clone())
     }
 
-    /// Puts the fault switches in this position.
+    /// Replaces the fault switches.
     pub fn set_faults(&self, faults: FaultSwitches) {
         self.platform.change(|store| store.faults = faults);
     }
 
-    /// Reads or changes the store in process, past every fault.
+    /// Reads or changes the store directly, unaffected by the faults.
     pub fn with_store<T>(&self, change: impl FnOnce(&mut Store) -> T) -> T {
         self.platform.change(change)
     }
 
-    /// Closes the listener and every connection; returns the store for [`start_with_store`].
+    /// Closes the listener and all connections; returns the store for [`start_with_store`].
     pub async fn shutdown(mut self) -> Store {
         self.server.abort();
         let _ = (&mut self.server).await;
@@ -156,14 +156,14 @@
     }
 }
 
-/// Starts a stand-in.
+/// Starts an emulated platform with the resources of the settings.
 pub async fn start(settings: PlatformSettings) -> Result<RunningPlatform, PlatformError> {
     let store = initial_store(&settings)?;
     start_with_store(settings, store).await
 }
 
-/// Starts a stand-in with the store of one that was shut down; the resources in the settings are not
-/// written to it.
+/// Starts an emulated platform with an existing store; the resources in the settings are not written
+/// to it.
 pub async fn start_with_store(
     settings: PlatformSettings,
     store: Store,
@@ -213,7 +213,7 @@
             key: conversion::object_key(&id),
             expected_version: Revision::ZERO,
             operation: OperationId::unique(),
-            author: INITIAL_AUTHOR.to_owned(),
+            author: INITIAL_OBJECT_AUTHOR.to_owned(),
             spec,
         };
         let result = store.objects.put(put);
--- a/crates/emulator/src/platform/store.rs
+++ b/crates/emulator/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Everything that the stand-in keeps, without I/O.
+//! State of the emulated platform, without I/O.
 
 use std::borrow::Cow;
 use std::time::Duration;
@@ -13,26 +13,26 @@
 use super::leases::Leases;
 use super::machines::Machines;
 
-/// Changes that the event log remembers unless set otherwise.
+/// Default maximum number of changes in the event log.
 pub const DEFAULT_EVENT_LOG_CAPACITY: usize = 10_000;
 
-/// The platform's whole state.
+/// Complete state of the emulated platform.
 #[derive(Clone, Debug)]
 pub struct Store {
     /// Configuration objects.
     pub objects: Keyspace,
-    /// Status objects; their versions are separate.
+    /// Status objects; their versions are independent of those of the configuration objects.
     pub status: Keyspace,
     /// Leases.
     pub leases: Leases,
     /// Machine list.
     pub machines: Machines,
-    /// What is wrong at the moment.
+    /// Injected faults.
     pub faults: FaultSwitches,
 }
 
 impl Store {
-    /// An empty store that remembers `event_log_capacity` changes.
+    /// Creates an empty store whose event logs hold `event_log_capacity` changes each.
     #[must_use]
     pub fn new(event_log_capacity: usize) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The keyspace that writes go to.
+    /// Returns the keyspace to which writes are applied.
     pub const fn keyspace_mut(&mut self, name: KeyspaceName) -> &mut Keyspace {
         match name {
             KeyspaceName::Objects => &mut self.objects,
@@ -52,7 +52,8 @@
         }
     }
 
-    /// The keyspace that reads are answered from, which may be an older state.
+    /// Returns the keyspace from which reads are served: with the fault `serve_older_version` an older
+    /// version of the configuration objects.
     #[must_use]
     pub fn readable(&self, name: KeyspaceName) -> Cow<'_, Keyspace> {
         match (name, self.faults.serve_older_version) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The machine list that readers see.
+    /// Returns the machine list that readers see.
     pub fn visible_machines(&mut self, now: Timestamp) -> MachineList {
         let lag = Duration::from_millis(self.faults.machine_list_lag_ms);
         self.machines.list(now, lag)
--- a/crates/emulator/src/platform/watch.rs
+++ b/crates/emulator/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! The watch call: events from the log, then as they happen, with bookmarks between.
+//! The watch call: sends past events from the log, then new events, with bookmarks in between.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use wharfquay_platform::write::Keyspace as KeyspaceName;
 use wharfquay_resources::snapshot::Revision;
 
-use super::api::ApiAnswer;
+use super::api::ApiResponse;
 use super::keyspace::TooOld;
 use super::routes::render;
 use super::server::Platform;
 use super::store::Store;
 
-/// Events sent in one piece.
+/// Maximum number of log events that are sent together.
 const BATCH_EVENTS: usize = 256;
 
-/// Serves the watch of configuration objects.
+/// Handler of the watch of configuration objects.
 pub(super) struct WatchHandler(pub(super) Arc<Platform>);
 
 #[async_trait]
@@ -33,7 +33,10 @@
     ) {
         let Some(from) = request.query::<u64>("from") else {
             let error = "from is missing; it must be a version".to_owned();
-            render(response, ApiAnswer::failure(StatusCode::BAD_REQUEST, error));
+            render(
+                response,
+                ApiResponse::failure(StatusCode::BAD_REQUEST, error),
+            );
             return;
         };
         let from = Revision::new(from);
@@ -42,31 +45,31 @@
             render(response, gone(from, too_old));
             return;
         }
-        let feed = WatchFeed {
+        let stream = WatchStream {
             platform: Arc::clone(&self.0),
             sender: response.channel(),
             reached: from,
         };
-        tokio::spawn(feed.run());
+        tokio::spawn(stream.run());
     }
 }
 
-fn gone(from: Revision, too_old: TooOld) -> ApiAnswer {
+fn gone(from: Revision, too_old: TooOld) -> ApiResponse {
     let error = format!(
         "from: given {}, allowed are {} and later",
         from.number(),
         too_old.oldest.number()
     );
-    ApiAnswer::failure(StatusCode::GONE, error)
+    ApiResponse::failure(StatusCode::GONE, error)
 }
 
-/// What is sent next.
+/// Next action of a watch.
 enum Batch {
-    /// The platform is down: the connection is cut.
-    Cut,
-    /// The platform hangs: nothing is sent.
-    Silence,
-    /// Events to send after a delay, and then whether more are waiting.
+    /// The platform is down: aborts the connection.
+    Abort,
+    /// The platform hangs: sends nothing.
+    SendNothing,
+    /// Sends these events after the delay; `more` is true if the log holds further events.
     Events {
         events: Vec<WatchEvent>,
         delay: Duration,
@@ -76,10 +79,10 @@
 
 fn next_batch(store: &mut Store, reached: Revision) -> Result<Batch, TooOld> {
     if store.faults.down {
-        return Ok(Batch::Cut);
+        return Ok(Batch::Abort);
     }
     if store.faults.hang {
-        return Ok(Batch::Silence);
+        return Ok(Batch::SendNothing);
     }
     let keyspace = store.readable(KeyspaceName::Objects);
     let mut events = keyspace.events_after(reached, BATCH_EVENTS)?;
@@ -96,14 +99,15 @@
 }
 
 /// One open watch.
-struct WatchFeed {
+struct WatchStream {
     platform: Arc<Platform>,
     sender: BodySender,
     reached: Revision,
 }
 
-impl WatchFeed {
-    /// Runs until the reader leaves, the platform goes down or the reader falls behind the log.
+impl WatchStream {
+    /// Sends events until the reader disconnects, the platform is down or the log no longer holds
+    /// the reader's next event.
     async fn run(mut self) {
         let mut changes = self.platform.changes();
         loop {
@@ -112,11 +116,11 @@
             let batch = self.platform.with_store(|store| next_batch(store, reached));
             match batch {
                 Err(TooOld { .. }) => return,
-                Ok(Batch::Cut) => {
+                Ok(Batch::Abort) => {
                     self.sender.send_error(std::io::Error::other("down"));
                     return;
                 }
-                Ok(Batch::Silence) => {}
+                Ok(Batch::SendNothing) => {}
                 Ok(Batch::Events {
                     events,
                     delay,
--- a/crates/emulator/src/readiness.rs
+++ b/crates/emulator/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Waiting until a daemon has its configuration and knows the back ends.
+//! Waits until a daemon has its configuration and knows the backends.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,36 +11,36 @@
 use hyper_util::rt::TokioExecutor;
 use serde::Deserialize;
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// daemon {admin}: not ready in time: {reason}
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub struct NotReady {
     /// Admin address of the daemon.
     pub admin: SocketAddr,
-    /// What it said last.
+    /// Last status received, or why it could not be read.
     pub reason: String,
 }
 
 impl std::error::Error for NotReady {}
 
-/// The part of a daemon's status that matters here.
+/// The fields of a daemon's status from which readiness is determined.
 #[derive(Deserialize)]
 struct Status {
     ready: bool,
     endpoints: Vec<serde::de::IgnoredAny>,
 }
 
-/// Polls the daemon's status until it is ready and knows this many endpoints.
+/// Polls the daemon's status until it is ready and knows at least this many endpoints.
 ///
 /// # Errors
-/// [`NotReady`] when that is not so at the limit.
+/// [`NotReady`] if it is not so at `limit`.
 pub async fn wait(admin: SocketAddr, endpoints: usize, limit: Instant) -> Result<(), NotReady> {
     loop {
         let reason = match status(admin).await {
             Ok(status) if status.ready && status.endpoints.len() >= endpoints => return Ok(()),
             Ok(status) => format!(
-                "ready={} endpoints={} (wanted {endpoints})",
+                "ready={} endpoints={} (required: {endpoints})",
                 status.ready,
                 status.endpoints.len()
             ),
@@ -49,7 +49,7 @@
         if Instant::now() >= limit {
             return Err(NotReady { admin, reason });
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,36 +1,36 @@
-//! Scenario files: a deployment's zones, back ends, call chains and load.
+//! Scenario files, which describe a deployment: its zones, backends, call chains and load.
 //!
-//! The same file drives the simulator, the in-process demonstration and the separate processes.
+//! The simulator, the in-process demonstration and the separate processes use the same files.
 
 use std::path::Path;
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// Why a scenario can't be used.
+/// An error that makes a scenario unusable.
 #[derive(Debug, Display)]
 pub enum ScenarioError {
     /// {path}: can't be read: {source}
     Read {
         /// The file.
         path: String,
-        /// What the operating system reported.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// {path}: {message}
     Parse {
         /// The file.
         path: String,
-        /// What the parser reported, with line and column.
+        /// Error of the parser, with line and column.
         message: String,
     },
     /// {field}: {problem} (allowed: {allowed})
     Invalid {
         /// The field, as a path from the root of the file.
         field: String,
-        /// What is wrong, with the given value.
+        /// What is invalid, with the specified value.
         problem: String,
-        /// What is allowed there.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
@@ -41,19 +41,19 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name used on the command line.
+    /// Name of the scenario.
     pub name: String,
-    /// The zones, in order.
+    /// Names of the zones; the backends of a service are assigned to them round robin in this order.
     pub zones: Vec<String>,
-    /// One-way latencies.
+    /// Network latencies.
     pub latency: Latency,
-    /// The services.
+    /// The services of the deployment.
     #[serde(rename = "service")]
     pub services: Vec<ServiceModel>,
     /// The request kinds that callers send.
     #[serde(rename = "request")]
     pub requests: Vec<RequestModel>,
-    /// How callers behave.
+    /// Behaviour of the callers.
     pub callers: CallerModel,
 }
 
@@ -61,34 +61,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Latency {
-    /// Between two machines of a zone.
+    /// Between two machines of the same zone.
     pub same_zone_us: u64,
-    /// Between two zones.
+    /// Between two machines of different zones.
     pub between_zones_us: u64,
     /// Between a caller and the edge.
     pub client_us: u64,
 }
 
-/// A service and the behaviour of its back ends.
+/// A service and the behaviour of its backends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceModel {
-    /// Name, as in the resources.
+    /// Name of the service, as in the resources.
     pub name: String,
-    /// Number of back ends; the zones receive them in turn.
+    /// Number of backends, assigned to the zones round robin.
     pub backends: u32,
-    /// Requests that a back end executes at a time.
+    /// Maximum number of requests that a backend executes concurrently.
     pub slots: u32,
-    /// Connections that a back end accepts.
+    /// Maximum number of open connections of a backend.
     pub connections: u32,
     /// Time to open a connection, in microseconds.
     pub connect_us: u64,
-    /// Time that a cold back end takes to reach full speed, in milliseconds.
+    /// Time from the start of a backend until it has reached full speed, in milliseconds. Zero by
+    /// default: full speed from the start.
     #[serde(default)]
     pub cold_start_ms: u64,
 }
 
-/// One kind of originating request: rate and call chain.
+/// A kind of originating request, with its arrival rate and call chain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestModel {
@@ -96,70 +97,70 @@
     pub kind: String,
     /// HTTP method.
     pub method: String,
-    /// HTTP path.
+    /// HTTP path; a request belongs to the kind with the longest matching prefix.
     pub path: String,
     /// Service that the request is addressed to.
     pub entry: String,
-    /// Importance, 0 to 7, as in the resources.
+    /// Priority, 0 (most important) to 7, as in the resources.
     pub priority: u8,
     /// Deadline, in milliseconds, as in the resources.
     pub deadline_ms: u64,
-    /// Whether the request may be executed again.
+    /// True if executing the request more than once is harmless.
     pub repeatable: bool,
-    /// Arrivals per second of the whole deployment before the surge.
+    /// Arrivals per second in the whole deployment, outside a surge.
     pub rate: f64,
-    /// What each service of the chain does for this kind.
+    /// Work of each service in the call chain of this kind.
     #[serde(rename = "step")]
     pub steps: Vec<StepModel>,
 }
 
-/// What one service does for one request kind.
+/// Work of one service for one request kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepModel {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Mean time in a slot, in microseconds, without the calls below; exponentially distributed
-    /// above half of it.
+    /// Mean service time in microseconds, without the time of the calls. Half of it is fixed, the rest
+    /// is exponentially distributed.
     pub work_us: u64,
-    /// Services that are called after the work, each once.
+    /// Services that are called after the service time has elapsed, each once.
     #[serde(default)]
     pub calls: Vec<String>,
-    /// Whether the calls run at the same time instead of one after the other.
+    /// True if the calls are made concurrently instead of sequentially.
     #[serde(default)]
     pub concurrent: bool,
 }
 
-/// How callers behave.
+/// Behaviour of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerModel {
-    /// Attempts that an impatient caller makes in total, its first included.
+    /// Maximum number of attempts of a caller for one request, including the first.
     pub attempts: u32,
     /// Wait before an impatient caller's next attempt, in milliseconds.
     pub retry_wait_ms: u64,
-    /// Share of callers that ignore Retry-After and repeat at once, 0 to 1.
+    /// Share of callers that ignore Retry-After and repeat after `retry_wait_ms`, 0 to 1.
     pub impatient_share: f64,
 }
 
 impl Scenario {
-    /// Reads and checks a scenario file.
+    /// Reads and validates a scenario file.
     ///
     /// # Errors
-    /// [`ScenarioError`] when the file can't be read or parsed or contradicts itself.
+    /// [`ScenarioError`] if the file can't be read or parsed or is inconsistent.
     pub fn load(path: &Path) -> Result<Self, ScenarioError> {
-        let shown = path.display().to_string();
+        let path_text = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::Read {
-            path: shown.clone(),
+            path: path_text.clone(),
             source,
         })?;
-        Self::parse(&shown, &text)
+        Self::parse(&path_text, &text)
     }
 
-    /// Parses and checks the text of a scenario file; `path` is used in errors.
+    /// Parses and validates the text of a scenario file; `path` is used in errors.
     ///
     /// # Errors
-    /// [`ScenarioError`] when the text can't be parsed or contradicts itself.
+    /// [`ScenarioError`] if the text can't be parsed or is inconsistent.
     pub fn parse(path: &str, text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text).map_err(|error| ScenarioError::Parse {
             path: path.to_owned(),
@@ -169,10 +170,10 @@
         Ok(scenario)
     }
 
-    /// A scenario that ships with the program: `lagos` or `gujarat`.
+    /// Returns a built-in scenario: `lagos` or `gujarat`.
     ///
     /// # Errors
-    /// [`ScenarioError::Invalid`] when there is no such scenario.
+    /// [`ScenarioError::Invalid`] if there is no such scenario.
     pub fn builtin(name: &str) -> Result<Self, ScenarioError> {
         match name {
             "lagos" => Self::parse("lagos.toml", include_str!("../../../scenarios/lagos.toml")),
@@ -188,13 +189,13 @@
         }
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceModel> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// Checks what the types alone can't.
+    /// Checks the constraints that the types don't express.
     fn validate(&self) -> Result<(), ScenarioError> {
         if self.zones.is_empty() {
             return Err(invalid("zones", "no zone", "at least one zone"));
@@ -256,7 +257,7 @@
 }
 
 impl RequestModel {
-    /// What `service` does for this kind.
+    /// Returns the step of `service` for this kind, if the service is part of its call chain.
     #[must_use]
     pub fn step(&self, service: &str) -> Option<&StepModel> {
         self.steps.iter().find(|step| step.service == service)
--- a/crates/emulator/tests/platform_contract/api.rs
+++ b/crates/emulator/tests/platform_contract/api.rs
@@ -1,4 +1,4 @@
-//! Contract of the object API between the client and the stand-in, without faults.
+//! Contract of the object API between the client and the emulated platform, without faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const LOG_CAPACITY: usize = 100;
 
 #[tokio::test]
-async fn objects_are_written_listed_and_deleted_at_one_version_after_another() {
+async fn each_write_and_deletion_gets_the_next_version() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
 
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn the_second_of_two_writers_learns_author_and_version_of_the_first() {
+async fn a_conflict_names_author_and_version_of_the_earlier_write() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     let key = service_key("booking");
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_deletion_of_what_another_deleted_is_a_conflict() {
+async fn deleting_an_object_that_another_writer_deleted_is_a_conflict() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     let key = service_key("booking");
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_sends_the_backlog_then_a_bookmark_then_what_happens() {
+async fn a_watch_sends_past_events_then_a_bookmark_then_new_events() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     for name in ["a", "b"] {
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn status_has_versions_of_its_own() {
+async fn status_objects_have_separate_versions() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     let key = service_key("booking");
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test]
-async fn a_lease_is_held_by_one_until_it_lapses() {
+async fn a_lease_has_one_holder_until_it_is_released() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     let long = Duration::from_secs(60);
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn machines_are_listed_as_put() {
+async fn the_machine_list_follows_writes_and_deletions() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     let machine = machine("booking-1");
@@ -201,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn an_object_converts_to_a_resource_or_says_why_not() {
+async fn an_object_converts_to_a_resource_or_to_an_error_with_the_reason() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     let put = |key, spec| client.put(key, Revision::ZERO, "ada", spec);
@@ -237,7 +237,7 @@
 }
 
 #[tokio::test]
-async fn a_name_that_does_not_fit_a_path_is_refused_by_the_client() {
+async fn the_client_rejects_names_that_are_invalid_in_a_path() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     for name in ["", ".", "..", "a/b", "a b", "a?b", "ö"] {
@@ -247,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_from_before_the_event_log_is_too_old() {
+async fn a_watch_from_a_version_before_the_event_log_fails() {
     let platform = start_platform(2).await;
     let client = client_of(&platform);
     for slots in 1..=4 {
@@ -259,7 +259,7 @@
 }
 
 #[tokio::test]
-async fn a_change_of_the_machine_list_shows_after_its_lag_and_then_stays() {
+async fn a_change_of_the_machine_list_is_visible_after_the_lag_and_stays_visible() {
     let platform = start_platform(LOG_CAPACITY).await;
     let client = client_of(&platform);
     let lag = |millis| FaultSwitches {
@@ -273,8 +273,8 @@
             .map(|machine| machine.id)
             .collect()
     };
-    const FOR_EVER: u64 = 3_600_000;
-    platform.set_faults(lag(FOR_EVER));
+    const LONG_LAG_MS: u64 = 3_600_000;
+    platform.set_faults(lag(LONG_LAG_MS));
     client
         .put_machine(&machine("booking-1"))
         .await
@@ -282,49 +282,52 @@
     assert!(machine_ids().await.is_empty());
     platform.set_faults(lag(0));
     assert_eq!(machine_ids().await, ["booking-1"]);
-    platform.set_faults(lag(FOR_EVER));
+    platform.set_faults(lag(LONG_LAG_MS));
     client.delete_machine("booking-1").await.expect("delete");
     assert_eq!(machine_ids().await, ["booking-1"]);
 }
 
 #[test]
-fn the_lag_of_the_machine_list_counts_from_each_change() {
+fn the_lag_of_the_machine_list_is_measured_from_each_change() {
     let lag = Duration::from_secs(10);
     let mut machines = Machines::default();
     machines.put(Timestamp::from_millis(1_000), machine("a"));
     machines.put(Timestamp::from_millis(3_000), machine("b"));
-    // (milliseconds, machines seen, version)
+    // (milliseconds, machines visible, version)
     let rows = [
         (10_999, 0, 0),
         (11_000, 1, 1),
         (12_999, 1, 1),
         (13_000, 2, 2),
     ];
-    for (millis, seen, version) in rows {
+    for (millis, visible, version) in rows {
         let list = machines.list(Timestamp::from_millis(millis), lag);
         assert_eq!(
             (list.machines.len(), list.version),
-            (seen, version),
+            (visible, version),
             "at {millis} ms"
         );
     }
 }
 
 #[tokio::test]
-async fn fault_switches_are_set_over_http_and_unknown_ones_refused() {
+async fn fault_switches_are_set_over_http_and_unknown_ones_rejected() {
     let platform = start_platform(LOG_CAPACITY).await;
     let address = platform.address();
     let accepted = put_faults(address, r#"{"down":true,"delay_ms":5}"#).await;
     assert!(accepted.starts_with("HTTP/1.1 200"), "{accepted}");
     let faults = platform.faults();
     assert!(faults.down && faults.delay_ms == 5);
-    let refused = put_faults(address, r#"{"dwon":false}"#).await;
-    assert!(refused.starts_with("HTTP/1.1 400"), "{refused}");
+    let rejected = put_faults(address, r#"{"dwon":false}"#).await;
+    assert!(rejected.starts_with("HTTP/1.1 400"), "{rejected}");
     assert!(
-        refused.contains("unknown field `dwon`, expected one of `down`"),
-        "{refused}"
+        rejected.contains("unknown field `dwon`, expected one of `down`"),
+        "{rejected}"
+    );
+    assert!(
+        platform.faults().down,
+        "a rejected body must not change the faults"
     );
-    assert!(platform.faults().down, "a refused body changes nothing");
 }
 
 async fn put_faults(address: SocketAddr, body: &str) -> String {
@@ -338,9 +341,12 @@
         .write_all(request.as_bytes())
         .await
         .expect("send");
-    let mut answer = String::new();
-    connection.read_to_string(&mut answer).await.expect("read");
-    answer
+    let mut response = String::new();
+    connection
+        .read_to_string(&mut response)
+        .await
+        .expect("read");
+    response
 }
 
 fn machine(id: &str) -> Machine {
--- a/crates/emulator/tests/platform_contract/main.rs
+++ b/crates/emulator/tests/platform_contract/main.rs
@@ -1,4 +1,4 @@
-//! Contract between the client of the platform and the stand-in, over loopback sockets.
+//! Contract tests of the platform client against the emulated platform, mostly over loopback sockets.
 
 mod api;
 mod reader_lease;
--- a/crates/emulator/tests/platform_contract/reader_lease.rs
+++ b/crates/emulator/tests/platform_contract/reader_lease.rs
@@ -1,4 +1,4 @@
-//! The leases that bound the number of readers, on a virtual clock.
+//! Leases that limit the number of configuration readers, on a virtual clock.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 const CANDIDATES: usize = 8;
 const SLOTS: u32 = 3;
 
-/// What is wrong in a stretch of time.
+/// Faults during a case.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fault {
-    /// The store refuses every request.
+    /// Every request to the store fails without effect.
     down: bool,
-    /// Grants take effect and their answers are lost.
-    answers_lost: bool,
+    /// Requests take effect and their replies are lost.
+    replies_lost: bool,
     /// The first candidate that holds a slot is paused.
     holder_paused: bool,
 }
@@ -31,23 +31,23 @@
     name: &'static str,
     fault: Fault,
     fault_ticks: u32,
-    /// Fewest readers at the end of the fault.
-    readers_during: usize,
+    /// Minimum number of readers at the end of the fault.
+    min_readers_during_fault: usize,
 }
 
 fn cases() -> Vec<Case> {
-    let case = |name, fault, fault_ticks, readers_during| Case {
+    let case = |name, fault, fault_ticks, min_readers_during_fault| Case {
         name,
         fault,
         fault_ticks,
-        readers_during,
+        min_readers_during_fault,
     };
     let down = Fault {
         down: true,
         ..Fault::default()
     };
-    let answers_lost = Fault {
-        answers_lost: true,
+    let replies_lost = Fault {
+        replies_lost: true,
         ..Fault::default()
     };
     let paused = Fault {
@@ -58,18 +58,23 @@
         down: true,
         ..paused
     };
-    let paused_and_lost = Fault {
-        answers_lost: true,
+    let paused_and_replies_lost = Fault {
+        replies_lost: true,
         ..paused
     };
     vec![
         case("no fault", Fault::default(), 300, 3),
         case("down for less than a lease", down, 80, 3),
         case("down for longer than a lease", down, 400, 0),
-        case("answers lost", answers_lost, 400, 0),
+        case("replies lost", replies_lost, 400, 0),
         case("holder paused past its lease", paused, 600, 2),
         case("holder paused, store down", paused_and_down, 600, 0),
-        case("holder paused, answers lost", paused_and_lost, 600, 0),
+        case(
+            "holder paused, replies lost",
+            paused_and_replies_lost,
+            600,
+            0,
+        ),
     ]
 }
 
@@ -117,21 +122,21 @@
             self.now = self.now + TICK;
             for number in 0..self.candidates.len() {
                 if self.paused != Some(number) {
-                    self.serve(number);
+                    self.run_candidate(number);
                 }
             }
-            self.check_bound();
+            self.check_reader_limit();
         }
     }
 
-    fn serve(&mut self, number: usize) {
+    fn run_candidate(&mut self, number: usize) {
         if let Some(request) = self.candidates[number].advance(self.now) {
-            let answer = self.answer(&request);
-            self.candidates[number].answered(self.now, answer.as_ref(), &mut self.random);
+            let reply = self.reply_to(&request);
+            self.candidates[number].answered(self.now, reply.as_ref(), &mut self.random);
         }
     }
 
-    fn answer(&mut self, request: &LeaseRequest) -> Option<LeaseOutcome> {
+    fn reply_to(&mut self, request: &LeaseRequest) -> Option<LeaseOutcome> {
         if self.fault.down {
             return None;
         }
@@ -139,7 +144,7 @@
         let result = self
             .store
             .acquire(now, &request.name, &request.holder, request.ttl);
-        if self.fault.answers_lost {
+        if self.fault.replies_lost {
             return None;
         }
         Some(match result {
@@ -156,8 +161,9 @@
         self.candidates.iter().filter(reading).count()
     }
 
-    /// Nobody believes in a slot for longer than the store does, a paused holder included.
-    fn check_bound(&self) {
+    /// Checks that no more candidates may read than there are slots: each, also a paused holder, must
+    /// consider its lease expired no later than the store does.
+    fn check_reader_limit(&self) {
         assert!(
             self.readers() <= SLOTS as usize,
             "{} readers",
@@ -167,7 +173,7 @@
 }
 
 #[test]
-fn slots_bound_the_readers_and_are_taken_again_after_every_fault() {
+fn slots_limit_the_readers_and_are_reacquired_after_each_fault() {
     const SETTLING_TICKS: u32 = 600;
     for case in cases() {
         let mut zone = Zone::new();
@@ -182,7 +188,7 @@
         zone.tick(case.fault_ticks);
         let readers = zone.readers();
         assert!(
-            readers >= case.readers_during,
+            readers >= case.min_readers_during_fault,
             "{}: {readers} readers",
             case.name
         );
@@ -193,31 +199,36 @@
 }
 
 #[test]
-fn a_holder_paused_past_its_lease_may_not_read_when_it_wakes() {
+fn a_holder_paused_beyond_its_lease_may_not_read_when_it_resumes() {
     let mut zone = Zone::new();
     zone.tick(600);
     zone.set_fault(Fault {
         holder_paused: true,
         ..Fault::default()
     });
-    let paused = zone.paused.expect("someone holds a slot");
+    let paused = zone.paused.expect("a candidate holds a slot");
     zone.tick(600);
     assert!(!zone.candidates[paused].may_read(zone.now));
     // The others have taken the slot, so the first request after the pause is refused.
-    zone.serve(paused);
+    zone.run_candidate(paused);
     assert!(!zone.candidates[paused].may_read(zone.now));
     assert_eq!(zone.readers(), SLOTS as usize);
 }
 
 #[test]
-fn an_answer_that_took_longer_than_the_lease_grants_nothing() {
+fn a_reply_that_took_longer_than_the_lease_grants_nothing() {
     let mut random = Pcg64Mcg::seed_from_u64(SEED);
     let settings = ReaderLeaseSettings::new("ikeja", "daemon-1");
     let ttl = settings.ttl;
     let mut lease = ReaderLease::new(settings, Timestamp::ZERO, &mut random);
-    lease.advance(Timestamp::ZERO).expect("asks at once");
+    lease
+        .advance(Timestamp::ZERO)
+        .expect("the first request is immediate");
     let late = Timestamp::ZERO + ttl;
     lease.answered(late, Some(&LeaseOutcome::Granted(ttl)), &mut random);
     assert!(!lease.may_read(late));
-    assert!(lease.advance(late).is_some(), "asks again");
+    assert!(
+        lease.advance(late).is_some(),
+        "the lease must be requested again"
+    );
 }
--- a/crates/emulator/tests/platform_contract/source_faults.rs
+++ b/crates/emulator/tests/platform_contract/source_faults.rs
@@ -1,4 +1,4 @@
-//! The reader over sockets, under faults: it tells what is wrong and catches up.
+//! The configuration reader over sockets, under faults: it reports each fault and catches up after it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 
 const LOG_CAPACITY: usize = 5;
 const AUTHOR: &str = "ada";
-/// Bound on each wait.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Time limit of each wait.
+const WAIT_LIMIT: Duration = Duration::from_secs(8);
 
-/// What a reader may tell besides deliveries.
+/// Problems that a reader may report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Report {
     Unavailable,
@@ -30,7 +30,7 @@
     DivergedStore,
 }
 
-/// Follows a reader's events and checks that they never go back and leave no gap.
+/// Consumes a reader's events and checks that revisions never decrease and have no gap.
 struct Consumer {
     source: RunningSource,
     revision: Option<Revision>,
@@ -52,31 +52,31 @@
         }
     }
 
-    async fn until(&mut self, what: &str, done: impl Fn(&Self) -> bool) {
-        let give_up_at = Instant::now() + PATIENCE;
+    async fn wait_for(&mut self, what: &str, done: impl Fn(&Self) -> bool) {
+        let deadline = Instant::now() + WAIT_LIMIT;
         while !done(self) {
-            let event = tokio::time::timeout_at(give_up_at, self.source.next()).await;
-            let event = event.unwrap_or_else(|_| panic!("{what}: not within {PATIENCE:?}"));
-            self.take(event.expect("the reader runs on"));
+            let event = tokio::time::timeout_at(deadline, self.source.next()).await;
+            let event = event.unwrap_or_else(|_| panic!("{what}: not within {WAIT_LIMIT:?}"));
+            self.consume(event.expect("the reader must keep running"));
         }
     }
 
-    async fn until_revision(&mut self, what: &str, revision: Revision) {
-        self.until(what, |consumer| consumer.revision == Some(revision))
+    async fn wait_for_revision(&mut self, what: &str, revision: Revision) {
+        self.wait_for(what, |consumer| consumer.revision == Some(revision))
             .await;
     }
 
-    async fn until_report(&mut self, what: &str, report: Report) {
-        self.until(what, |consumer| consumer.reports.contains(&report))
+    async fn wait_for_report(&mut self, what: &str, report: Report) {
+        self.wait_for(what, |consumer| consumer.reports.contains(&report))
             .await;
     }
 
-    fn take(&mut self, event: SourceEvent) {
+    fn consume(&mut self, event: SourceEvent) {
         match event {
             SourceEvent::Snapshot(snapshot) => {
                 let repeated = self.revision == Some(snapshot.revision) && self.snapshot_requested;
                 let ahead = self.revision < Some(snapshot.revision);
-                assert!(ahead || repeated, "goes back: {snapshot:?}");
+                assert!(ahead || repeated, "revision decreased: {snapshot:?}");
                 self.revision = Some(snapshot.revision);
                 self.snapshots += 1;
                 self.slots.clear();
@@ -90,7 +90,7 @@
                 revision,
                 change,
             } => {
-                assert_eq!(self.revision, Some(previous), "gap");
+                assert_eq!(self.revision, Some(previous), "gap between revisions");
                 self.revision = Some(revision);
                 match change {
                     SourceChange::Put(resource) => self.put(resource),
@@ -136,12 +136,12 @@
     faults: FaultSwitches,
     /// Writes made during the fault.
     writes: u32,
-    /// The fault lasts until this is told; until the writes are delivered when there is none.
+    /// The fault ends when the reader reports this, or without it when the writes are delivered.
     report: Option<Report>,
-    /// Everything that may be told.
+    /// All distinct problems that the reader must report.
     reports: &'static [Report],
-    /// Snapshots delivered, the first included; `None` where it depends on whether the reader lists
-    /// again before or after the write that ends the case.
+    /// Number of snapshots delivered, including the first; `None` if it depends on whether the reader
+    /// lists again before or after the last write of the case.
     snapshots: Option<u32>,
 }
 
@@ -244,10 +244,10 @@
 }
 
 #[tokio::test]
-async fn a_reader_tells_what_is_wrong_and_catches_up() {
+async fn a_reader_reports_each_fault_and_catches_up() {
     let runs = cases().into_iter().map(|case| tokio::spawn(run(case)));
     for run in runs.collect::<Vec<_>>() {
-        run.await.expect("the case holds");
+        run.await.expect("the case passes");
     }
 }
 
@@ -263,18 +263,18 @@
     let client = Arc::new(Client::new(vec![platform.address()], settings));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
     let settled = Revision::new(3);
-    consumer.until_revision(case.name, settled).await;
+    consumer.wait_for_revision(case.name, settled).await;
 
     platform.set_faults(case.faults);
-    let last = write_times(&platform, case.writes).unwrap_or(settled);
+    let last = make_writes(&platform, case.writes).unwrap_or(settled);
     match case.report {
-        Some(report) => consumer.until_report(case.name, report).await,
-        None => consumer.until_revision(case.name, last).await,
+        Some(report) => consumer.wait_for_report(case.name, report).await,
+        None => consumer.wait_for_revision(case.name, last).await,
     }
     platform.set_faults(FaultSwitches::default());
-    // A write after the fault shows that the reader goes on.
+    // A write after the fault checks that the reader continues.
     let after = overwrite(&platform, "slot", 77, AUTHOR);
-    consumer.until_revision(case.name, after).await;
+    consumer.wait_for_revision(case.name, after).await;
 
     assert_eq!(consumer.slots, slots_in(&platform), "{}", case.name);
     assert_eq!(consumer.distinct_reports(), case.reports, "{}", case.name);
@@ -283,8 +283,8 @@
     }
 }
 
-/// Returns the last version written.
-fn write_times(platform: &RunningPlatform, writes: u32) -> Option<Revision> {
+/// Makes this many writes; returns the last version written, if any.
+fn make_writes(platform: &RunningPlatform, writes: u32) -> Option<Revision> {
     let mut last = None;
     for number in 0..writes {
         last = Some(overwrite(platform, "booking", 100 + number, AUTHOR));
@@ -311,7 +311,7 @@
 }
 
 #[tokio::test]
-async fn a_store_replaced_by_an_older_copy_is_reported_and_taken_whole_once_it_is_ahead() {
+async fn a_store_replaced_by_an_older_copy_is_reported_and_listed_completely_once_it_is_ahead() {
     let platform = start_platform(LOG_CAPACITY).await;
     for slots in 1..=4 {
         overwrite(&platform, "booking", slots, AUTHOR);
@@ -319,26 +319,26 @@
     let client = Arc::new(client_of(&platform));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
     consumer
-        .until_revision("first list", Revision::new(4))
+        .wait_for_revision("first list", Revision::new(4))
         .await;
 
     platform.with_store(|store| store.objects = store.objects.as_of(Revision::new(2)));
-    consumer.until_report("older", Report::OlderStore).await;
+    consumer.wait_for_report("older", Report::OlderStore).await;
     overwrite(&platform, "slot", 5, AUTHOR);
     overwrite(&platform, "slot", 6, AUTHOR);
     consumer
-        .until_report("same revision, other content", Report::DivergedStore)
+        .wait_for_report("same revision, other content", Report::DivergedStore)
         .await;
     assert_eq!(consumer.revision, Some(Revision::new(4)));
 
     let ahead = overwrite(&platform, "slot", 7, AUTHOR);
-    consumer.until_revision("ahead", ahead).await;
+    consumer.wait_for_revision("store is ahead", ahead).await;
     assert_eq!(consumer.snapshots, 2);
     assert_eq!(consumer.slots, slots_in(&platform));
 }
 
 #[tokio::test]
-async fn a_reader_whose_lease_was_taken_stops_and_goes_on_without_a_gap() {
+async fn a_reader_that_loses_its_lease_stops_and_later_continues_without_a_gap() {
     let platform = start_platform(100).await;
     overwrite(&platform, "booking", 1, AUTHOR);
     let lease_settings = ReaderLeaseSettings {
@@ -352,53 +352,57 @@
     let reader = source::spawn_leased(client, source_settings(), lease_settings);
     let mut consumer = Consumer::new(reader);
     consumer
-        .until_revision("first list", Revision::new(1))
+        .wait_for_revision("first list", Revision::new(1))
         .await;
 
     let other = "reader-b";
     let now = wharfquay_core::time::Timestamp::ZERO;
-    let for_ever = Duration::from_secs(3_600);
+    let long_ttl = Duration::from_secs(3_600);
     platform.with_store(|store| {
         store.leases.release(&name, "reader-a");
         store
             .leases
-            .acquire(now, &name, other, for_ever)
+            .acquire(now, &name, other, long_ttl)
             .expect("free");
     });
-    // Bookmarks come every 50 ms as long as the reader reads.
+    // While the reader watches, it receives a bookmark every 50 ms.
     let quiet = Duration::from_millis(400);
     while let Ok(event) = tokio::time::timeout(quiet, consumer.source.next()).await {
-        consumer.take(event.expect("the reader runs on"));
+        consumer.consume(event.expect("the reader must keep running"));
     }
     let written = overwrite(&platform, "booking", 2, AUTHOR);
-    let told = tokio::time::timeout(quiet, consumer.source.next()).await;
-    assert!(told.is_err(), "read without a lease: {told:?}");
+    let event = tokio::time::timeout(quiet, consumer.source.next()).await;
+    assert!(event.is_err(), "read without a lease: {event:?}");
 
     platform.with_store(|store| store.leases.release(&name, other));
-    consumer.until_revision("lease got back", written).await;
+    consumer
+        .wait_for_revision("lease reacquired", written)
+        .await;
     assert_eq!(consumer.snapshots, 1);
     assert_eq!(consumer.reports, []);
 }
 
 #[tokio::test]
-async fn a_snapshot_is_repeated_when_it_is_asked_for() {
+async fn a_snapshot_is_delivered_again_on_request() {
     let platform = start_platform(LOG_CAPACITY).await;
     let settled = overwrite(&platform, "booking", 1, AUTHOR);
     let client = Arc::new(client_of(&platform));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
-    consumer.until_revision("first list", settled).await;
+    consumer.wait_for_revision("first list", settled).await;
     consumer.snapshot_requested = true;
     consumer.source.request_snapshot();
     let repeated = |consumer: &Consumer| consumer.snapshots == 2;
-    consumer.until("second snapshot", repeated).await;
+    consumer.wait_for("second snapshot", repeated).await;
     assert_eq!(consumer.revision, Some(settled));
     let next = overwrite(&platform, "booking", 2, AUTHOR);
-    consumer.until_revision("goes on", next).await;
+    consumer
+        .wait_for_revision("change after the repeated snapshot", next)
+        .await;
     assert_eq!(consumer.snapshots, 2);
 }
 
 #[tokio::test]
-async fn a_platform_down_from_the_start_is_told_once_and_read_when_it_is_up() {
+async fn an_initially_unavailable_platform_is_reported_once_and_read_when_available() {
     let platform = start_platform(LOG_CAPACITY).await;
     platform.set_faults(FaultSwitches {
         down: true,
@@ -412,18 +416,20 @@
     let client = Arc::new(client_of(&platform));
     let reader = source::spawn_leased(client, source_settings(), lease_settings);
     let mut consumer = Consumer::new(reader);
-    consumer.until_report("down", Report::Unavailable).await;
-    // Long enough for several more requests.
+    consumer.wait_for_report("down", Report::Unavailable).await;
+    // Long enough for several further requests.
     let many_retries = source_settings().backoff.maximum * 5;
-    let told_again = tokio::time::timeout(many_retries, consumer.source.next()).await;
-    assert!(told_again.is_err(), "{told_again:?}");
+    let repeated_report = tokio::time::timeout(many_retries, consumer.source.next()).await;
+    assert!(repeated_report.is_err(), "{repeated_report:?}");
     platform.set_faults(FaultSwitches::default());
-    consumer.until_revision("up", settled).await;
+    consumer
+        .wait_for_revision("platform available", settled)
+        .await;
     assert_eq!(consumer.reports, [Report::Unavailable]);
 }
 
 #[tokio::test]
-async fn a_platform_that_refuses_connections_is_read_again_when_it_is_back() {
+async fn a_platform_that_refuses_connections_is_read_again_after_its_restart() {
     let (_reserved, address) = reserve_address();
     let settings = PlatformSettings {
         listen: address,
@@ -433,20 +439,22 @@
     let settled = overwrite(&platform, "booking", 1, AUTHOR);
     let client = Arc::new(hasty_client_of(&platform));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
-    consumer.until_revision("first list", settled).await;
+    consumer.wait_for_revision("first list", settled).await;
 
     let store = platform.shutdown().await;
-    consumer.until_report("refused", Report::Unavailable).await;
+    consumer
+        .wait_for_report("refused", Report::Unavailable)
+        .await;
     let platform = platform::start_with_store(settings, store)
         .await
         .expect("starts again");
     let next = overwrite(&platform, "booking", 2, AUTHOR);
-    consumer.until_revision("back", next).await;
+    consumer.wait_for_revision("after the restart", next).await;
     assert_eq!(consumer.snapshots, 1);
 }
 
 #[tokio::test]
-async fn a_second_address_that_is_behind_is_reported_until_it_has_caught_up() {
+async fn a_second_address_with_an_older_store_is_reported_until_it_has_caught_up() {
     let first = start_platform(LOG_CAPACITY).await;
     overwrite(&first, "booking", 1, AUTHOR);
     let behind = first.with_store(|store| store.clone());
@@ -459,15 +467,15 @@
     let addresses = vec![first.address(), second.address()];
     let client = Arc::new(Client::new(addresses, hasty_client_settings()));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
-    consumer.until_revision("first address", settled).await;
+    consumer.wait_for_revision("first address", settled).await;
 
     let ahead = first.shutdown().await;
     consumer
-        .until_report("second address", Report::OlderStore)
+        .wait_for_report("second address", Report::OlderStore)
         .await;
     assert_eq!(consumer.revision, Some(settled));
     second.with_store(|store| *store = ahead);
     let next = overwrite(&second, "booking", 3, AUTHOR);
-    consumer.until_revision("caught up", next).await;
+    consumer.wait_for_revision("caught up", next).await;
     assert_eq!(consumer.slots, slots_in(&second));
 }
--- a/crates/emulator/tests/platform_contract/source_model.rs
+++ b/crates/emulator/tests/platform_contract/source_model.rs
@@ -1,4 +1,5 @@
-//! The reader's state machine against the store, both without I/O, under seeded random faults.
+//! Model test of the reader's state machine against the store, both without I/O, under seeded random
+//! faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -26,20 +27,20 @@
 /// Slots of each service.
 type Configuration = BTreeMap<String, u32>;
 
-/// A request of the reader that the store has not answered yet.
+/// A pending request of the reader to the store.
 enum Request {
     List,
     Watch(Revision),
 }
 
-struct World {
+struct Model {
     seed: u64,
     random: Pcg64Mcg,
     now: Timestamp,
     store: Keyspace,
-    /// Every state that the store ever had at a version.
+    /// All states that the store has had at each version; more than one after a restored backup.
     history: BTreeMap<Revision, Vec<Configuration>>,
-    /// Version that answers are given from, when it isn't the store's.
+    /// Older version from which responses are served; `None` for the current one.
     served: Option<Revision>,
     source: ConfigurationSource,
     request: Option<Request>,
@@ -49,9 +50,9 @@
     snapshot_requested: bool,
 }
 
-impl World {
+impl Model {
     fn new(seed: u64) -> Self {
-        let mut world = Self {
+        let mut model = Self {
             seed,
             random: Pcg64Mcg::seed_from_u64(seed),
             now: Timestamp::ZERO,
@@ -65,17 +66,17 @@
             older_reports: 0,
             snapshot_requested: false,
         };
-        world.remember();
-        let effects = world.source.start(world.now);
-        world.perform(effects);
-        world
+        model.record_state();
+        let effects = model.source.start(model.now);
+        model.perform(effects);
+        model
     }
 
-    fn chance(&mut self, percent: u32) -> bool {
+    fn random_percent(&mut self, percent: u32) -> bool {
         self.random.random_range(0..100) < percent
     }
 
-    fn remember(&mut self) {
+    fn record_state(&mut self) {
         let states = self.history.entry(self.store.version()).or_default();
         states.push(configuration_of(&self.store));
     }
@@ -87,7 +88,7 @@
             .get(&service_key(name))
             .map(|object| object.version);
         match current {
-            Some(version) if self.chance(30) => {
+            Some(version) if self.random_percent(30) => {
                 self.store
                     .delete(&service_key(name), version)
                     .expect("current version");
@@ -97,7 +98,7 @@
                 overwrite_in(&mut self.store, name, slots, "model");
             }
         }
-        self.remember();
+        self.record_state();
     }
 
     fn faulty_step(&mut self) {
@@ -107,13 +108,13 @@
             34..40 => self.served = None,
             40..45 => self.fail(),
             45..48 => self.lose_watch_event(),
-            48..50 => self.cut_watch(),
+            48..50 => self.close_watch(),
             50 => self.restore_backup(),
-            51..54 => self.lapse(),
+            51..54 => self.expire_lease(),
             54..56 => self.request_snapshot(),
-            _ => self.answer(),
+            _ => self.respond(),
         }
-        self.pass_time(TICK);
+        self.advance_time(TICK);
     }
 
     fn random_old_version(&mut self) -> Revision {
@@ -121,21 +122,21 @@
         Revision::new(self.store.version().number().saturating_sub(back))
     }
 
-    /// The store is replaced by an older copy of itself, which takes longer than the resume limit.
+    /// Replaces the store by an older copy of itself, which takes longer than the resume limit.
     fn restore_backup(&mut self) {
         let version = self.random_old_version();
         self.store = self.store.as_of(version);
         self.served = None;
-        self.cut_watch();
-        self.pass_time(SourceSettings::default().resume_limit + TICK);
+        self.close_watch();
+        self.advance_time(SourceSettings::default().resume_limit + TICK);
     }
 
-    /// The reader's lease lapses and is soon got back.
-    fn lapse(&mut self) {
+    /// Lets the reader's lease expire and reacquires it one tick later.
+    fn expire_lease(&mut self) {
         let effects = self.source.stop();
         self.perform(effects);
         self.request = None;
-        self.pass_time(TICK);
+        self.advance_time(TICK);
         let effects = self.source.start(self.now);
         self.perform(effects);
     }
@@ -146,15 +147,15 @@
         self.perform(effects);
     }
 
-    fn pass_time(&mut self, time: Duration) {
+    fn advance_time(&mut self, time: Duration) {
         self.now = self.now + time;
         let effects = self.source.advance(self.now);
         self.perform(effects);
     }
 
-    fn cut_watch(&mut self) {
+    fn close_watch(&mut self) {
         if self.watch_reached.take().is_some() {
-            self.tell(SourceInput::WatchEnded);
+            self.handle_input(SourceInput::WatchEnded);
         }
     }
 
@@ -170,17 +171,17 @@
             detail: "cut".to_owned(),
         };
         match self.request.take() {
-            Some(Request::List) => self.tell(SourceInput::ListFailed(error)),
-            Some(Request::Watch(_)) => self.tell(SourceInput::WatchFailed(error)),
+            Some(Request::List) => self.handle_input(SourceInput::ListFailed(error)),
+            Some(Request::Watch(_)) => self.handle_input(SourceInput::WatchFailed(error)),
             None if self.watch_reached.take().is_some() => {
-                self.tell(SourceInput::WatchFailed(error));
+                self.handle_input(SourceInput::WatchFailed(error));
             }
             None => {}
         }
     }
 
-    /// The store answers the open request or sends the next piece of the open watch.
-    fn answer(&mut self) {
+    /// Lets the store respond to the pending request or send the next event of the open watch.
+    fn respond(&mut self) {
         if self.request.is_none() && self.watch_reached.is_none() {
             return;
         }
@@ -189,13 +190,13 @@
             None => self.store.clone(),
         };
         match (self.request.take(), self.watch_reached) {
-            (Some(Request::List), _) => self.tell(SourceInput::Listed(served.list())),
+            (Some(Request::List), _) => self.handle_input(SourceInput::Listed(served.list())),
             (Some(Request::Watch(from)), _) => match served.events_after(from, 1) {
                 Ok(_) => {
                     self.watch_reached = Some(from);
-                    self.tell(SourceInput::WatchOpened);
+                    self.handle_input(SourceInput::WatchOpened);
                 }
-                Err(_) => self.tell(SourceInput::WatchTooOld),
+                Err(_) => self.handle_input(SourceInput::WatchTooOld),
             },
             (None, Some(reached)) => match served.events_after(reached, 1) {
                 Ok(events) => {
@@ -205,15 +206,15 @@
                         .pop_front()
                         .unwrap_or(WatchEvent::Bookmark { version });
                     self.watch_reached = Some(event.version().max(reached));
-                    self.tell(SourceInput::WatchEvent(event));
+                    self.handle_input(SourceInput::WatchEvent(event));
                 }
-                Err(_) => self.cut_watch(),
+                Err(_) => self.close_watch(),
             },
             (None, None) => {}
         }
     }
 
-    fn tell(&mut self, input: SourceInput) {
+    fn handle_input(&mut self, input: SourceInput) {
         let effects = self.source.handle(self.now, input, &mut self.random);
         self.perform(effects);
     }
@@ -236,7 +237,7 @@
                 let before = self.consumer.as_ref().map(|(revision, _)| *revision);
                 let repeated = before == Some(snapshot.revision) && self.snapshot_requested;
                 let ahead = before < Some(snapshot.revision);
-                assert!(ahead || repeated, "seed {seed}: revision goes back");
+                assert!(ahead || repeated, "seed {seed}: revision decreased");
                 self.snapshot_requested = false;
                 let services = snapshot.resources.iter().map(name_and_slots);
                 self.consumer = Some((snapshot.revision, services.collect()));
@@ -247,8 +248,8 @@
                 change,
             } => {
                 let (reached, configuration) = self.consumer.as_mut().expect("snapshot first");
-                assert_eq!(*reached, previous, "seed {seed}: gap");
-                assert!(previous < revision, "seed {seed}: revision goes back");
+                assert_eq!(*reached, previous, "seed {seed}: gap between revisions");
+                assert!(previous < revision, "seed {seed}: revision decreased");
                 *reached = revision;
                 apply(configuration, change);
             }
@@ -257,7 +258,7 @@
                 assert_eq!(
                     reached,
                     Some(revision),
-                    "seed {seed}: current is not delivered"
+                    "seed {seed}: current revision was not delivered"
                 );
             }
             SourceEvent::OlderStore { seen, answered } => {
@@ -269,7 +270,7 @@
         self.check_consumer();
     }
 
-    /// The consumer's configuration is one that the store had at that revision.
+    /// Checks that the consumer's configuration is one that the store had at that revision.
     fn check_consumer(&self) {
         let Some((revision, configuration)) = &self.consumer else {
             return;
@@ -283,7 +284,8 @@
         );
     }
 
-    /// Without faults the consumer catches up once the store is past what it has shown before.
+    /// Checks that without faults the consumer catches up once the store is ahead of the highest version
+    /// that the reader has seen.
     fn check_recovery(&mut self) {
         const HEALTHY_STEPS: u32 = 1_000;
         self.served = None;
@@ -295,8 +297,8 @@
             if self.consumer == expected && !self.snapshot_requested {
                 return;
             }
-            self.answer();
-            self.pass_time(TICK);
+            self.respond();
+            self.advance_time(TICK);
         }
         panic!(
             "seed {}: {:?} is not {expected:?}",
@@ -332,16 +334,16 @@
 }
 
 #[test]
-fn what_is_delivered_was_in_the_store_and_never_goes_back() {
+fn delivered_configurations_existed_in_the_store_and_revisions_never_decrease() {
     let mut older_reports = 0;
     for seed in SEEDS {
-        let mut world = World::new(seed);
+        let mut model = Model::new(seed);
         for _ in 0..STEPS {
-            world.faulty_step();
+            model.faulty_step();
         }
-        world.check_recovery();
-        older_reports += world.older_reports;
+        model.check_recovery();
+        older_reports += model.older_reports;
     }
-    // The faults that the test is about do occur.
+    // Checks that the faults under test did occur.
     assert!(older_reports > 100, "{older_reports}");
 }
--- a/crates/emulator/tests/platform_contract/support.rs
+++ b/crates/emulator/tests/platform_contract/support.rs
@@ -1,4 +1,4 @@
-//! A stand-in and clients of it, for contract tests.
+//! Emulated platform and clients of it for the contract tests.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 pub(crate) const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Settings of a stand-in whose event log holds `event_log_capacity` changes.
+/// Returns the settings of an emulated platform whose event log holds `event_log_capacity` changes.
 pub(crate) fn platform_settings(event_log_capacity: usize) -> PlatformSettings {
     PlatformSettings {
         event_log_capacity,
@@ -25,13 +25,15 @@
     }
 }
 
-/// Starts a stand-in whose event log holds `event_log_capacity` changes.
+/// Starts an emulated platform whose event log holds `event_log_capacity` changes.
 pub(crate) async fn start_platform(event_log_capacity: usize) -> RunningPlatform {
     let settings = platform_settings(event_log_capacity);
-    platform::start(settings).await.expect("stand-in starts")
+    platform::start(settings)
+        .await
+        .expect("the emulated platform starts")
 }
 
-/// Short bounds, so that lost answers are noticed soon.
+/// Returns client settings with short timeouts, which detect lost responses quickly.
 pub(crate) fn hasty_client_settings() -> ClientSettings {
     ClientSettings {
         call_timeout: Duration::from_millis(200),
@@ -46,7 +48,8 @@
     }
 }
 
-/// Bounds that are not reached even on a busy machine, where nothing is to time out.
+/// Returns client settings with timeouts that don't expire even on a busy machine, for tests in
+/// which no call may time out.
 pub(crate) fn patient_client_settings() -> ClientSettings {
     ClientSettings {
         call_timeout: Duration::from_secs(5),
@@ -56,8 +59,8 @@
     }
 }
 
-/// A loopback address on which nothing listens and which nobody else is given, as long as the
-/// socket is kept. A stand-in can listen on it.
+/// Returns a loopback address on which nothing listens. The operating system assigns it to no other
+/// process while the returned socket exists; an emulated platform can listen on it.
 pub(crate) fn reserve_address() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("socket");
     socket.set_reuseaddr(true).expect("option");
@@ -66,27 +69,27 @@
     (socket, address)
 }
 
-/// A client whose calls don't time out.
+/// Returns a client with long timeouts.
 pub(crate) fn client_of(platform: &RunningPlatform) -> Client {
     Client::new(vec![platform.address()], patient_client_settings())
 }
 
-/// A client whose calls time out soon.
+/// Returns a client with short timeouts.
 pub(crate) fn hasty_client_of(platform: &RunningPlatform) -> Client {
     Client::new(vec![platform.address()], hasty_client_settings())
 }
 
-/// Key of a service.
+/// Returns the object key of a service.
 pub(crate) fn service_key(name: &str) -> ObjectKey {
     ObjectKey::new("service", name)
 }
 
-/// Spec of a service.
+/// Returns the spec of a service.
 pub(crate) fn service_spec(name: &str, slots: u32) -> Value {
     json!({"name": name, "slots": slots})
 }
 
-/// Writes a service past every fault, whatever its version; returns the version written.
+/// Writes a service regardless of faults and of its current version; returns the new version.
 pub(crate) fn overwrite(
     platform: &RunningPlatform,
     name: &str,
@@ -96,7 +99,7 @@
     platform.with_store(|store| overwrite_in(&mut store.objects, name, slots, author))
 }
 
-/// Writes a service, whatever its version; returns the version written.
+/// Writes a service regardless of its current version; returns the new version.
 pub(crate) fn overwrite_in(
     keyspace: &mut Keyspace,
     name: &str,
@@ -115,8 +118,8 @@
     keyspace.put(put).expect("version is current").version
 }
 
-/// Polls until a condition holds, with a bound.
-pub(crate) async fn eventually(what: &str, condition: impl Fn() -> bool) {
+/// Polls until a condition holds; panics after five seconds.
+pub(crate) async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     const POLL_INTERVAL: Duration = Duration::from_millis(2);
     const POLLS: u32 = 2_500;
     for _ in 0..POLLS {
--- a/crates/emulator/tests/platform_contract/write_faults.rs
+++ b/crates/emulator/tests/platform_contract/write_faults.rs
@@ -1,4 +1,5 @@
-//! Writes under faults: what took effect is recognised, and nothing is claimed that isn't known.
+//! Writes under faults: the client recognises a write that took effect although the response was lost,
+//! and reports success, conflict or failure only if that is certain.
 
 use std::time::Duration;
 
@@ -10,8 +11,8 @@
 use wharfquay_resources::snapshot::Revision;
 
 use crate::support::{
-    eventually, hasty_client_of, hasty_client_settings, overwrite, patient_client_settings,
-    reserve_address, service_key, service_spec, start_platform,
+    hasty_client_of, hasty_client_settings, overwrite, patient_client_settings, reserve_address,
+    service_key, service_spec, start_platform, wait_until,
 };
 
 const NAME: &str = "booking";
@@ -27,28 +28,28 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Expected {
-    /// The answer arrived; nothing timed out.
-    Answered,
-    /// The write took effect, and whether the answer arrived depends on timing.
+    /// The response was received without any timeout.
+    Confirmed,
+    /// The write took effect; whether its response was received depends on timing.
     TookEffect,
-    /// The answer was lost and the effect was recognised.
+    /// The response was lost and the client recognised the effect of the write.
     Recognised,
-    /// A conflict with the other author after an attempt without an answer.
+    /// A conflict with the other author after an attempt without a response.
     ConflictAfterOpenAttempt,
-    /// Nobody knows.
+    /// The client reports that the outcome is unknown.
     Unresolved,
 }
 
-/// What happens while the write is under way.
+/// Event during the write.
 #[derive(Clone, Debug, PartialEq)]
-enum Meanwhile {
-    Nothing,
+enum EventDuringWrite {
+    NoEvent,
     /// The faults end after this many milliseconds.
     FaultsEnd(u64),
     /// The faults end as soon as the write has taken effect.
     FaultsEndOnceApplied,
-    /// Only reads from an old state are left of the faults after this many milliseconds.
-    OnlyOldReadsStay(u64),
+    /// After this many milliseconds all faults end except reads from an older version.
+    OnlyOldReadsRemain(u64),
     /// Another writer replaces the object as soon as the write has taken effect.
     Overwritten,
 }
@@ -57,13 +58,13 @@
     name: &'static str,
     action: Action,
     faults: FaultSwitches,
-    meanwhile: Meanwhile,
+    event: EventDuringWrite,
     expected: Expected,
 }
 
-fn lost(answers: u32) -> FaultSwitches {
+fn lost_responses(count: u32) -> FaultSwitches {
     FaultSwitches {
-        lose_answers: answers,
+        lose_answers: count,
         ..FaultSwitches::default()
     }
 }
@@ -100,22 +101,24 @@
     name: &'static str,
     action: Action,
     faults: FaultSwitches,
-    meanwhile: Meanwhile,
+    event: EventDuringWrite,
     expected: Expected,
 ) -> Case {
     Case {
         name,
         action,
         faults,
-        meanwhile,
+        event,
         expected,
     }
 }
 
 fn cases() -> Vec<Case> {
     use Action::{Create, Delete, Update};
-    use Expected::{Answered, ConflictAfterOpenAttempt, Recognised, TookEffect, Unresolved};
-    use Meanwhile::{FaultsEnd, FaultsEndOnceApplied, Nothing, OnlyOldReadsStay, Overwritten};
+    use EventDuringWrite::{
+        FaultsEnd, FaultsEndOnceApplied, NoEvent, OnlyOldReadsRemain, Overwritten,
+    };
+    use Expected::{Confirmed, ConflictAfterOpenAttempt, Recognised, TookEffect, Unresolved};
     let older = FaultSwitches {
         lose_answers: 1,
         ..old_reads()
@@ -126,71 +129,89 @@
     };
     let slow_and_lost = FaultSwitches {
         delay_ms: 40,
-        ..lost(1)
+        ..lost_responses(1)
     };
-    // Much longer than the client waits for one answer.
+    // Much longer than the client waits for one response.
     let too_slow = hasty_client_settings().call_timeout.as_millis() as u64 + 1_000;
     vec![
-        case("create, answer lost", Create, lost(1), Nothing, Recognised),
-        case("update, answer lost", Update, lost(1), Nothing, Recognised),
-        case("delete, answer lost", Delete, lost(1), Nothing, Recognised),
         case(
-            "create, answer lost, reads are old",
+            "create, response lost",
+            Create,
+            lost_responses(1),
+            NoEvent,
+            Recognised,
+        ),
+        case(
+            "update, response lost",
+            Update,
+            lost_responses(1),
+            NoEvent,
+            Recognised,
+        ),
+        case(
+            "delete, response lost",
+            Delete,
+            lost_responses(1),
+            NoEvent,
+            Recognised,
+        ),
+        case(
+            "create, response lost, reads are old",
             Create,
             older.clone(),
-            Nothing,
+            NoEvent,
             Recognised,
         ),
         case(
-            "update, answer lost, reads are old",
+            "update, response lost, reads are old",
             Update,
             older.clone(),
-            Nothing,
+            NoEvent,
             Recognised,
         ),
         case(
-            "delete, answer lost, reads are old",
+            "delete, response lost, reads are old",
             Delete,
             older.clone(),
-            Nothing,
+            NoEvent,
             Recognised,
         ),
         case(
             "delete, hanging for a while, reads are old",
             Delete,
             hanging_and_old,
-            OnlyOldReadsStay(500),
+            OnlyOldReadsRemain(500),
             TookEffect,
         ),
         case(
-            "update, slow and answer lost",
+            "update, slow and response lost",
             Update,
             slow_and_lost.clone(),
-            Nothing,
+            NoEvent,
             Recognised,
         ),
         case(
-            "delete, slow and answer lost",
+            "delete, slow and response lost",
             Delete,
             slow_and_lost,
-            Nothing,
+            NoEvent,
             Recognised,
         ),
         case(
-            "create, answer lost, then replaced",
+            "create, response lost, then replaced",
             Create,
-            lost(1),
+            lost_responses(1),
             Overwritten,
             ConflictAfterOpenAttempt,
         ),
         case(
-            "update, answer lost, then replaced",
+            "update, response lost, then replaced",
             Update,
-            lost(1),
+            lost_responses(1),
             Overwritten,
             ConflictAfterOpenAttempt,
         ),
-        case("create, slow", Create, slow(40), Nothing, Answered),
+        case("create, slow", Create, slow(40), NoEvent, Confirmed),
         case(
             "create, too slow for a while",
             Create,
@@ -216,7 +237,7 @@
             "update, too slow all the time",
             Update,
             slow(too_slow),
-            Nothing,
+            NoEvent,
             Unresolved,
         ),
         case(
@@ -224,20 +245,20 @@
             Create,
             down(),
             FaultsEnd(500),
-            Answered,
+            Confirmed,
         ),
         case(
             "delete, down for a while",
             Delete,
             down(),
             FaultsEnd(500),
-            Answered,
+            Confirmed,
         ),
         case(
             "create, down all the time",
             Create,
             down(),
-            Nothing,
+            NoEvent,
             Unresolved,
         ),
         case(
@@ -251,36 +272,36 @@
 }
 
 #[tokio::test]
-async fn a_write_ends_as_what_is_known_about_it() {
+async fn the_result_of_a_write_states_only_what_is_known() {
     let runs = cases().into_iter().map(|case| tokio::spawn(run(case)));
     for run in runs.collect::<Vec<_>>() {
-        run.await.expect("the case holds");
+        run.await.expect("the case passes");
     }
 }
 
 async fn run(case: Case) {
     let platform = start_platform(100).await;
     let settings = match case.expected {
-        Expected::Answered => patient_client_settings(),
+        Expected::Confirmed => patient_client_settings(),
         _ => hasty_client_settings(),
     };
     let client = Client::new(vec![platform.address()], settings);
     let request = prepared_request(&platform, case.action);
     platform.set_faults(case.faults);
     let write = client.write_with_retry(&request);
-    let (result, ()) = tokio::join!(write, happen(&platform, &request, case.meanwhile));
+    let (result, ()) = tokio::join!(write, apply_event(&platform, &request, case.event));
     let context = format!("{}: {result:?}", case.name);
     platform.set_faults(FaultSwitches::default());
     match (outcome(&result), case.expected) {
-        (Some(Expected::Answered | Expected::Recognised), Expected::TookEffect) => {}
+        (Some(Expected::Confirmed | Expected::Recognised), Expected::TookEffect) => {}
         (outcome, expected) => assert_eq!(outcome, Some(expected), "{context}"),
     }
     match case.expected {
-        Expected::Answered | Expected::Recognised | Expected::TookEffect => {
-            assert!(takes_effect(&platform, &request), "{context}");
+        Expected::Confirmed | Expected::Recognised | Expected::TookEffect => {
+            assert!(has_taken_effect(&platform, &request), "{context}");
             assert_eq!(writes_made(&platform, case.action), 1, "{context}");
         }
-        Expected::ConflictAfterOpenAttempt => assert!(!takes_effect(&platform, &request)),
+        Expected::ConflictAfterOpenAttempt => assert!(!has_taken_effect(&platform, &request)),
         Expected::Unresolved => {}
     }
 }
@@ -297,23 +318,29 @@
     }
 }
 
-async fn happen(platform: &RunningPlatform, request: &WriteRequest, meanwhile: Meanwhile) {
-    match meanwhile {
-        Meanwhile::Nothing => {}
-        Meanwhile::FaultsEnd(millis) => {
+async fn apply_event(platform: &RunningPlatform, request: &WriteRequest, event: EventDuringWrite) {
+    match event {
+        EventDuringWrite::NoEvent => {}
+        EventDuringWrite::FaultsEnd(millis) => {
             tokio::time::sleep(Duration::from_millis(millis)).await;
             platform.set_faults(FaultSwitches::default());
         }
-        Meanwhile::FaultsEndOnceApplied => {
-            eventually("the write takes effect", || takes_effect(platform, request)).await;
+        EventDuringWrite::FaultsEndOnceApplied => {
+            wait_until("the write takes effect", || {
+                has_taken_effect(platform, request)
+            })
+            .await;
             platform.set_faults(FaultSwitches::default());
         }
-        Meanwhile::OnlyOldReadsStay(millis) => {
+        EventDuringWrite::OnlyOldReadsRemain(millis) => {
             tokio::time::sleep(Duration::from_millis(millis)).await;
             platform.set_faults(old_reads());
         }
-        Meanwhile::Overwritten => {
-            eventually("the write takes effect", || takes_effect(platform, request)).await;
+        EventDuringWrite::Overwritten => {
+            wait_until("the write takes effect", || {
+                has_taken_effect(platform, request)
+            })
+            .await;
             overwrite(platform, NAME, 10, OTHER_AUTHOR);
         }
     }
@@ -322,18 +349,18 @@
 fn outcome(result: &Result<WriteReceipt, PlatformError>) -> Option<Expected> {
     match result {
         Ok(receipt) if receipt.recognised => Some(Expected::Recognised),
-        Ok(_) => Some(Expected::Answered),
+        Ok(_) => Some(Expected::Confirmed),
         Err(PlatformError::WriteUnresolved { .. }) => Some(Expected::Unresolved),
         Err(PlatformError::Conflict(conflict)) => {
             let current = conflict.current.as_ref()?;
-            let told = conflict.earlier_attempt_open && current.author == OTHER_AUTHOR;
-            told.then_some(Expected::ConflictAfterOpenAttempt)
+            let is_known = conflict.earlier_attempt_open && current.author == OTHER_AUTHOR;
+            is_known.then_some(Expected::ConflictAfterOpenAttempt)
         }
         Err(_) => None,
     }
 }
 
-fn takes_effect(platform: &RunningPlatform, request: &WriteRequest) -> bool {
+fn has_taken_effect(platform: &RunningPlatform, request: &WriteRequest) -> bool {
     platform.with_store(|store| {
         let object = store.objects.get(&request.key);
         match request.action {
@@ -345,14 +372,14 @@
     })
 }
 
-/// Writes since the preparation.
+/// Returns the number of writes after the preparation of the case.
 fn writes_made(platform: &RunningPlatform, action: Action) -> u64 {
     let prepared = u64::from(action != Action::Create);
     platform.with_store(|store| store.objects.version().number()) - prepared
 }
 
 #[tokio::test]
-async fn a_write_that_never_met_a_connection_is_known_not_to_have_taken_effect() {
+async fn a_write_without_any_connection_is_reported_as_not_applied() {
     let (_reserved, address) = reserve_address();
     let client = Client::new(vec![address], hasty_client_settings());
     let request = WriteRequest::put(
@@ -369,10 +396,10 @@
 }
 
 #[tokio::test]
-async fn of_many_writers_with_lost_answers_one_wins_each_version() {
+async fn of_concurrent_writers_with_lost_responses_one_wins_each_version() {
     const WRITERS: u32 = 8;
     let platform = start_platform(100).await;
-    platform.set_faults(lost(3));
+    platform.set_faults(lost_responses(3));
     let writers = (0..WRITERS).map(|number| {
         let client = hasty_client_of(&platform);
         tokio::spawn(async move {
@@ -397,10 +424,10 @@
 }
 
 #[tokio::test]
-async fn status_updates_by_many_writers_with_lost_answers_are_all_kept() {
+async fn concurrent_status_updates_with_lost_responses_are_all_applied() {
     const WRITERS: u32 = 6;
     let platform = start_platform(100).await;
-    platform.set_faults(lost(4));
+    platform.set_faults(lost_responses(4));
     let writers = (0..WRITERS).map(|number| {
         let client = hasty_client_of(&platform);
         tokio::spawn(async move {
