--- a/crates/emulator/src/command/layout.rs
+++ b/crates/emulator/src/command/layout.rs
@@ -1,4 +1,4 @@
-//! Writes the files from which a deployment is started as separate processes.
+//! Writes the files that are needed to start a deployment as separate processes.
 
 use std::fmt::Write as _;
 use std::io;
@@ -8,12 +8,12 @@
 
 use lexopt::Parser;
 
-use super::bad_use;
+use super::usage_error;
 use crate::arguments::{self, ArgumentError, Command};
 use crate::demo::layout::{Layout, Ports};
 use crate::scenario::Scenario;
 
-/// Usage of the command.
+/// Usage text, printed for `--help` and after an argument error.
 pub(super) const USAGE: &str = "\
 wharfquay-emulator layout --scenario NAME|FILE --base-port N --directory DIR
 
@@ -26,13 +26,13 @@
   wharfquay-emulator layout --scenario lagos --base-port 21000 --directory /tmp/lagos
 ";
 
-/// File with the list of processes.
-const LIST_FILE: &str = "layout";
-/// File with the machine list.
+/// Name of the file with the list of processes.
+const PROCESS_LIST_FILE: &str = "layout";
+/// Name of the file with the machine list.
 const MACHINES_FILE: &str = "machines.json";
-const PORT: &str = "1024 to 60000";
+const PORT_RANGE: &str = "1024 to 60000";
 
-/// What the command line asks for.
+/// Parsed command line.
 pub(super) struct LayoutArguments {
     scenario: Scenario,
     base_port: u16,
@@ -40,36 +40,45 @@
 }
 
 #[derive(Default)]
-struct Given {
+struct RawArguments {
     scenario: Option<String>,
     base_port: Option<f64>,
     directory: Option<PathBuf>,
 }
 
 pub(super) fn parse_arguments(parser: Parser) -> Result<Command<LayoutArguments>, ArgumentError> {
-    arguments::read(parser, Given::default(), read_option)?.try_map(layout_arguments)
+    arguments::read(parser, RawArguments::default(), read_option)?.try_map(layout_arguments)
 }
 
-fn read_option(parser: &mut Parser, name: &str, given: &mut Given) -> Result<(), ArgumentError> {
+fn read_option(
+    parser: &mut Parser,
+    name: &str,
+    raw: &mut RawArguments,
+) -> Result<(), ArgumentError> {
     match name {
-        "scenario" => given.scenario = Some(arguments::text(parser)?),
+        "scenario" => raw.scenario = Some(arguments::text(parser)?),
         "base-port" => {
             let range = 1_024.0..=60_000.0;
-            given.base_port = Some(arguments::number_in(parser, "base-port", range, PORT)?);
+            raw.base_port = Some(arguments::number_in(
+                parser,
+                "base-port",
+                range,
+                PORT_RANGE,
+            )?);
         }
-        "directory" => given.directory = Some(PathBuf::from(parser.value()?)),
+        "directory" => raw.directory = Some(PathBuf::from(parser.value()?)),
         other => return Err(arguments::unknown_option(other)),
     }
     Ok(())
 }
 
-fn layout_arguments(given: Given) -> Result<LayoutArguments, ArgumentError> {
-    let scenario = given.scenario.ok_or(ArgumentError::Missing("scenario"))?;
-    let base_port = given.base_port;
+fn layout_arguments(raw: RawArguments) -> Result<LayoutArguments, ArgumentError> {
+    let scenario = raw.scenario.ok_or(ArgumentError::Missing("scenario"))?;
+    let base_port = raw.base_port;
     Ok(LayoutArguments {
         scenario: arguments::scenario(&scenario)?,
         base_port: base_port.ok_or(ArgumentError::Missing("base-port"))? as u16,
-        directory: given.directory.ok_or(ArgumentError::Missing("directory"))?,
+        directory: raw.directory.ok_or(ArgumentError::Missing("directory"))?,
     })
 }
 
@@ -77,7 +86,7 @@
     let layout = Layout::new(&arguments.scenario, Ports::From(arguments.base_port));
     match write_files(&layout, &arguments.directory) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => bad_use(
+        Err(error) => usage_error(
             &format!("{}: {error}", arguments.directory.display()),
             USAGE,
         ),
@@ -88,21 +97,21 @@
     std::fs::create_dir_all(directory)?;
     let mut machines = Vec::new();
     let mut daemons = Vec::new();
-    for place in &layout.backends {
-        let file = settings_file(directory, &place.id);
-        std::fs::write(&file, place.daemon_settings(layout.platform))?;
-        daemons.push((place.id.as_str(), file));
-        machines.push(place.machine());
+    for placement in &layout.backends {
+        let file = settings_file(directory, &placement.id);
+        std::fs::write(&file, placement.daemon_settings(layout.platform))?;
+        daemons.push((placement.id.as_str(), file));
+        machines.push(placement.machine());
     }
-    for place in &layout.edges {
-        let file = settings_file(directory, &place.id);
-        std::fs::write(&file, place.daemon_settings(layout.platform))?;
-        daemons.push((place.id.as_str(), file));
-        machines.push(place.machine());
+    for placement in &layout.edges {
+        let file = settings_file(directory, &placement.id);
+        std::fs::write(&file, placement.daemon_settings(layout.platform))?;
+        daemons.push((placement.id.as_str(), file));
+        machines.push(placement.machine());
     }
     let machines = serde_json::to_vec(&machines).map_err(io::Error::other)?;
     std::fs::write(directory.join(MACHINES_FILE), machines)?;
-    std::fs::write(directory.join(LIST_FILE), list(layout, &daemons))
+    std::fs::write(directory.join(PROCESS_LIST_FILE), list(layout, &daemons))
 }
 
 fn settings_file(directory: &Path, id: &str) -> PathBuf {
@@ -112,9 +121,9 @@
 fn list(layout: &Layout, daemons: &[(&str, PathBuf)]) -> String {
     let mut text = format!("platform {}\n", layout.platform);
     // Writing to a String can't fail.
-    for place in &layout.backends {
-        let (id, service) = (&place.id, &place.service);
-        let (listen, outbound) = (place.backend, place.outbound);
+    for placement in &layout.backends {
+        let (id, service) = (&placement.id, &placement.service);
+        let (listen, outbound) = (placement.backend, placement.outbound);
         let _ = writeln!(text, "backend {id} {service} {listen} {outbound}");
     }
     for (id, file) in daemons {
@@ -122,14 +131,18 @@
     }
     let edges = layout.edges.iter();
     let backends = layout.backends.iter();
-    let admins = backends.clone().map(|place| place.admin);
-    let admins = admins.chain(edges.clone().map(|place| place.admin));
-    let _ = writeln!(text, "edges {}", joined(edges.map(|place| place.edge)));
+    let admins = backends.clone().map(|placement| placement.admin);
+    let admins = admins.chain(edges.clone().map(|placement| placement.admin));
+    let _ = writeln!(
+        text,
+        "edges {}",
+        joined(edges.map(|placement| placement.edge))
+    );
     let _ = writeln!(text, "admins {}", joined(admins));
     let _ = writeln!(
         text,
         "backends {}",
-        joined(backends.map(|place| place.backend))
+        joined(backends.map(|placement| placement.backend))
     );
     text
 }
--- a/crates/emulator/src/command/mod.rs
+++ b/crates/emulator/src/command/mod.rs
@@ -25,64 +25,70 @@
 wharfquay-emulator COMMAND [OPTIONS]
 
 Commands:
-  backend    stand-in for a back end
-  latency    what the daemons add to a call
-  layout     files from which a deployment is started as separate processes
-  load       stand-in for callers
-  platform   stand-in for the platform
+  backend    run an emulated backend
+  latency    measure the latency that daemons add to a call
+  layout     write the files to start a deployment as separate processes
+  load       send load as emulated callers
+  platform   run the emulated platform
   wait       wait until daemons are ready
 
-wharfquay-emulator COMMAND --help tells more.
+wharfquay-emulator COMMAND --help prints the options of a command.
 ";
 
-/// Runs the command that the arguments name.
+/// Runs the command that is specified by the first argument.
 pub async fn run(mut parser: lexopt::Parser) -> ExitCode {
     let _logger = start_logger();
     let command = match parser.next() {
         Ok(Some(Arg::Value(name))) => name.to_string_lossy().into_owned(),
         Ok(Some(Arg::Long("help") | Arg::Short('h'))) => return print_usage(USAGE),
-        Ok(Some(other)) => return bad_use(&other.unexpected(), USAGE),
-        Ok(None) => return bad_use(&"no command given", USAGE),
-        Err(error) => return bad_use(&error, USAGE),
+        Ok(Some(other)) => return usage_error(&other.unexpected(), USAGE),
+        Ok(None) => return usage_error(&"no command specified", USAGE),
+        Err(error) => return usage_error(&error, USAGE),
     };
     match command.as_str() {
         "backend" => {
             let arguments = backend::arguments::parse(parser);
-            match settle(arguments, backend::arguments::USAGE) {
+            match settings_or_exit(arguments, backend::arguments::USAGE) {
                 Ok(settings) => run_backend(settings).await,
                 Err(status) => status,
             }
         }
-        "load" => match settle(load::arguments::parse(parser), load::arguments::USAGE) {
+        "load" => match settings_or_exit(load::arguments::parse(parser), load::arguments::USAGE) {
             Ok(arguments) => run_load(arguments).await,
             Err(status) => status,
         },
-        "platform" => match settle(platform::parse_arguments(parser), platform::USAGE) {
+        "platform" => match settings_or_exit(platform::parse_arguments(parser), platform::USAGE) {
             Ok(arguments) => platform::run(arguments).await,
             Err(status) => status,
         },
-        "latency" => match settle(latency::arguments::parse(parser), latency::arguments::USAGE) {
-            Ok(arguments) => run_latency(arguments).await,
-            Err(status) => status,
-        },
-        "layout" => match settle(layout::parse_arguments(parser), layout::USAGE) {
+        "latency" => {
+            match settings_or_exit(latency::arguments::parse(parser), latency::arguments::USAGE) {
+                Ok(arguments) => run_latency(arguments).await,
+                Err(status) => status,
+            }
+        }
+        "layout" => match settings_or_exit(layout::parse_arguments(parser), layout::USAGE) {
             Ok(arguments) => layout::run(&arguments),
             Err(status) => status,
         },
-        "wait" => match settle(wait::parse_arguments(parser), wait::USAGE) {
+        "wait" => match settings_or_exit(wait::parse_arguments(parser), wait::USAGE) {
             Ok(arguments) => wait::run(arguments).await,
             Err(status) => status,
         },
-        other => bad_use(&format!("unknown command \"{other}\""), USAGE),
+        other => usage_error(&format!("unknown command \"{other}\""), USAGE),
     }
 }
 
-/// The settings to run with, or the exit status when there is nothing to run.
-fn settle<T>(parsed: Result<Command<T>, ArgumentError>, usage: &str) -> Result<T, ExitCode> {
+/// Returns the settings to run with. For `--help` or an invalid command line prints the usage and
+/// returns the exit status as the error.
+fn settings_or_exit<T>(
+    parsed: Result<Command<T>, ArgumentError>,
+    usage: &str,
+) -> Result<T, ExitCode> {
     match parsed {
         Ok(Command::Run(settings)) => Ok(settings),
         Ok(Command::Help) => Err(print_usage(usage)),
-        Err(error) => Err(bad_use(&error, usage)),
+        Err(error) => Err(usage_error(&error, usage)),
     }
 }
 
@@ -91,7 +97,7 @@
     ExitCode::SUCCESS
 }
 
-fn bad_use(error: &dyn Display, usage: &str) -> ExitCode {
+fn usage_error(error: &dyn Display, usage: &str) -> ExitCode {
     eprintln!("error: {error}\n\n{usage}");
     ExitCode::from(BAD_USE)
 }
@@ -107,20 +113,20 @@
     };
     let address = backend.address();
     log::info!("event=backend_started id={id} service={service} address={address}");
-    wait_for_end().await;
+    wait_for_shutdown_signal().await;
     log::info!("event=backend_stopped id={id}");
     backend.shutdown().await;
     ExitCode::SUCCESS
 }
 
 /// Waits for SIGTERM or SIGINT.
-async fn wait_for_end() {
+async fn wait_for_shutdown_signal() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
     };
     tokio::select! {
         _ = terminate.recv() => {}
-        // An error means that no handler could be installed; the process ends then as well.
+        // An error means that no handler could be installed; the process exits in this case as well.
         _interrupted = tokio::signal::ctrl_c() => {}
     }
 }
@@ -174,7 +180,7 @@
     ExitCode::SUCCESS
 }
 
-/// Logs go to standard error, one line of key=value pairs per event.
+/// Starts the logger, which writes one line of key=value pairs per event to standard error.
 fn start_logger() -> Option<LoggerHandle> {
     let logger = Logger::try_with_env_or_str("info").ok()?;
     logger.format(log_line).log_to_stderr().start().ok()
--- a/crates/emulator/src/command/platform.rs
+++ b/crates/emulator/src/command/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in as a process.
+//! Runs the emulated platform as a process.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 use wharfquay_resources::kinds::Resource;
 use wharfquay_resources::parse::{SourceFile, parse};
 
-use super::{bad_use, wait_for_end};
+use super::{usage_error, wait_for_shutdown_signal};
 use crate::arguments::{self, ArgumentError, Command};
 use crate::platform::{PlatformSettings, start};
 
-/// Usage of the command.
+/// Usage text, printed for `--help` and after an argument error.
 pub(super) const USAGE: &str = "\
 wharfquay-emulator platform --listen IP:PORT [--load FILE.resources.toml]… [--machines FILE.json]
 
-Serves the object API, leases and the machine list from memory, starting with the
-given resources and the given list of machines. PUT /v1/faults switches faults.
+Serves the object API, leases and the machine list from memory, initially with the
+specified resources and machines. PUT /v1/faults sets the injected faults.
 
 Example:
   wharfquay-emulator platform --listen 127.0.0.1:7100 --load scenarios/lagos.resources.toml
 ";
 
-/// What the command line asks for.
+/// Parsed command line.
 pub(super) struct PlatformArguments {
     listen: SocketAddr,
     files: Vec<PathBuf>,
@@ -34,42 +34,46 @@
 }
 
 #[derive(Default)]
-struct Given {
+struct RawArguments {
     listen: Option<SocketAddr>,
     files: Vec<PathBuf>,
     machines: Option<PathBuf>,
 }
 
 pub(super) fn parse_arguments(parser: Parser) -> Result<Command<PlatformArguments>, ArgumentError> {
-    arguments::read(parser, Given::default(), read_option)?.try_map(platform_arguments)
+    arguments::read(parser, RawArguments::default(), read_option)?.try_map(platform_arguments)
 }
 
-fn read_option(parser: &mut Parser, name: &str, given: &mut Given) -> Result<(), ArgumentError> {
+fn read_option(
+    parser: &mut Parser,
+    name: &str,
+    raw: &mut RawArguments,
+) -> Result<(), ArgumentError> {
     match name {
-        "listen" => given.listen = Some(arguments::address(parser, "listen")?),
-        "load" => given.files.push(PathBuf::from(parser.value()?)),
-        "machines" => given.machines = Some(PathBuf::from(parser.value()?)),
+        "listen" => raw.listen = Some(arguments::address(parser, "listen")?),
+        "load" => raw.files.push(PathBuf::from(parser.value()?)),
+        "machines" => raw.machines = Some(PathBuf::from(parser.value()?)),
         other => return Err(arguments::unknown_option(other)),
     }
     Ok(())
 }
 
-fn platform_arguments(given: Given) -> Result<PlatformArguments, ArgumentError> {
+fn platform_arguments(raw: RawArguments) -> Result<PlatformArguments, ArgumentError> {
     Ok(PlatformArguments {
-        listen: given.listen.ok_or(ArgumentError::Missing("listen"))?,
-        files: given.files,
-        machines: given.machines,
+        listen: raw.listen.ok_or(ArgumentError::Missing("listen"))?,
+        files: raw.files,
+        machines: raw.machines,
     })
 }
 
 pub(super) async fn run(arguments: PlatformArguments) -> ExitCode {
     let resources = match load_resources(&arguments.files) {
         Ok(resources) => resources,
-        Err(message) => return bad_use(&message, USAGE),
+        Err(message) => return usage_error(&message, USAGE),
     };
     let machines = match load_machines(arguments.machines.as_deref()) {
         Ok(machines) => machines,
-        Err(message) => return bad_use(&message, USAGE),
+        Err(message) => return usage_error(&message, USAGE),
     };
     let settings = PlatformSettings {
         resources,
@@ -77,14 +81,14 @@
     };
     let platform = match start(settings).await {
         Ok(platform) => platform,
-        Err(error) => return bad_use(&error, USAGE),
+        Err(error) => return usage_error(&error, USAGE),
     };
     platform.with_store(|store| {
         for machine in machines {
             store.machines.put(Timestamp::ZERO, machine);
         }
     });
-    wait_for_end().await;
+    wait_for_shutdown_signal().await;
     platform.shutdown().await;
     ExitCode::SUCCESS
 }
@@ -98,7 +102,7 @@
     serde_json::from_slice(&text).map_err(|error| failed(&error))
 }
 
-/// The resources of all files, or every problem in them.
+/// Returns the resources of all files, or a message with every problem in them.
 fn load_resources(files: &[PathBuf]) -> Result<Vec<Resource>, String> {
     let mut sources = Vec::with_capacity(files.len());
     for file in files {
--- a/crates/emulator/src/command/wait.rs
+++ b/crates/emulator/src/command/wait.rs
@@ -9,7 +9,7 @@
 use crate::arguments::{self, ArgumentError, Command};
 use crate::readiness;
 
-/// Usage of the command.
+/// Usage text, printed for `--help` and after an argument error.
 pub(super) const USAGE: &str = "\
 wharfquay-emulator wait --admins IP:PORT,… [--endpoints N] [--seconds N]
 
@@ -22,7 +22,7 @@
 
 const DEFAULT_LIMIT: Duration = Duration::from_secs(30);
 
-/// What the command line asks for.
+/// Parsed command line.
 pub(super) struct WaitArguments {
     admins: Vec<SocketAddr>,
     endpoints: usize,
--- a/crates/emulator/src/demo/deployment.rs
+++ b/crates/emulator/src/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! A running deployment: platform stand-in, back ends, daemons and edges in this process.
+//! A running deployment: emulated platform, backends, daemons and edges in this process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 use wharfquay_platform::{Client, ClientSettings, PlatformError as ClientError};
 use wharfquay_resources::kinds::Resource;
 
-use super::layout::{BackendPlace, EdgePlace, Layout, Ports};
+use super::layout::{BackendPlacement, EdgePlacement, Layout, Ports};
 use crate::backend::record::ExecutionReport;
 use crate::backend::{BackendSettings, RunningBackend, StartError as BackendError};
 use crate::platform::{self, PlatformError, PlatformSettings, RunningPlatform};
 use crate::readiness::{self, NotReady};
 use crate::scenario::Scenario;
 
-/// Longest time that the daemons may take to be ready.
+/// Time limit for all daemons to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(10);
 
-/// Why a deployment can't start.
+/// An error that prevents a deployment from starting or a run from finishing.
 #[derive(Debug, Display)]
 pub enum DeploymentError {
     /// platform: {0}
     Platform(PlatformError),
-    /// back end: {0}
+    /// backend: {0}
     Backend(BackendError),
     /// daemon settings: {0}
     Settings(SettingsError),
@@ -43,7 +43,7 @@
 
 impl std::error::Error for DeploymentError {}
 
-/// A deployment that serves.
+/// A running deployment.
 pub struct Deployment {
     platform: RunningPlatform,
     backends: Vec<RunningBackend>,
@@ -52,7 +52,8 @@
 }
 
 impl Deployment {
-    /// Starts every process of the scenario and waits until all are ready.
+    /// Starts the platform, the backends with their daemons and the edges, and waits until all daemons
+    /// are ready.
     ///
     /// # Errors
     /// [`DeploymentError`] names the part that can't start.
@@ -69,43 +70,43 @@
             daemons: Vec::new(),
             edges: Vec::new(),
         };
-        for (place, number) in layout.backends.into_iter().zip(0_u64..) {
+        for (placement, number) in layout.backends.into_iter().zip(0_u64..) {
             let seed = seed.wrapping_add(number);
-            deployment.start_backend(scenario, place, seed).await?;
+            deployment.start_backend(scenario, placement, seed).await?;
         }
-        for place in layout.edges {
-            deployment.start_edge(place).await?;
+        for placement in layout.edges {
+            deployment.start_edge(placement).await?;
         }
         deployment.wait_until_ready().await?;
         Ok(deployment)
     }
 
-    /// Where callers send their requests, one address per zone.
+    /// Returns the addresses to which callers send their requests, one per zone.
     #[must_use]
     pub fn edges(&self) -> Vec<SocketAddr> {
         let addresses = self.edges.iter().map(|edge| edge.addresses().edge);
         addresses.flatten().collect()
     }
 
-    /// The back ends.
+    /// Returns the backends.
     #[must_use]
     pub fn backends(&self) -> &[RunningBackend] {
         &self.backends
     }
 
-    /// The platform stand-in.
+    /// Returns the emulated platform.
     #[must_use]
     pub const fn platform(&self) -> &RunningPlatform {
         &self.platform
     }
 
-    /// The records of all back ends.
+    /// Returns the execution logs of all backends.
     #[must_use]
     pub fn records(&self) -> Vec<ExecutionReport> {
         self.backends.iter().map(RunningBackend::report).collect()
     }
 
-    /// Stops edges, daemons, back ends and the platform stand-in, in this order.
+    /// Stops the edges, the daemons, the backends and the emulated platform, in this order.
     pub async fn shutdown(self) {
         stop_daemons(self.edges).await;
         stop_daemons(self.daemons).await;
@@ -122,34 +123,35 @@
     async fn start_backend(
         &mut self,
         scenario: &Arc<Scenario>,
-        mut place: BackendPlace,
+        mut placement: BackendPlacement,
         seed: u64,
     ) -> Result<(), DeploymentError> {
-        let mut settings = BackendSettings::new(Arc::clone(scenario), &place.service, &place.id);
+        let mut settings =
+            BackendSettings::new(Arc::clone(scenario), &placement.service, &placement.id);
         settings.seed = seed;
         settings.warm = true;
         let backend = RunningBackend::start(settings).await;
         let backend = backend.map_err(DeploymentError::Backend)?;
-        place.backend = backend.address();
-        let text = place.daemon_settings(self.platform.address());
-        let daemon = start_daemon(&place.id, &text).await?;
-        place.inbound = address(&place.id, "inbound", daemon.addresses().inbound)?;
-        place.outbound = address(&place.id, "outbound", daemon.addresses().outbound)?;
-        place.control = address(&place.id, "control", daemon.addresses().control)?;
-        backend.set_outbound(place.outbound);
-        let registered = self.client().put_machine(&place.machine()).await;
+        placement.backend = backend.address();
+        let text = placement.daemon_settings(self.platform.address());
+        let daemon = start_daemon(&placement.id, &text).await?;
+        placement.inbound = address(&placement.id, "inbound", daemon.addresses().inbound)?;
+        placement.outbound = address(&placement.id, "outbound", daemon.addresses().outbound)?;
+        placement.control = address(&placement.id, "control", daemon.addresses().control)?;
+        backend.set_outbound(placement.outbound);
+        let registered = self.client().put_machine(&placement.machine()).await;
         registered.map_err(DeploymentError::Machines)?;
         self.backends.push(backend);
         self.daemons.push(daemon);
         Ok(())
     }
 
-    async fn start_edge(&mut self, mut place: EdgePlace) -> Result<(), DeploymentError> {
-        let text = place.daemon_settings(self.platform.address());
-        let daemon = start_daemon(&place.id, &text).await?;
-        place.edge = address(&place.id, "edge", daemon.addresses().edge)?;
-        place.control = address(&place.id, "control", daemon.addresses().control)?;
-        let registered = self.client().put_machine(&place.machine()).await;
+    async fn start_edge(&mut self, mut placement: EdgePlacement) -> Result<(), DeploymentError> {
+        let text = placement.daemon_settings(self.platform.address());
+        let daemon = start_daemon(&placement.id, &text).await?;
+        placement.edge = address(&placement.id, "edge", daemon.addresses().edge)?;
+        placement.control = address(&placement.id, "control", daemon.addresses().control)?;
+        let registered = self.client().put_machine(&placement.machine()).await;
         registered.map_err(DeploymentError::Machines)?;
         self.edges.push(daemon);
         Ok(())
--- a/crates/emulator/src/demo/layout.rs
+++ b/crates/emulator/src/demo/layout.rs
@@ -1,4 +1,4 @@
-//! Which processes a deployment has, where they run and where they listen.
+//! Processes of a deployment with their zones and listen addresses.
 
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,65 +7,65 @@
 
 use crate::scenario::Scenario;
 
-/// A back end and the daemon beside it.
+/// A backend and its daemon, which run on the same machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BackendPlace {
-    /// Id of the daemon and of the back end.
+pub struct BackendPlacement {
+    /// Id of both the daemon and the backend.
     pub id: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Where the back end listens.
+    /// Address of the backend.
     pub backend: SocketAddr,
-    /// Where the daemon takes calls of other daemons.
+    /// Address of the daemon's listener for calls from other daemons.
     pub inbound: SocketAddr,
-    /// Where the daemon takes the calls of its back end.
+    /// Address of the daemon's listener for the calls of its backend.
     pub outbound: SocketAddr,
-    /// Where the daemon serves operators.
+    /// Address of the daemon's admin listener.
     pub admin: SocketAddr,
-    /// Where the daemon takes control messages.
+    /// Address of the daemon's listener for control messages.
     pub control: SocketAddr,
 }
 
-/// An edge.
+/// A daemon that is the edge of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EdgePlace {
+pub struct EdgePlacement {
     /// Id of the daemon.
     pub id: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Where it takes requests of callers.
+    /// Address of the listener for callers.
     pub edge: SocketAddr,
-    /// Where it serves operators.
+    /// Address of the admin listener.
     pub admin: SocketAddr,
-    /// Where it takes control messages.
+    /// Address of the listener for control messages.
     pub control: SocketAddr,
 }
 
-/// Every process of a deployment.
+/// All processes of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
-    /// Where the platform stand-in listens.
+    /// Address of the emulated platform.
     pub platform: SocketAddr,
-    /// Back ends; the zones receive those of each service in turn.
-    pub backends: Vec<BackendPlace>,
+    /// Backends; those of each service are assigned to the zones round robin.
+    pub backends: Vec<BackendPlacement>,
     /// One edge per zone.
-    pub edges: Vec<EdgePlace>,
+    pub edges: Vec<EdgePlacement>,
 }
 
-/// Where the back end stand-in tells whether it is leaving.
+/// Path of the emulated backend's health endpoint, which reports whether it is leaving.
 const HEALTH_PATH: &str = "/wharfquay/health";
 
-/// Threads of an edge, which takes the callers of a whole zone.
+/// Worker threads of an edge, which serves all callers of its zone.
 const EDGE_WORKER_THREADS: usize = 6;
 
-/// Ports of one machine, in the order in which they are given out.
+/// Allocation of the ports of the listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ports {
-    /// Each listener takes a free port when it is bound.
+    /// Port zero: the operating system selects a free port when a listener is bound.
     Free,
-    /// Consecutive ports, this one next.
+    /// Consecutive ports; the value is the next one.
     From(u16),
 }
 
@@ -74,9 +74,9 @@
         let port = match self {
             Self::Free => 0,
             Self::From(port) => {
-                let given = *port;
+                let assigned = *port;
                 *port = port.saturating_add(1);
-                given
+                assigned
             }
         };
         SocketAddr::from((Ipv4Addr::LOCALHOST, port))
@@ -84,7 +84,7 @@
 }
 
 impl Layout {
-    /// The processes of a scenario, all on loopback.
+    /// Returns the layout of a scenario, with all processes on loopback.
     #[must_use]
     pub fn new(scenario: &Scenario, mut ports: Ports) -> Self {
         let platform = ports.next();
@@ -92,11 +92,18 @@
         for service in &scenario.services {
             for number in 0..service.backends as usize {
                 let zone = &scenario.zones[number % scenario.zones.len()];
-                backends.push(BackendPlace::new(&service.name, number, zone, &mut ports));
+                backends.push(BackendPlacement::new(
+                    &service.name,
+                    number,
+                    zone,
+                    &mut ports,
+                ));
             }
         }
         let zones = scenario.zones.iter();
-        let edges = zones.map(|zone| EdgePlace::new(zone, &mut ports)).collect();
+        let edges = zones
+            .map(|zone| EdgePlacement::new(zone, &mut ports))
+            .collect();
         Self {
             platform,
             backends,
@@ -105,7 +112,7 @@
     }
 }
 
-impl BackendPlace {
+impl BackendPlacement {
     fn new(service: &str, number: usize, zone: &str, ports: &mut Ports) -> Self {
         Self {
             id: format!("{service}-{}", number + 1),
@@ -119,7 +126,7 @@
         }
     }
 
-    /// Entry of the platform's machine list.
+    /// Returns the entry for the platform's machine list.
     #[must_use]
     pub fn machine(&self) -> Machine {
         Machine {
@@ -132,7 +139,7 @@
         }
     }
 
-    /// Settings file of the daemon.
+    /// Returns the text of the daemon's settings file.
     #[must_use]
     pub fn daemon_settings(&self, platform: SocketAddr) -> String {
         let mut text = common_settings(&self.id, &self.zone, platform, self.admin, self.control);
@@ -146,7 +153,7 @@
     }
 }
 
-impl EdgePlace {
+impl EdgePlacement {
     fn new(zone: &str, ports: &mut Ports) -> Self {
         Self {
             id: format!("edge-{zone}"),
@@ -157,7 +164,7 @@
         }
     }
 
-    /// Entry of the platform's machine list.
+    /// Returns the entry for the platform's machine list.
     #[must_use]
     pub fn machine(&self) -> Machine {
         Machine {
@@ -170,7 +177,7 @@
         }
     }
 
-    /// Settings file of the daemon.
+    /// Returns the text of the daemon's settings file.
     #[must_use]
     pub fn daemon_settings(&self, platform: SocketAddr) -> String {
         let mut text = common_settings(&self.id, &self.zone, platform, self.admin, self.control);
--- a/crates/emulator/src/demo/mod.rs
+++ b/crates/emulator/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback in one process.
+//! A complete deployment on loopback in one process, with callers and an audit.
 
 pub mod deployment;
 pub mod layout;
--- a/crates/emulator/src/demo/report.rs
+++ b/crates/emulator/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What a demonstration showed.
+//! Report of a demonstration.
 
 use std::fmt::{self, Display};
 
@@ -10,9 +10,9 @@
 /// Result of a demonstration.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DemoReport {
-    /// What became of the callers' requests.
+    /// Outcomes of the callers' requests.
     pub load: LoadReport,
-    /// What the back ends' records say about it.
+    /// Comparison with the execution logs of the backends.
     pub audit: Audit,
     /// The promises that were broken.
     pub broken_promises: Vec<BrokenPromise>,
@@ -25,13 +25,13 @@
         if inversions > 0 {
             writeln!(
                 formatter,
-                "order of refusal not judged: at most {inversions} requests were refused beside answers to \
-                 less important ones"
+                "priority order not checked: at most {inversions} requests were refused while less important \
+                 ones were served"
             )?;
         }
         if self.broken_promises.is_empty() {
-            let judged = if inversions > 0 { "judged " } else { "" };
-            return writeln!(formatter, "no {judged}promise broken");
+            let checked = if inversions > 0 { "checked " } else { "" };
+            return writeln!(formatter, "no {checked}promise broken");
         }
         for broken in &self.broken_promises {
             writeln!(
--- a/crates/emulator/src/demo/resources.rs
+++ b/crates/emulator/src/demo/resources.rs
@@ -1,4 +1,4 @@
-//! The configurations that ship with the program, one for each scenario that does.
+//! Configurations of the built-in scenarios.
 
 use wharfquay_resources::kinds::Resource;
 use wharfquay_resources::parse::{SourceFile, parse};
@@ -6,7 +6,7 @@
 const LAGOS: &str = include_str!("../../../../scenarios/lagos.resources.toml");
 const GUJARAT: &str = include_str!("../../../../scenarios/gujarat.resources.toml");
 
-/// The configuration of the scenario with this name; empty when none ships with the program.
+/// Returns the configuration of the built-in scenario with this name; empty if there is none.
 #[must_use]
 pub fn builtin(scenario: &str) -> Vec<Resource> {
     let text = match scenario {
--- a/crates/emulator/src/demo/run.rs
+++ b/crates/emulator/src/demo/run.rs
@@ -1,4 +1,4 @@
-//! Runs callers against a deployment through a surge.
+//! Runs a demonstration: load with a surge against a deployment.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,18 +14,18 @@
 
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What to demonstrate.
+/// Settings of a demonstration.
 #[derive(Clone, Debug)]
 pub struct DemoSettings {
-    /// The deployment and its load.
+    /// Scenario, which defines the deployment and its load.
     pub scenario: Arc<Scenario>,
-    /// Its configuration.
+    /// Configuration of the deployment.
     pub resources: Vec<Resource>,
-    /// Length of the load; the surge begins after a third and lasts a quarter of it.
+    /// Length of the load; the surge starts after a third of it and lasts a quarter of it.
     pub length: Duration,
-    /// Factor of the surge.
+    /// Factor on the arrival rates during the surge.
     pub surge_factor: f64,
-    /// Factor on every rate.
+    /// Factor on every arrival rate.
     pub rate_factor: f64,
     /// Seed of arrivals and service times.
     pub seed: u64,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Retries per originating request that the configuration allows: the largest of its budgets.
+    /// Returns the maximum number of retries per originating request that the configuration allows:
+    /// the largest of its budgets, or `None` without a budget.
     fn retry_bound(&self) -> Option<u64> {
         let budgets = self.resources.iter().filter_map(|resource| match resource {
             Resource::RetryBudget(budget) => Some(u64::from(budget.retries_per_request)),
@@ -50,21 +51,21 @@
     }
 }
 
-/// The state of a demonstration at one moment.
+/// Sample of the progress of a demonstration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moment {
-    /// Since the start of the load.
+    /// Time since the start of the load.
     pub elapsed: Duration,
-    /// Whether the surge lasts.
+    /// True during the surge.
     pub surge: bool,
     /// Counts so far.
     pub progress: Progress,
-    /// Counts at the moment before.
+    /// Counts of the previous sample.
     pub before: Progress,
 }
 
-/// Starts the deployment, sends the load, tells `observe` of the progress once a second, stops
-/// everything and reports.
+/// Starts the deployment, sends the load, calls `observe` with the progress once a second, stops
+/// the deployment and returns the report.
 ///
 /// # Errors
 /// [`DeploymentError`] names the part that can't start.
--- a/crates/emulator/src/demo/time_scale.rs
+++ b/crates/emulator/src/demo/time_scale.rs
@@ -1,7 +1,7 @@
-//! A deployment in slow motion: the same utilisation with fewer requests per second.
+//! Time scaling of a deployment: the same utilisation with fewer requests per second.
 //!
-//! Work, deadlines and waits grow by the factor and rates shrink by it, so that a machine with few
-//! processors can run a large deployment in real time. Constants inside the daemons don't grow.
+//! Service times, deadlines and waits are multiplied by the factor and rates divided by it, which
+//! lets a machine with few processors run a large deployment. Constants of the daemons aren't scaled.
 
 use std::num::NonZero;
 use std::thread;
@@ -10,18 +10,18 @@
 
 use crate::scenario::Scenario;
 
-/// Processors with which the deployments of the shipped scenarios run at their own pace.
-const WANTED_PROCESSORS: u32 = 8;
+/// Number of processors from which the built-in scenarios need no time scaling.
+const UNSCALED_PROCESSORS: u32 = 8;
 
-/// The factor that suits the processors of this machine: 1 on eight and more.
+/// Returns the factor for the number of processors of this machine: 1 on eight and more.
 #[must_use]
 pub fn suitable_factor() -> u32 {
     let processors = thread::available_parallelism().map_or(1, NonZero::get);
     let processors = u32::try_from(processors).unwrap_or(u32::MAX);
-    WANTED_PROCESSORS.div_ceil(processors)
+    UNSCALED_PROCESSORS.div_ceil(processors)
 }
 
-/// The scenario, slower by `factor`.
+/// Returns the scenario, slowed down by `factor`.
 #[must_use]
 pub fn slow_scenario(mut scenario: Scenario, factor: u32) -> Scenario {
     for request in &mut scenario.requests {
@@ -35,7 +35,7 @@
     scenario
 }
 
-/// The configuration of a scenario that is slower by `factor`.
+/// Returns the configuration for a scenario that is slowed down by `factor`.
 #[must_use]
 pub fn slow_resources(mut resources: Vec<Resource>, factor: u32) -> Vec<Resource> {
     for resource in &mut resources {
--- a/crates/emulator/src/latency/measure.rs
+++ b/crates/emulator/src/latency/measure.rs
@@ -1,4 +1,5 @@
-//! Sends requests at a steady rate, each by one of the two ways at random, and times them.
+//! Sends requests as a Poisson process, each on one of the two routes at random, and measures their
+//! latency.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -23,45 +24,45 @@
 use crate::response_body;
 use crate::scenario::{RequestModel, Scenario};
 
-const LONGEST_LATENCY_NS: u64 = 60_000_000_000;
+const MAX_LATENCY_NS: u64 = 60_000_000_000;
 const SIGNIFICANT_FIGURES: u8 = 3;
 
-/// What to measure.
+/// Settings of a measurement.
 #[derive(Clone, Debug)]
 pub struct LatencySettings {
-    /// The scenario, for the request kinds and their rates.
+    /// The scenario, which defines the request kinds and their rates.
     pub scenario: Arc<Scenario>,
-    /// First back end of the chain without daemons.
+    /// Address of the first backend of the chain without daemons.
     pub direct: SocketAddr,
-    /// Edge in front of the chain with daemons.
+    /// Address of the edge in front of the chain with daemons.
     pub edge: SocketAddr,
-    /// Time that is measured.
+    /// Length of the measurement.
     pub length: Duration,
-    /// Time before that, which is not measured.
+    /// Time before the measurement during which requests are sent and not counted.
     pub warm_up: Duration,
-    /// Factor on every rate; each rate is shared by the two ways.
+    /// Factor on every rate; each rate is divided between the two routes.
     pub rate_factor: f64,
-    /// Processes of the daemons whose processor time is to be reported.
+    /// Process ids of the daemons whose processor time is reported; empty for no such report.
     pub pids: Vec<u32>,
-    /// Seed of the arrivals and of the choice of the way.
+    /// Seed of the arrivals and of the choice of the route.
     pub seed: u64,
 }
 
-/// By which way a request goes.
+/// Route of a request: directly to a backend or through daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Route {
     Direct,
     Daemons,
 }
 
-/// Times of one request kind, in nanoseconds.
-struct KindTimes {
+/// Latencies of one request kind, in nanoseconds, and the number of failed requests.
+struct KindLatencies {
     direct: Histogram<u64>,
     daemons: Histogram<u64>,
     failed: u64,
 }
 
-impl KindTimes {
+impl KindLatencies {
     fn new() -> Self {
         Self {
             direct: nanosecond_histogram(),
@@ -70,34 +71,34 @@
         }
     }
 
-    fn record(&mut self, way: Way, time: Option<Duration>) {
+    fn record(&mut self, route: Route, time: Option<Duration>) {
         let Some(time) = time else {
             self.failed += 1;
             return;
         };
         let nanos = u64::try_from(time.as_nanos()).unwrap_or(u64::MAX);
-        match way {
-            Way::Direct => self.direct.saturating_record(nanos),
-            Way::Daemons => self.daemons.saturating_record(nanos),
+        match route {
+            Route::Direct => self.direct.saturating_record(nanos),
+            Route::Daemons => self.daemons.saturating_record(nanos),
         }
     }
 }
 
-struct Meter {
+struct LatencyMeter {
     settings: LatencySettings,
     client: Client<HttpConnector, Full<Bytes>>,
-    times: Vec<Mutex<KindTimes>>,
+    times: Vec<Mutex<KindLatencies>>,
 }
 
-/// Measures. Times run from the moment at which a request is sent to the end of its whole answer;
-/// the delay of the sender's own timer is left out.
+/// Runs a measurement. A latency is the time from sending a request to the end of its complete
+/// response; the delay of the timer that schedules the request isn't included.
 pub async fn measure(settings: LatencySettings) -> LatencyReport {
-    let meter = Arc::new(Meter::new(settings));
-    let settings = &meter.settings;
-    let whole = settings.warm_up + settings.length;
+    let latency_meter = Arc::new(LatencyMeter::new(settings));
+    let settings = &latency_meter.settings;
+    let total_length = settings.warm_up + settings.length;
     let arrivals = Arrivals::new(
         &settings.scenario,
-        whole,
+        total_length,
         None,
         settings.rate_factor,
         settings.seed,
@@ -109,27 +110,27 @@
     let mut calls_through_daemons = 0;
     for arrival in arrivals {
         tokio::time::sleep_until((started + arrival.at).into()).await;
-        let way = if rng.random_bool(0.5) {
-            Way::Direct
+        let route = if rng.random_bool(0.5) {
+            Route::Direct
         } else {
-            Way::Daemons
+            Route::Daemons
         };
-        if way == Way::Daemons {
+        if route == Route::Daemons {
             let model = &settings.scenario.requests[arrival.kind];
             calls_through_daemons += u64::from(calls_of(model));
         }
         let counted = arrival.at >= settings.warm_up;
-        let meter = Arc::clone(&meter);
-        requests.spawn(async move { meter.send(arrival.kind, way, counted).await });
+        let latency_meter = Arc::clone(&latency_meter);
+        requests.spawn(async move { latency_meter.send(arrival.kind, route, counted).await });
         while requests.try_join_next().is_some() {}
     }
     while requests.join_next().await.is_some() {}
     let times = SchedulerTimes::read(&settings.pids).since(before);
     let daemons = DaemonTimes::per_call(times, calls_through_daemons);
-    meter.report((!settings.pids.is_empty()).then_some(daemons))
+    latency_meter.report((!settings.pids.is_empty()).then_some(daemons))
 }
 
-impl Meter {
+impl LatencyMeter {
     fn new(settings: LatencySettings) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -138,28 +139,28 @@
             .build(connector);
         let kinds = settings.scenario.requests.iter();
         Self {
-            times: kinds.map(|_| Mutex::new(KindTimes::new())).collect(),
+            times: kinds.map(|_| Mutex::new(KindLatencies::new())).collect(),
             settings,
             client,
         }
     }
 
-    async fn send(&self, kind: usize, way: Way, counted: bool) {
+    async fn send(&self, kind: usize, route: Route, counted: bool) {
         let model = &self.settings.scenario.requests[kind];
-        let time = self.time(model, way).await;
+        let time = self.time(model, route).await;
         if counted {
             let mut times = self.times[kind]
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            times.record(way, time);
+            times.record(route, time);
         }
     }
 
-    /// Time of one request; none unless its whole answer came back.
-    async fn time(&self, model: &RequestModel, way: Way) -> Option<Duration> {
-        let address = match way {
-            Way::Direct => self.settings.direct,
-            Way::Daemons => self.settings.edge,
+    /// Sends one request and returns its latency, or `None` without a complete response.
+    async fn time(&self, model: &RequestModel, route: Route) -> Option<Duration> {
+        let address = match route {
+            Route::Direct => self.settings.direct,
+            Route::Daemons => self.settings.edge,
         };
         let token = Uuid::now_v7().simple().to_string();
         let path = &model.path;
@@ -201,6 +202,6 @@
 
 fn nanosecond_histogram() -> Histogram<u64> {
     // The bounds are valid, so the fallback is never reached with these constants.
-    Histogram::new_with_max(LONGEST_LATENCY_NS, SIGNIFICANT_FIGURES)
+    Histogram::new_with_max(MAX_LATENCY_NS, SIGNIFICANT_FIGURES)
         .unwrap_or_else(|_| Histogram::new(SIGNIFICANT_FIGURES).expect("valid precision"))
 }
--- a/crates/emulator/src/latency/mod.rs
+++ b/crates/emulator/src/latency/mod.rs
@@ -1,4 +1,5 @@
-//! Added latency: the same requests straight to a back end and through daemons, in one run.
+//! Measurement of the latency that daemons add: one run sends the same requests directly to a
+//! backend and through daemons.
 
 pub mod arguments;
 mod measure;
--- a/crates/emulator/src/latency/processes.rs
+++ b/crates/emulator/src/latency/processes.rs
@@ -1,19 +1,19 @@
-//! Processor time of processes, and the time that they were ready to run but had no processor.
+//! Scheduler statistics of processes: processor time and time spent runnable without a processor.
 
 use std::fs;
 use std::path::Path;
 
-/// Sums over the threads of some processes, in nanoseconds.
+/// Sums over all threads of a set of processes, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct SchedulerTimes {
-    /// On a processor.
+    /// Time on a processor.
     pub(super) running: u64,
-    /// Ready, but waiting for a processor.
+    /// Time spent runnable, waiting for a processor.
     pub(super) waiting: u64,
 }
 
 impl SchedulerTimes {
-    /// Reads the sums; processes and threads that are gone count as zero.
+    /// Reads the sums from `/proc`; processes and threads that have exited count as zero.
     pub(super) fn read(pids: &[u32]) -> Self {
         let mut sum = Self::default();
         for pid in pids {
@@ -29,7 +29,7 @@
         sum
     }
 
-    /// What was added since `earlier`.
+    /// Returns the difference from an earlier reading.
     pub(super) const fn since(self, earlier: Self) -> Self {
         Self {
             running: self.running.saturating_sub(earlier.running),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds one thread's line: time running, time waiting, number of time slices.
+    /// Adds the contents of one thread's `schedstat`: time running, time waiting, number of time slices.
     fn add(&mut self, line: &str) {
         let mut fields = line.split_whitespace().map_while(|text| text.parse().ok());
         self.running += fields.next().unwrap_or(0_u64);
--- a/crates/emulator/src/latency/report.rs
+++ b/crates/emulator/src/latency/report.rs
@@ -1,4 +1,4 @@
-//! Percentiles of both ways and what the daemons add.
+//! Report of a latency measurement: percentiles of both routes and the latency that daemons add.
 
 use std::fmt::{self, Display};
 
@@ -10,7 +10,7 @@
 
 const NANOS_PER_MILLI: f64 = 1e6;
 
-/// Percentiles in milliseconds.
+/// Latency percentiles, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Percentiles {
     /// Median.
@@ -40,26 +40,26 @@
     }
 }
 
-/// Latency of one request kind.
+/// Latencies of one request kind on both routes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct KindLatency {
-    /// Request kind.
+    /// Name of the request kind.
     pub kind: String,
-    /// Calls of one request, the caller's included.
+    /// Calls per request, including the caller's.
     pub calls: u32,
-    /// Requests per second, both ways together.
+    /// Requests per second on both routes together.
     pub rate: f64,
-    /// Requests straight to the back end that were timed.
+    /// Number of measured requests directly to the backend.
     pub direct_count: u64,
-    /// Requests through daemons that were timed.
+    /// Number of measured requests through daemons.
     pub daemons_count: u64,
-    /// Requests without a whole answer.
+    /// Number of requests without a complete response.
     pub failed: u64,
-    /// Straight to the back end.
+    /// Latency of requests directly to the backend.
     pub direct_ms: Percentiles,
-    /// Through an edge and the daemons of the back ends.
+    /// Latency of requests through an edge and the daemons of the backends.
     pub daemons_ms: Percentiles,
-    /// Difference of the percentiles, divided by the number of calls.
+    /// Difference of the percentiles, divided by the number of calls per request.
     pub added_per_call_ms: Percentiles,
 }
 
@@ -90,24 +90,25 @@
     }
 }
 
-/// Calls of one request, the caller's included.
+/// Returns the number of calls per request, including the caller's.
 pub(super) fn calls_of(model: &RequestModel) -> u32 {
     let entry = model.step(&model.entry);
     entry.map_or(1, |step| calls(model, step))
 }
 
-/// Calls of the tree below a step, the one to the step itself included.
+/// Returns the number of calls in the tree below a step, including the call to the step itself.
 fn calls(model: &RequestModel, step: &StepModel) -> u32 {
     let below = step.calls.iter().filter_map(|service| model.step(service));
     1 + below.map(|step| calls(model, step)).sum::<u32>()
 }
 
-/// What the daemons' threads did per call through daemons, the warm-up included, in milliseconds.
+/// Scheduler times of the daemons' threads per call through daemons, including the warm-up, in
+/// milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DaemonTimes {
-    /// On a processor.
+    /// Time on a processor.
     pub running_ms: f64,
-    /// Ready, but waiting for a processor; what other load on the machine adds.
+    /// Time spent runnable, waiting for a processor; grows with other load on the machine.
     pub waiting_ms: f64,
 }
 
@@ -124,13 +125,13 @@
 /// Result of a measurement.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LatencyReport {
-    /// Length in seconds, without the warm-up.
+    /// Length of the measurement in seconds, without the warm-up.
     pub seconds: f64,
-    /// Seed of the arrivals.
+    /// Seed of the arrivals and of the choice of the route.
     pub seed: u64,
-    /// Per request kind.
+    /// Latencies per request kind, in the order of the scenario.
     pub kinds: Vec<KindLatency>,
-    /// Processor time of the daemons, when their processes were named.
+    /// Scheduler times of the daemons; absent if no process ids were specified.
     pub daemon_times: Option<DaemonTimes>,
 }
 
@@ -139,7 +140,7 @@
         for kind in &self.kinds {
             writeln!(
                 formatter,
-                "{}: {} call(s) per request, {:.0} requests/s both ways together, {:.0} s, {} failed",
+                "{}: {} call(s) per request, {:.0} requests/s on both routes together, {:.0} s, {} failed",
                 kind.kind, kind.calls, kind.rate, self.seconds, kind.failed
             )?;
             writeln!(
--- a/crates/emulator/tests/demo_small.rs
+++ b/crates/emulator/tests/demo_small.rs
@@ -1,4 +1,5 @@
-//! A small deployment in this process: callers, edges, daemons and back ends, through a surge.
+//! Demonstration with a small deployment in this process: callers, edges, daemons and backends, with
+//! and without a surge.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -116,7 +117,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 8)]
-async fn without_a_surge_every_request_comes_back_whole() {
+async fn without_a_surge_requests_get_complete_responses_in_time() {
     println!("seed {SEED}");
     let mut report = demo::run(settings(1.0), |_| {}).await.expect("runs");
     println!("{report}");
@@ -126,7 +127,7 @@
     check_summary(&mut report);
 }
 
-/// The summary claims no more than what was judged.
+/// Checks that the summary doesn't claim a correct priority order if there may be inversions.
 fn check_summary(report: &mut demo::DemoReport) {
     for kind in &mut report.load.kinds {
         kind.priority_inversions = 0;
@@ -135,28 +136,30 @@
     report.load.kinds[0].priority_inversions = 7;
     let text = report.to_string();
     assert!(
-        text.contains("order of refusal not judged: at most 7 requests"),
+        text.contains(
+            "priority order not checked: at most 7 requests were refused while less important"
+        ),
         "{text}"
     );
-    assert!(text.ends_with("\nno judged promise broken\n"), "{text}");
+    assert!(text.ends_with("\nno checked promise broken\n"), "{text}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 8)]
-async fn through_a_surge_no_promise_is_broken() {
+async fn during_a_surge_no_promise_is_broken() {
     println!("seed {SEED}");
-    let mut moments = 0;
-    let report = demo::run(settings(8.0), |_| moments += 1)
+    let mut samples = 0;
+    let report = demo::run(settings(8.0), |_| samples += 1)
         .await
         .expect("runs");
     println!("{report}");
-    assert!(moments >= 3, "progress was shown {moments} times");
+    assert!(samples >= 3, "progress was shown {samples} times");
     let refused: u64 = report.load.kinds.iter().map(|kind| kind.refused).sum();
-    assert!(refused > 0, "the surge is over the capacity: {report}");
-    let silent = report
+    assert!(refused > 0, "the surge must exceed the capacity: {report}");
+    let without_retry_after = report
         .load
         .kinds
         .iter()
         .map(|kind| kind.without_retry_after);
-    assert_eq!(silent.sum::<u64>(), 0, "{report}");
+    assert_eq!(without_retry_after.sum::<u64>(), 0, "{report}");
     assert_eq!(report.broken_promises, [], "{report}");
 }
--- a/crates/emulator/tests/mesh_script.rs
+++ b/crates/emulator/tests/mesh_script.rs
@@ -1,10 +1,11 @@
-//! Bad arguments of the scripts that start processes: usage and exit status 2, nothing started.
+//! Invalid arguments of the scripts and of the emulator: an error, the usage and exit status 2, and no
+//! process is started.
 
 use std::path::Path;
 use std::process::Command;
 
 #[test]
-fn bad_arguments_are_named_and_end_with_status_2() {
+fn invalid_arguments_of_scripts_are_reported_with_exit_status_2() {
     let table: [(&str, &[&str], &str); 8] = [
         ("mesh", &[], "no scenario given (allowed: lagos, gujarat)"),
         ("mesh", &["paris"], "unknown argument \"paris\""),
@@ -46,9 +47,9 @@
 }
 
 #[test]
-fn bad_arguments_of_the_emulator_are_named_and_end_with_status_2() {
+fn invalid_arguments_of_the_emulator_are_reported_with_exit_status_2() {
     let table: [(&[&str], &str); 8] = [
-        (&[], "no command given"),
+        (&[], "no command specified"),
         (&["brew"], "unknown command \"brew\""),
         (&["load"], "--scenario is missing"),
         (
