--- a/crates/emulator/src/arguments.rs
+++ b/crates/emulator/src/arguments.rs
@@ -68,13 +68,13 @@
         settings: impl FnOnce(T) -> Result<U, ArgumentError>,
     ) -> Result<Command<U>, ArgumentError> {
         match self {
-            Self::Run(given) => settings(given).map(Command::Run),
+            Self::Run(raw) => settings(raw).map(Command::Run),
             Self::Help => Ok(Command::Help),
         }
     }
 }
 
-/// Parses a command line of long options into `given`, which initially holds the defaults.
+/// Parses a command line of long options into `raw`, which initially holds the defaults.
 /// `read_option` is called with the name of each option, without its dashes, and reads the value if
 /// the option takes one.
 ///
@@ -82,7 +82,7 @@
 /// The error of `read_option`, and [`ArgumentError::Syntax`] for anything but a long option.
 pub fn read<T>(
     mut parser: lexopt::Parser,
-    mut given: T,
+    mut raw: T,
     read_option: impl Fn(&mut lexopt::Parser, &str, &mut T) -> Result<(), ArgumentError>,
 ) -> Result<Command<T>, ArgumentError> {
     while let Some(argument) = parser.next()? {
@@ -90,24 +90,24 @@
             Arg::Long("help") | Arg::Short('h') => return Ok(Command::Help),
             Arg::Long(name) => {
                 let name = name.to_owned();
-                read_option(&mut parser, &name, &mut given)?;
+                read_option(&mut parser, &name, &mut raw)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok(Command::Run(given))
+    Ok(Command::Run(raw))
 }
 
 /// Returns the error for an invalid value of `option`.
 pub fn invalid(
     option: &'static str,
-    given: impl Into<String>,
+    specified: impl Into<String>,
     problem: impl Into<String>,
     allowed: &'static str,
 ) -> ArgumentError {
     ArgumentError::Value {
         option,
-        given: given.into(),
+        given: specified.into(),
         problem: problem.into(),
         allowed,
     }
@@ -132,8 +132,8 @@
     T: FromStr,
     T::Err: DisplayTrait,
 {
-    let given = text(parser)?;
-    parse(option, &given, allowed)
+    let value_text = text(parser)?;
+    parse(option, &value_text, allowed)
 }
 
 /// Reads the value of an option as text.
@@ -153,16 +153,16 @@
 /// [`ArgumentError::Value`] if it can't be parsed.
 pub fn parse<T>(
     option: &'static str,
-    given: &str,
+    value_text: &str,
     allowed: &'static str,
 ) -> Result<T, ArgumentError>
 where
     T: FromStr,
     T::Err: DisplayTrait,
 {
-    given
+    value_text
         .parse()
-        .map_err(|error: T::Err| invalid(option, given, error.to_string(), allowed))
+        .map_err(|error: T::Err| invalid(option, value_text, error.to_string(), allowed))
 }
 
 /// Reads a comma-separated list of one or more values.
@@ -178,8 +178,8 @@
     T: FromStr,
     T::Err: DisplayTrait,
 {
-    let given = text(parser)?;
-    let parts = given.split(',');
+    let value_text = text(parser)?;
+    let parts = value_text.split(',');
     parts
         .map(|part| parse(option, part.trim(), allowed))
         .collect()
@@ -195,12 +195,12 @@
     range: std::ops::RangeInclusive<f64>,
     allowed: &'static str,
 ) -> Result<f64, ArgumentError> {
-    let given = text(parser)?;
-    let number: f64 = parse(option, &given, allowed)?;
+    let value_text = text(parser)?;
+    let number: f64 = parse(option, &value_text, allowed)?;
     if range.contains(&number) {
         return Ok(number);
     }
-    Err(invalid(option, given, "out of range", allowed))
+    Err(invalid(option, value_text, "out of range", allowed))
 }
 
 /// Reads the seed of a run's random numbers.
@@ -237,10 +237,10 @@
 ///
 /// # Errors
 /// [`ScenarioError`] if there is no such scenario or its file is unreadable or invalid.
-pub fn scenario(given: &str) -> Result<Scenario, ScenarioError> {
-    let names_a_file = given.contains('/') || given.contains('.');
-    if names_a_file {
-        return Scenario::load(Path::new(given));
+pub fn scenario(name_or_path: &str) -> Result<Scenario, ScenarioError> {
+    let is_path = name_or_path.contains('/') || name_or_path.contains('.');
+    if is_path {
+        return Scenario::load(Path::new(name_or_path));
     }
-    Scenario::builtin(given)
+    Scenario::builtin(name_or_path)
 }
--- a/crates/emulator/src/backend/arguments.rs
+++ b/crates/emulator/src/backend/arguments.rs
@@ -17,7 +17,8 @@
     [--refuse SHARE] [--hang SHARE] [--end SHARE] [--report-lag-ms N] [--load-factor F]
     [--health truthful|always_live|always_leaving]
 
-Executes the steps of one service; slower during the cold start, which --warm skips. SHARE is a probability from 0 to 1.
+Executes the steps of one service; slower during the cold start, which --warm skips.
+SHARE is a probability from 0 to 1.
 Endpoints: GET /wharfquay/health, /wharfquay/load, /wharfquay/executions,
 GET and PUT /wharfquay/faults, POST and DELETE /wharfquay/drain.
 
--- a/crates/emulator/src/backend/execution.rs
+++ b/crates/emulator/src/backend/execution.rs
@@ -25,6 +25,7 @@
 /// Time from the start of an execution that terminates the backend until the termination.
 const TERMINATION_DELAY: Duration = Duration::from_millis(30);
 
+/// Response to a request; an error closes the connection without a complete response.
 pub(super) type ResponseResult = Result<Response<ResponseBody>, ConnectionAborted>;
 
 /// Serves one request of a scenario's request kind.
--- a/crates/emulator/src/backend/faults.rs
+++ b/crates/emulator/src/backend/faults.rs
@@ -65,12 +65,12 @@
 pub enum FaultError {
     /// {0}
     Malformed(String),
-    /// {field}: {given} is out of range (allowed: {allowed})
+    /// {field}: {value} is out of range (allowed: {allowed})
     OutOfRange {
         /// Name of the field.
         field: &'static str,
         /// The specified value.
-        given: f64,
+        value: f64,
         /// Allowed range.
         allowed: &'static str,
     },
@@ -118,17 +118,17 @@
 
 fn check(
     field: &'static str,
-    given: f64,
+    value: f64,
     lowest: f64,
     highest: f64,
     allowed: &'static str,
 ) -> Result<(), FaultError> {
-    if (lowest..=highest).contains(&given) {
+    if (lowest..=highest).contains(&value) {
         return Ok(());
     }
     Err(FaultError::OutOfRange {
         field,
-        given,
+        value,
         allowed,
     })
 }
--- a/crates/emulator/src/backend/record.rs
+++ b/crates/emulator/src/backend/record.rs
@@ -29,7 +29,8 @@
 pub struct ExecutionRecord {
     /// Origin id from the header that the daemon sets; empty without a daemon.
     pub origin: String,
-    /// Token of the originating request.
+    /// Token of the originating request: a unique id that its caller chooses and sends in the query.
+    /// Calls on behalf of the request carry the same token.
     pub token: String,
     /// Id of the logical call, which daemons keep when they retry it. It consists of the id of the
     /// parent call, a dot and a suffix of its own; calls of callers have no dot.
--- a/crates/emulator/src/backend/request.rs
+++ b/crates/emulator/src/backend/request.rs
@@ -15,9 +15,11 @@
     pub(super) path: String,
     pub(super) token: String,
     pub(super) call: String,
+    /// Origin id and scope, passed on unchanged to outbound calls.
     pub(super) origin: Option<HeaderValue>,
     pub(super) scope: Option<HeaderValue>,
     pub(super) idempotency_key: Option<String>,
+    /// Time left until the deadline when the request was received.
     pub(super) deadline: Option<Duration>,
     pub(super) body: Bytes,
 }
--- a/crates/emulator/src/backend/server.rs
+++ b/crates/emulator/src/backend/server.rs
@@ -24,10 +24,13 @@
 use super::state::{BackendSettings, BackendState};
 use super::{body::ConnectionAborted, endpoints};
 
+/// Maximum size of a request body; a larger one gets status 413.
 const MAX_BODY_BYTES: usize = 1_024 * 1_024;
 /// Time from the termination of a backend until it listens again.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
+/// Time between two samples of the reported state.
 const REPORT_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum age of the stored samples; a longer report lag yields the oldest of them.
 const REPORT_HISTORY: Duration = Duration::from_secs(60);
 
 /// An error that prevents a backend from starting.
@@ -118,7 +121,7 @@
         self.stop.cancel();
         for task in std::mem::take(&mut self.tasks) {
             // The result doesn't matter: a task that panicked has stopped as well.
-            let _ended = task.await;
+            let _result = task.await;
         }
     }
 }
@@ -238,7 +241,7 @@
     tokio::select! {
         () = stop.cancelled() => {}
         // An error means that the peer lost the connection or an injected fault closed it.
-        _ended = connection => {}
+        _result = connection => {}
     }
 }
 
--- a/crates/emulator/src/backend/state.rs
+++ b/crates/emulator/src/backend/state.rs
@@ -16,6 +16,7 @@
 use super::slots::Slots;
 use crate::scenario::{Scenario, ServiceModel};
 
+/// Default of [`BackendSettings::queue_limit`].
 const DEFAULT_QUEUE_LIMIT: usize = 1_000;
 
 /// Settings of an emulated backend.
@@ -92,8 +93,10 @@
     pub(super) terminate: Notify,
     started: Instant,
     faults: RwLock<Faults>,
+    /// Start of the drain; `None` while the backend isn't draining.
     drain_started: RwLock<Option<Instant>>,
     rng: Mutex<Pcg64Mcg>,
+    /// Samples for reports with lag, oldest first.
     reports: Mutex<Vec<(Instant, Report)>>,
 }
 
@@ -212,8 +215,8 @@
             return self.current_report();
         }
         let reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
-        let old_enough = reports.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-        let oldest = old_enough.or(reports.first());
+        let newest_old_report = reports.iter().rev().find(|(at, _)| at.elapsed() >= lag);
+        let oldest = newest_old_report.or(reports.first());
         oldest.map_or_else(|| self.current_report(), |(_, report)| *report)
     }
 
--- a/crates/emulator/src/command/wait.rs
+++ b/crates/emulator/src/command/wait.rs
@@ -41,25 +41,27 @@
 fn read_option(
     parser: &mut Parser,
     name: &str,
-    given: &mut WaitArguments,
+    wait_arguments: &mut WaitArguments,
 ) -> Result<(), ArgumentError> {
     match name {
-        "admins" => given.admins = arguments::address_list(parser, "admins")?,
-        "endpoints" => given.endpoints = arguments::value(parser, "endpoints", "0 or more")?,
+        "admins" => wait_arguments.admins = arguments::address_list(parser, "admins")?,
+        "endpoints" => {
+            wait_arguments.endpoints = arguments::value(parser, "endpoints", "0 or more")?
+        }
         "seconds" => {
             let seconds = arguments::number_in(parser, "seconds", 0.1..=3600.0, "0.1 to 3600")?;
-            given.limit = Duration::from_secs_f64(seconds);
+            wait_arguments.limit = Duration::from_secs_f64(seconds);
         }
         other => return Err(arguments::unknown_option(other)),
     }
     Ok(())
 }
 
-fn check(given: WaitArguments) -> Result<WaitArguments, ArgumentError> {
-    if given.admins.is_empty() {
+fn check(wait_arguments: WaitArguments) -> Result<WaitArguments, ArgumentError> {
+    if wait_arguments.admins.is_empty() {
         return Err(ArgumentError::Missing("admins"));
     }
-    Ok(given)
+    Ok(wait_arguments)
 }
 
 pub(super) async fn run(arguments: WaitArguments) -> ExitCode {
--- a/crates/emulator/src/latency/arguments.rs
+++ b/crates/emulator/src/latency/arguments.rs
@@ -17,8 +17,9 @@
 
 Sends the scenario's requests at its rates, each either directly to the first backend of a chain
 without daemons or to the edge of a chain with daemons, and reports the percentiles of both routes
-and the latency that the daemons add per call. With the process ids of the daemons in --pids, reports
-their processor time per call and their wait for a processor as well. scripts/latency starts the processes.
+and the latency that the daemons add per call. With the process ids of the daemons in --pids,
+reports their processor time per call and their wait for a processor as well. scripts/latency starts
+the processes.
 
 Example:
   wharfquay-emulator latency --scenario scenarios/latency.toml --direct 127.0.0.1:9001 \\
--- a/crates/emulator/src/load/arguments.rs
+++ b/crates/emulator/src/load/arguments.rs
@@ -17,7 +17,8 @@
     [--backends IP:PORT,…] [--retry-bound N] [--json]
 
 Sends the scenario's requests open loop and reports per request kind. With --backends, every
-response is checked against the execution logs of the backends; exit status 1 when a promise is broken.
+response is checked against the execution logs of the backends; exit status 1 when a promise is
+broken.
 
 Example:
   wharfquay-emulator load --scenario lagos --edges 127.0.0.1:7000 --seconds 20 --factor 4
--- a/crates/emulator/src/load/audit.rs
+++ b/crates/emulator/src/load/audit.rs
@@ -151,8 +151,11 @@
 
 /// Executions at the entry service, to which callers address their requests.
 struct EntryExecutions<'a> {
+    /// Ids of the executed calls, including executions that did not complete.
     calls: HashSet<&'a str>,
+    /// Number of completed executions per token.
     completed: HashMap<&'a str, u64>,
+    /// The same for non-repeatable requests only.
     effects: HashMap<&'a str, u64>,
 }
 
--- a/crates/emulator/src/load/caller.rs
+++ b/crates/emulator/src/load/caller.rs
@@ -20,7 +20,7 @@
 use crate::response_body;
 use crate::scenario::RequestModel;
 
-/// Time after the deadline during which a caller still waits for a response that states the outcome.
+/// Time that an attempt may take beyond the deadline, to receive a response that states the outcome.
 const RESPONSE_GRACE: Duration = Duration::from_millis(150);
 /// Maximum sum of the margins that all hops of a call path subtract from the deadline.
 const TOTAL_HOP_MARGIN: Duration = Duration::from_millis(10);
@@ -28,11 +28,17 @@
 /// A caller with its originating request.
 pub(super) struct Caller {
     state: Arc<LoadState>,
+    /// Index of the request kind in the scenario.
     kind: usize,
+    /// Arrival time, since the start of the load.
     arrived: Duration,
+    /// The same as an instant; latencies and the deadline count from it.
     scheduled: Instant,
+    /// Unique id of the originating request, from which valid bodies are derived.
     token: String,
+    /// Present for requests that aren't repeatable; the same in every attempt.
     idempotency_key: Option<String>,
+    /// True if the caller ignores Retry-After.
     impatient: bool,
 }
 
--- a/crates/emulator/src/platform/watch.rs
+++ b/crates/emulator/src/platform/watch.rs
@@ -42,7 +42,7 @@
         let from = Revision::new(from);
         let check = |store: &mut Store| next_batch(store, from).map(|_| ());
         if let Err(too_old) = self.0.with_store(check) {
-            render(response, gone(from, too_old));
+            render(response, too_old_response(from, too_old));
             return;
         }
         let stream = WatchStream {
@@ -54,7 +54,7 @@
     }
 }
 
-fn gone(from: Revision, too_old: TooOld) -> ApiResponse {
+fn too_old_response(from: Revision, too_old: TooOld) -> ApiResponse {
     let error = format!(
         "from: given {}, allowed are {} and later",
         from.number(),
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -12,14 +12,14 @@
 pub enum ScenarioError {
     /// {path}: can't be read: {source}
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// Error of the operating system.
         source: std::io::Error,
     },
     /// {path}: {message}
     Parse {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// Error of the parser, with line and column.
         message: String,
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name of the scenario.
+    /// Name of the scenario; for a built-in one also its name on the command line.
     pub name: String,
     /// Names of the zones; the backends of a service are assigned to them round robin in this order.
     pub zones: Vec<String>,
@@ -50,7 +50,7 @@
     /// The services of the deployment.
     #[serde(rename = "service")]
     pub services: Vec<ServiceModel>,
-    /// The request kinds that callers send.
+    /// The kinds of originating requests.
     #[serde(rename = "request")]
     pub requests: Vec<RequestModel>,
     /// Behaviour of the callers.
--- a/crates/emulator/tests/backend_contract/support.rs
+++ b/crates/emulator/tests/backend_contract/support.rs
@@ -143,7 +143,7 @@
 pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let limit = Instant::now() + Duration::from_secs(5);
     while !holds() {
-        assert!(Instant::now() < limit, "not in time: {what}");
+        assert!(Instant::now() < limit, "not within five seconds: {what}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/emulator/tests/platform_contract/api.rs
+++ b/crates/emulator/tests/platform_contract/api.rs
@@ -255,7 +255,10 @@
     }
     let error = client.watch(Revision::new(1)).await.expect_err("too old");
     assert_eq!(error.number(), 6009, "{error}");
-    client.watch(Revision::new(2)).await.expect("just reaches");
+    client
+        .watch(Revision::new(2))
+        .await
+        .expect("the event log starts after this version");
 }
 
 #[tokio::test]
--- a/crates/emulator/tests/platform_contract/source_faults.rs
+++ b/crates/emulator/tests/platform_contract/source_faults.rs
@@ -13,8 +13,8 @@
 use wharfquay_resources::snapshot::Revision;
 
 use crate::support::{
-    client_of, hasty_client_of, hasty_client_settings, overwrite, patient_client_settings,
-    platform_settings, reserve_address, start_platform,
+    client_of, client_with_short_timeouts, long_timeout_settings, overwrite, platform_settings,
+    reserve_address, short_timeout_settings, start_platform,
 };
 
 const LOG_CAPACITY: usize = 5;
@@ -257,16 +257,18 @@
         overwrite(&platform, "booking", slots, AUTHOR);
     }
     let settings = match case.reports.contains(&Report::Unavailable) {
-        true => hasty_client_settings(),
-        false => patient_client_settings(),
+        true => short_timeout_settings(),
+        false => long_timeout_settings(),
     };
     let client = Arc::new(Client::new(vec![platform.address()], settings));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
-    let settled = Revision::new(3);
-    consumer.wait_for_revision(case.name, settled).await;
+    let initial_revision = Revision::new(3);
+    consumer
+        .wait_for_revision(case.name, initial_revision)
+        .await;
 
     platform.set_faults(case.faults);
-    let last = make_writes(&platform, case.writes).unwrap_or(settled);
+    let last = make_writes(&platform, case.writes).unwrap_or(initial_revision);
     match case.report {
         Some(report) => consumer.wait_for_report(case.name, report).await,
         None => consumer.wait_for_revision(case.name, last).await,
@@ -366,12 +368,12 @@
             .expect("free");
     });
     // While the reader watches, it receives a bookmark every 50 ms.
-    let quiet = Duration::from_millis(400);
-    while let Ok(event) = tokio::time::timeout(quiet, consumer.source.next()).await {
+    let silence_period = Duration::from_millis(400);
+    while let Ok(event) = tokio::time::timeout(silence_period, consumer.source.next()).await {
         consumer.consume(event.expect("the reader must keep running"));
     }
     let written = overwrite(&platform, "booking", 2, AUTHOR);
-    let event = tokio::time::timeout(quiet, consumer.source.next()).await;
+    let event = tokio::time::timeout(silence_period, consumer.source.next()).await;
     assert!(event.is_err(), "read without a lease: {event:?}");
 
     platform.with_store(|store| store.leases.release(&name, other));
@@ -385,15 +387,17 @@
 #[tokio::test]
 async fn a_snapshot_is_delivered_again_on_request() {
     let platform = start_platform(LOG_CAPACITY).await;
-    let settled = overwrite(&platform, "booking", 1, AUTHOR);
+    let initial_revision = overwrite(&platform, "booking", 1, AUTHOR);
     let client = Arc::new(client_of(&platform));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
-    consumer.wait_for_revision("first list", settled).await;
+    consumer
+        .wait_for_revision("first list", initial_revision)
+        .await;
     consumer.snapshot_requested = true;
     consumer.source.request_snapshot();
     let repeated = |consumer: &Consumer| consumer.snapshots == 2;
     consumer.wait_for("second snapshot", repeated).await;
-    assert_eq!(consumer.revision, Some(settled));
+    assert_eq!(consumer.revision, Some(initial_revision));
     let next = overwrite(&platform, "booking", 2, AUTHOR);
     consumer
         .wait_for_revision("change after the repeated snapshot", next)
@@ -408,7 +412,7 @@
         down: true,
         ..FaultSwitches::default()
     });
-    let settled = overwrite(&platform, "booking", 1, AUTHOR);
+    let initial_revision = overwrite(&platform, "booking", 1, AUTHOR);
     let lease_settings = ReaderLeaseSettings {
         backoff: source_settings().backoff,
         ..ReaderLeaseSettings::new("ikeja", "reader-a")
@@ -423,7 +427,7 @@
     assert!(repeated_report.is_err(), "{repeated_report:?}");
     platform.set_faults(FaultSwitches::default());
     consumer
-        .wait_for_revision("platform available", settled)
+        .wait_for_revision("platform available", initial_revision)
         .await;
     assert_eq!(consumer.reports, [Report::Unavailable]);
 }
@@ -436,10 +440,12 @@
         ..platform_settings(LOG_CAPACITY)
     };
     let platform = platform::start(settings.clone()).await.expect("starts");
-    let settled = overwrite(&platform, "booking", 1, AUTHOR);
-    let client = Arc::new(hasty_client_of(&platform));
+    let initial_revision = overwrite(&platform, "booking", 1, AUTHOR);
+    let client = Arc::new(client_with_short_timeouts(&platform));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
-    consumer.wait_for_revision("first list", settled).await;
+    consumer
+        .wait_for_revision("first list", initial_revision)
+        .await;
 
     let store = platform.shutdown().await;
     consumer
@@ -458,22 +464,24 @@
     let first = start_platform(LOG_CAPACITY).await;
     overwrite(&first, "booking", 1, AUTHOR);
     let behind = first.with_store(|store| store.clone());
-    let settled = overwrite(&first, "booking", 2, AUTHOR);
+    let initial_revision = overwrite(&first, "booking", 2, AUTHOR);
     let settings = platform_settings(LOG_CAPACITY);
     let second = platform::start_with_store(settings, behind)
         .await
         .expect("second starts");
 
     let addresses = vec![first.address(), second.address()];
-    let client = Arc::new(Client::new(addresses, hasty_client_settings()));
+    let client = Arc::new(Client::new(addresses, short_timeout_settings()));
     let mut consumer = Consumer::new(source::spawn(client, source_settings()));
-    consumer.wait_for_revision("first address", settled).await;
+    consumer
+        .wait_for_revision("first address", initial_revision)
+        .await;
 
     let ahead = first.shutdown().await;
     consumer
         .wait_for_report("second address", Report::OlderStore)
         .await;
-    assert_eq!(consumer.revision, Some(settled));
+    assert_eq!(consumer.revision, Some(initial_revision));
     second.with_store(|store| *store = ahead);
     let next = overwrite(&second, "booking", 3, AUTHOR);
     consumer.wait_for_revision("caught up", next).await;
--- a/crates/emulator/tests/platform_contract/source_model.rs
+++ b/crates/emulator/tests/platform_contract/source_model.rs
@@ -24,7 +24,7 @@
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const TICK: Duration = Duration::from_millis(40);
 
-/// Slots of each service.
+/// Number of slots per service name.
 type Configuration = BTreeMap<String, u32>;
 
 /// A pending request of the reader to the store.
@@ -247,7 +247,10 @@
                 revision,
                 change,
             } => {
-                let (reached, configuration) = self.consumer.as_mut().expect("snapshot first");
+                let (reached, configuration) = self
+                    .consumer
+                    .as_mut()
+                    .expect("the first event must be a snapshot");
                 assert_eq!(*reached, previous, "seed {seed}: gap between revisions");
                 assert!(previous < revision, "seed {seed}: revision decreased");
                 *reached = revision;
@@ -262,7 +265,10 @@
                 );
             }
             SourceEvent::OlderStore { seen, answered } => {
-                assert!(answered < seen, "seed {seed}: not older");
+                assert!(
+                    answered < seen,
+                    "seed {seed}: the reported store version is not older"
+                );
                 self.older_reports += 1;
             }
             SourceEvent::Unavailable { .. } | SourceEvent::DivergedStore { .. } => {}
--- a/crates/emulator/tests/platform_contract/support.rs
+++ b/crates/emulator/tests/platform_contract/support.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns client settings with short timeouts, which detect lost responses quickly.
-pub(crate) fn hasty_client_settings() -> ClientSettings {
+pub(crate) fn short_timeout_settings() -> ClientSettings {
     ClientSettings {
         call_timeout: Duration::from_millis(200),
         connect_timeout: Duration::from_millis(200),
@@ -50,12 +50,12 @@
 
 /// Returns client settings with timeouts that don't expire even on a busy machine, for tests in
 /// which no call may time out.
-pub(crate) fn patient_client_settings() -> ClientSettings {
+pub(crate) fn long_timeout_settings() -> ClientSettings {
     ClientSettings {
         call_timeout: Duration::from_secs(5),
         connect_timeout: Duration::from_secs(5),
         watch_idle_timeout: Duration::from_secs(10),
-        ..hasty_client_settings()
+        ..short_timeout_settings()
     }
 }
 
@@ -71,12 +71,12 @@
 
 /// Returns a client with long timeouts.
 pub(crate) fn client_of(platform: &RunningPlatform) -> Client {
-    Client::new(vec![platform.address()], patient_client_settings())
+    Client::new(vec![platform.address()], long_timeout_settings())
 }
 
 /// Returns a client with short timeouts.
-pub(crate) fn hasty_client_of(platform: &RunningPlatform) -> Client {
-    Client::new(vec![platform.address()], hasty_client_settings())
+pub(crate) fn client_with_short_timeouts(platform: &RunningPlatform) -> Client {
+    Client::new(vec![platform.address()], short_timeout_settings())
 }
 
 /// Returns the object key of a service.
--- a/crates/emulator/tests/platform_contract/write_faults.rs
+++ b/crates/emulator/tests/platform_contract/write_faults.rs
@@ -11,8 +11,8 @@
 use wharfquay_resources::snapshot::Revision;
 
 use crate::support::{
-    hasty_client_of, hasty_client_settings, overwrite, patient_client_settings, reserve_address,
-    service_key, service_spec, start_platform, wait_until,
+    client_with_short_timeouts, long_timeout_settings, overwrite, reserve_address, service_key,
+    service_spec, short_timeout_settings, start_platform, wait_until,
 };
 
 const NAME: &str = "booking";
@@ -132,7 +132,7 @@
         ..lost_responses(1)
     };
     // Much longer than the client waits for one response.
-    let too_slow = hasty_client_settings().call_timeout.as_millis() as u64 + 1_000;
+    let too_slow = short_timeout_settings().call_timeout.as_millis() as u64 + 1_000;
     vec![
         case(
             "create, response lost",
@@ -282,8 +282,8 @@
 async fn run(case: Case) {
     let platform = start_platform(100).await;
     let settings = match case.expected {
-        Expected::Confirmed => patient_client_settings(),
-        _ => hasty_client_settings(),
+        Expected::Confirmed => long_timeout_settings(),
+        _ => short_timeout_settings(),
     };
     let client = Client::new(vec![platform.address()], settings);
     let request = prepared_request(&platform, case.action);
@@ -381,7 +381,7 @@
 #[tokio::test]
 async fn a_write_without_any_connection_is_reported_as_not_applied() {
     let (_reserved, address) = reserve_address();
-    let client = Client::new(vec![address], hasty_client_settings());
+    let client = Client::new(vec![address], short_timeout_settings());
     let request = WriteRequest::put(
         service_key(NAME),
         Revision::ZERO,
@@ -401,7 +401,7 @@
     let platform = start_platform(100).await;
     platform.set_faults(lost_responses(3));
     let writers = (0..WRITERS).map(|number| {
-        let client = hasty_client_of(&platform);
+        let client = client_with_short_timeouts(&platform);
         tokio::spawn(async move {
             let author = format!("writer-{number}");
             let spec = service_spec(NAME, number + 1);
@@ -429,7 +429,7 @@
     let platform = start_platform(100).await;
     platform.set_faults(lost_responses(4));
     let writers = (0..WRITERS).map(|number| {
-        let client = hasty_client_of(&platform);
+        let client = client_with_short_timeouts(&platform);
         tokio::spawn(async move {
             let add_writer = |current: Option<&Object>| {
                 let mut spec = current.map_or_else(|| json!({}), |object| object.spec.clone());
