--- a/crates/emulator/src/backend/execution.rs
+++ b/crates/emulator/src/backend/execution.rs
@@ -92,8 +92,8 @@
     let deadline = request.deadline.map(|remaining| Instant::now() + remaining);
     let queued = QueuedRequest::new(state, &request.call);
     let acquired = match deadline {
-        Some(deadline) => tokio::time::timeout_at(deadline.into(), state.slots.take()).await,
-        None => Ok(state.slots.take().await),
+        Some(deadline) => tokio::time::timeout_at(deadline.into(), state.slots.acquire()).await,
+        None => Ok(state.slots.acquire().await),
     };
     let Ok(acquired) = acquired else {
         return Ok(refusal(StatusCode::GATEWAY_TIMEOUT, "deadline in queue"));
--- a/crates/emulator/src/backend/slots.rs
+++ b/crates/emulator/src/backend/slots.rs
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// [`QueueFull`] if no slot is free and the queue is at its limit.
-    pub(super) async fn take(&self) -> Result<Slot, QueueFull> {
+    pub(super) async fn acquire(&self) -> Result<Slot, QueueFull> {
         if let Ok(permit) = Arc::clone(&self.semaphore).try_acquire_owned() {
             return Ok(Slot { _permit: permit });
         }
--- a/crates/emulator/src/load/caller.rs
+++ b/crates/emulator/src/load/caller.rs
@@ -66,7 +66,7 @@
     /// Sends the request, repeats it according to the caller model and counts its outcome.
     pub(super) async fn run(self) {
         self.state
-            .tally(self.kind, |tally| tally.sent(self.arrived));
+            .update_tally(self.kind, |tally| tally.record_sent(self.arrived));
         let attempts = self.state.settings.scenario.callers.attempts;
         let mut number = 1;
         let last = loop {
@@ -118,7 +118,7 @@
         };
         self.state.record_attempt(&self.token, record);
         self.state
-            .tally(self.kind, |tally| tally.attempted(&attempt));
+            .update_tally(self.kind, |tally| tally.record_attempt(&attempt));
         attempt
     }
 
@@ -173,8 +173,8 @@
         let latency = self.scheduled.elapsed();
         let in_time = latency <= self.deadline();
         let outcome = RequestOutcome::of(last, in_time);
-        self.state.tally(self.kind, |tally| {
-            tally.completed(self.arrived, outcome, latency)
+        self.state.update_tally(self.kind, |tally| {
+            tally.record_outcome(self.arrived, outcome, latency)
         });
         self.state.completed.fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/emulator/src/load/recovery.rs
+++ b/crates/emulator/src/load/recovery.rs
@@ -26,17 +26,17 @@
 
 impl Buckets {
     /// Counts a request that arrived `at` after the start of the load.
-    pub fn arrived(&mut self, at: Duration) {
+    pub fn record_arrival(&mut self, at: Duration) {
         self.bucket(at).arrived += 1;
     }
 
     /// Counts a complete response in time to a request that arrived at `at`.
-    pub fn complete(&mut self, at: Duration) {
+    pub fn record_complete(&mut self, at: Duration) {
         self.bucket(at).complete += 1;
     }
 
     /// Counts a refusal of a request that arrived at `at`.
-    pub fn refused(&mut self, at: Duration) {
+    pub fn record_refusal(&mut self, at: Duration) {
         self.bucket(at).refused += 1;
     }
 
--- a/crates/emulator/src/load/report.rs
+++ b/crates/emulator/src/load/report.rs
@@ -140,15 +140,15 @@
         let kinds: Vec<_> = pairs()
             .map(|(model, tally)| kind_report(settings, model, tally, &buckets))
             .collect();
-        let whole: u64 = kinds.iter().map(|kind| kind.whole).sum();
+        let complete: u64 = kinds.iter().map(|kind| kind.whole).sum();
         let sent: u64 = kinds.iter().map(|kind| kind.sent).sum();
         Self {
             scenario: settings.scenario.name.clone(),
             seed: settings.seed,
             seconds: settings.length.as_secs_f64(),
             kinds,
-            goodput_per_second: whole as f64 / settings.length.as_secs_f64(),
-            goodput_ratio: ratio(whole, sent),
+            goodput_per_second: complete as f64 / settings.length.as_secs_f64(),
+            goodput_ratio: ratio(complete, sent),
             recovery_seconds: recovery(settings, &all_buckets(tallies)),
             attempt_records,
         }
@@ -188,7 +188,7 @@
         priority: model.priority,
         sent: tally.sent,
         attempts: tally.attempts,
-        whole: tally.whole,
+        whole: tally.complete,
         late: tally.late,
         refused: tally.refused,
         unknown: tally.unknown,
@@ -200,8 +200,8 @@
         priority_inversions: inversions::count(model, &tally.buckets, all),
         result_codes: tally.result_codes.clone(),
         latency_ms: Latencies::of(&tally.latency),
-        goodput_per_second: tally.whole as f64 / settings.length.as_secs_f64(),
-        goodput_ratio: ratio(tally.whole, tally.sent),
+        goodput_per_second: tally.complete as f64 / settings.length.as_secs_f64(),
+        goodput_ratio: ratio(tally.complete, tally.sent),
         phase_ratios: phase_ratios(settings, &tally.buckets),
         recovery_seconds: recovery(settings, &tally.buckets),
     }
@@ -234,11 +234,11 @@
     all
 }
 
-fn ratio(part: u64, whole: u64) -> f64 {
-    if whole == 0 {
+fn ratio(part: u64, total: u64) -> f64 {
+    if total == 0 {
         return 0.0;
     }
-    part as f64 / whole as f64
+    part as f64 / total as f64
 }
 
 impl Display for LoadReport {
--- a/crates/emulator/src/load/run.rs
+++ b/crates/emulator/src/load/run.rs
@@ -95,7 +95,7 @@
     }
 
     /// Updates the counts of a request kind.
-    pub(super) fn tally(&self, kind: usize, change: impl FnOnce(&mut KindTally)) {
+    pub(super) fn update_tally(&self, kind: usize, change: impl FnOnce(&mut KindTally)) {
         change(&mut lock(&self.tallies[kind]));
     }
 
@@ -134,7 +134,7 @@
         for tally in &self.state.tallies {
             let tally = lock(tally);
             progress.sent += tally.sent;
-            progress.whole += tally.whole;
+            progress.whole += tally.complete;
             progress.refused += tally.refused;
             progress.other += tally.late + tally.unknown + tally.failed;
         }
--- a/crates/emulator/src/load/tally.rs
+++ b/crates/emulator/src/load/tally.rs
@@ -50,7 +50,7 @@
 pub(super) struct KindTally {
     pub(super) sent: u64,
     pub(super) attempts: u64,
-    pub(super) whole: u64,
+    pub(super) complete: u64,
     pub(super) late: u64,
     pub(super) refused: u64,
     pub(super) unknown: u64,
@@ -69,7 +69,7 @@
         Self {
             sent: 0,
             attempts: 0,
-            whole: 0,
+            complete: 0,
             late: 0,
             refused: 0,
             unknown: 0,
@@ -84,12 +84,12 @@
         }
     }
 
-    pub(super) fn sent(&mut self, at: Duration) {
+    pub(super) fn record_sent(&mut self, at: Duration) {
         self.sent += 1;
-        self.buckets.arrived(at);
+        self.buckets.record_arrival(at);
     }
 
-    pub(super) fn attempted(&mut self, attempt: &Attempt) {
+    pub(super) fn record_attempt(&mut self, attempt: &Attempt) {
         self.attempts += 1;
         if let Some(result) = attempt.result {
             *self.result_codes.entry(result).or_default() += 1;
@@ -109,18 +109,23 @@
         }
     }
 
-    pub(super) fn completed(&mut self, at: Duration, outcome: RequestOutcome, latency: Duration) {
+    pub(super) fn record_outcome(
+        &mut self,
+        at: Duration,
+        outcome: RequestOutcome,
+        latency: Duration,
+    ) {
         match outcome {
             RequestOutcome::Complete => {
-                self.whole += 1;
-                self.buckets.complete(at);
+                self.complete += 1;
+                self.buckets.record_complete(at);
                 self.latency
                     .saturating_record(u64::try_from(latency.as_micros()).unwrap_or(u64::MAX));
             }
             RequestOutcome::Late => self.late += 1,
             RequestOutcome::Refused => {
                 self.refused += 1;
-                self.buckets.refused(at);
+                self.buckets.record_refusal(at);
             }
             RequestOutcome::Unknown => self.unknown += 1,
             // Invalid bodies are counted in detail per attempt.
--- a/crates/emulator/src/platform/api.rs
+++ b/crates/emulator/src/platform/api.rs
@@ -172,7 +172,7 @@
     store
         .leases
         .release(&request.path.name, &request.query.holder);
-    Ok(done())
+    Ok(empty_response())
 }
 
 pub(super) fn list_machines(
@@ -201,7 +201,7 @@
         )));
     }
     store.machines.put(request.now, machine);
-    Ok(done())
+    Ok(empty_response())
 }
 
 pub(super) fn delete_machine(
@@ -209,7 +209,7 @@
     request: &ApiRequest,
 ) -> Result<ApiResponse, ApiResponse> {
     store.machines.remove(request.now, &request.path.name);
-    Ok(done())
+    Ok(empty_response())
 }
 
 pub(super) fn get_faults(store: &mut Store, _: &ApiRequest) -> Result<ApiResponse, ApiResponse> {
@@ -222,7 +222,7 @@
 ) -> Result<ApiResponse, ApiResponse> {
     let faults: FaultSwitches = parse(&request.body)?;
     store.faults = faults;
-    Ok(done())
+    Ok(empty_response())
 }
 
 fn list(store: &Store, name: KeyspaceName) -> ApiResponse {
@@ -298,7 +298,7 @@
     serde_json::from_slice(body).map_err(ApiResponse::bad_request)
 }
 
-fn done() -> ApiResponse {
+fn empty_response() -> ApiResponse {
     ApiResponse {
         status: StatusCode::OK,
         body: b"{}".to_vec(),
--- a/crates/emulator/tests/load_report.rs
+++ b/crates/emulator/tests/load_report.rs
@@ -123,9 +123,9 @@
         for number in 0..48 {
             let at = BUCKET * number;
             for request in 0..100 {
-                buckets.arrived(at);
+                buckets.record_arrival(at);
                 if f64::from(request) < 100.0 * ratio(at.as_secs_f64()) {
-                    buckets.complete(at);
+                    buckets.record_complete(at);
                 }
             }
         }
