--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the platform, back ends and callers, the simulator and its experiments.
+//! Emulated platform, backends and callers for tests and demonstrations, the simulator and its
+//! experiments.
 
-pub mod answer_body;
 pub mod arguments;
 pub mod backend;
 pub mod command;
@@ -10,5 +10,6 @@
 pub mod load;
 pub mod platform;
 pub mod readiness;
+pub mod response_body;
 pub mod scenario;
 pub mod simulator;
