--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! Putting a sidecar together: listeners, control, and the orderly stop.
+//! Assembly of a sidecar: listeners, background tasks, and the orderly stop.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -17,13 +17,13 @@
 use wharfquay_membership::member::MemberState;
 use wharfquay_membership::table::MemberTable;
 
-use crate::answerer::Answerer;
 use crate::configuration::{Configuration, ConnectionLimits, RouteIndex};
-use crate::confirmation::{Confirmation, keep_confirmed};
+use crate::confirmation::{Confirmation, renew_confirmation};
 use crate::control::{ControlChannels, ControlTask};
 use crate::dialect::Dialect;
 use crate::events::Event;
 use crate::exchange::{Exchange, Peer};
+use crate::exchange_handler::LocalExchangeHandler;
 use crate::inbound::backend::LocalBackend;
 use crate::inbound::{InboundHandler, LocalExecutor};
 use crate::instance::{
@@ -32,48 +32,48 @@
 use crate::listeners::{CountedHandler, Listeners, spawn_control, spawn_inbound, spawn_outbound};
 use crate::log_event;
 use crate::log_output;
-use crate::metered::Metered;
+use crate::metered_platform::MeteredPlatform;
 use crate::metrics::{Gauges, Metrics};
 use crate::outbound::connection::ConnectionSettings;
 use crate::outbound::routing::Routing;
 use crate::outbound::{Forwarder, OutboundHandler};
 use crate::platform::Platform;
-use crate::quarantine::{Keeper, Quarantine, Spreader};
+use crate::quarantine::{Disseminator, Quarantine, RecordStore};
 use crate::quota::{OwnerRing, QuotaClient, QuotaOwner};
 use crate::scopes::ScopeTable;
 use crate::settings::Settings;
 use crate::store_era::{self, StoreEra};
 
-/// How often a stop looks whether the last call has ended.
+/// Interval at which a stop checks whether the last call has completed.
 const STOP_POLL: Duration = Duration::from_millis(20);
-/// Part of the grace in which a stopping sidecar still gives work to its back end: callers and other
-/// sidecars have not noticed yet, and a sibling may be short.
-const OPEN_SHARE: f64 = 0.25;
-/// Part of the grace in which it still takes requests of callers, so that those that have not noticed
-/// yet lose nothing.
-const NOTICE_SHARE: f64 = 0.43;
-/// Part of the grace that is kept back for the end of the process.
+/// Share of the stop grace period during which a stopping sidecar still sends work to its backend:
+/// callers and other sidecars have not noticed the stop yet, and no sibling may have free capacity.
+const ACCEPTING_SHARE: f64 = 0.25;
+/// Share of the stop grace period during which requests of callers are still accepted, which spares
+/// callers that have not noticed the stop yet any failure.
+const CALLER_NOTICE_SHARE: f64 = 0.43;
+/// Share of the stop grace period that is reserved for the termination of the process.
 const RESERVE_SHARE: f64 = 0.1;
-/// Longest wait of a starting sidecar for a sidecar of each service.
-const COMPANY_LIMIT: Duration = Duration::from_millis(2_000);
-/// Pause between two updates of the routers, so that changes which come together cost one update.
+/// Maximum time that a starting sidecar waits until it has discovered a sidecar of each service.
+const DISCOVERY_LIMIT: Duration = Duration::from_millis(2_000);
+/// Pause between two updates of the routers, which combines changes that arrive together.
 const MEMBER_UPDATE_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two searches for connections that have rested too long.
-const REST_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two searches for connections that exceeded their idle time.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a sidecar can't start.
+/// Reason why a sidecar can't start.
 #[derive(Debug, Display)]
 pub enum StartError {
-    /// {side}: {address} can't be used: {error}
+    /// {side}: {address} can't be bound: {error}
     Bind {
-        /// The listener.
+        /// Name of the listener.
         side: &'static str,
-        /// Its address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// What the operating system reported.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// service {0:?} can't stand in a header
+    /// service {0:?} is not a valid header value
     ServiceName(String),
     /// metrics: {0}
     Metrics(prometheus::Error),
@@ -81,11 +81,11 @@
 
 impl std::error::Error for StartError {}
 
-/// A sidecar that serves.
+/// A running sidecar.
 #[derive(Debug)]
 pub struct Sidecar<P> {
     settings: Settings,
-    registry: Arc<Registry<Metered<P>>>,
+    registry: Arc<Registry<MeteredPlatform<P>>>,
     metrics: Arc<Metrics>,
     clock: Clock,
     configured_at: Mutex<Timestamp>,
@@ -96,11 +96,11 @@
     members: watch::Receiver<MemberTable>,
     isolated: watch::Receiver<bool>,
     scopes: Arc<ScopeTable>,
-    /// Whether callers are sent away.
+    /// True if the sidecar reports that it is not ready, which directs callers elsewhere.
     leaving: AtomicBool,
-    /// Whether calls for the back end are refused.
+    /// True if calls for the backend are refused.
     stopping: Arc<AtomicBool>,
-    /// Whether requests of callers are refused.
+    /// True if requests of callers are refused.
     refusing: Arc<AtomicBool>,
     stop_sender: watch::Sender<bool>,
     closing_sender: watch::Sender<bool>,
@@ -112,7 +112,7 @@
     /// Binds the listeners and starts to serve.
     ///
     /// # Errors
-    /// [`StartError`] names what can't be used.
+    /// [`StartError`] with the reason.
     pub async fn start(
         settings: Settings,
         dialect: Dialect,
@@ -121,7 +121,7 @@
         let caller_service = HeaderValue::from_str(&settings.service)
             .map_err(|_| StartError::ServiceName(settings.service.clone()))?;
         let metrics = Arc::new(Metrics::new().map_err(StartError::Metrics)?);
-        let platform = Metered::new(platform, Arc::clone(&metrics));
+        let platform = MeteredPlatform::new(platform, Arc::clone(&metrics));
         let listeners = Listeners::bind(&settings).await?;
         let clock = Clock::from_source(settings.time_source);
         let (configuration_sender, configuration) = watch::channel(Arc::new(RouteIndex::default()));
@@ -146,7 +146,7 @@
         let ring = Arc::new(OwnerRing::new(own, settings.is_first_start));
         let (quarantine, outgoing) = Quarantine::new(clock, settings.is_first_start);
         let departures = DepartureIndex::new(clock);
-        let answerer = Answerer {
+        let exchange_handler = LocalExchangeHandler {
             departures: Arc::clone(&departures),
             confirmation: Arc::clone(&confirmation),
             quarantine: Arc::clone(&quarantine),
@@ -162,7 +162,7 @@
         let exchange = Exchange::new(
             Arc::clone(&datagrams),
             &settings.id,
-            Arc::new(answerer),
+            Arc::new(exchange_handler),
             Arc::clone(&eras),
         );
         let exchange = Arc::new(exchange);
@@ -180,23 +180,23 @@
             let millis = length.as_millis();
             log_event!(Event::MachineSuspended, "length_ms={millis}");
         }));
-        let keeping = keep_confirmed(
+        let renewing = renew_confirmation(
             Arc::clone(&confirmation),
             Arc::clone(&exchange),
             members.clone(),
         );
-        tokio::spawn(keeping);
-        tokio::spawn(hold_confirmations(
+        tokio::spawn(renewing);
+        tokio::spawn(suspend_confirmations(
             Arc::clone(&confirmation),
             eras.subscribe(),
         ));
-        let spreading = store_era::spread(eras, Arc::clone(&exchange), members.clone());
-        tokio::spawn(spreading);
+        let disseminating = store_era::disseminate(eras, Arc::clone(&exchange), members.clone());
+        tokio::spawn(disseminating);
 
-        let spreader = Arc::new(Spreader {
+        let disseminator = Arc::new(Disseminator {
             clock,
             quarantine: Arc::clone(&quarantine),
-            keeper: Arc::new(Keeper {
+            record_store: Arc::new(RecordStore {
                 platform: Arc::clone(&platform),
                 quarantine: Arc::clone(&quarantine),
             }),
@@ -204,8 +204,8 @@
             ring: Arc::clone(&ring),
             members: members.clone(),
         });
-        tokio::spawn(Arc::clone(&spreader).keep_records());
-        tokio::spawn(spreader.run(outgoing));
+        tokio::spawn(Arc::clone(&disseminator).rewrite_records());
+        tokio::spawn(disseminator.run(outgoing));
 
         let backend = LocalBackend::new(
             &settings.service,
@@ -220,11 +220,12 @@
             members: members.clone(),
             listed,
         });
-        let reading = Arc::clone(&departures).read_when_wanted(Arc::clone(&platform));
+        let reading = Arc::clone(&departures).list_on_demand(Arc::clone(&platform));
         tokio::spawn(reading);
         let eras = platform.eras().subscribe();
-        let keeping = departures.keep(Arc::clone(&platform), Arc::clone(&readers), eras);
-        tokio::spawn(keeping);
+        let rewriting =
+            departures.rewrite_announced(Arc::clone(&platform), Arc::clone(&readers), eras);
+        tokio::spawn(rewriting);
         let registry = Registry::new(
             platform,
             Arc::clone(&backend),
@@ -232,7 +233,7 @@
             settings.is_first_start,
             readers,
         );
-        tokio::spawn(Arc::clone(&registry).keep_marks());
+        tokio::spawn(Arc::clone(&registry).rewrite_departure_records());
         let routing = Routing::new(clock, &settings.zone);
         let scopes = Arc::new(ScopeTable::default());
         let stopping = Arc::new(AtomicBool::new(false));
@@ -307,43 +308,47 @@
         Ok(sidecar)
     }
 
-    /// Name of the local back end's service.
+    /// Returns the name of the local backend's service.
     #[must_use]
     pub fn service(&self) -> &str {
         &self.settings.service
     }
 
-    /// Takes a heartbeat of the local back end.
-    pub async fn heartbeat(&self, beat: &Heartbeat) -> Acknowledgement {
-        self.registry.heartbeat(beat).await
+    /// Handles a heartbeat of the local backend.
+    pub async fn heartbeat(&self, heartbeat: &Heartbeat) -> Acknowledgement {
+        self.registry.heartbeat(heartbeat).await
     }
 
-    /// Takes the message of an instance of the local back end that goes.
+    /// Handles the message of an instance of the local backend that is departing.
     pub async fn departure(&self, instance: &InstanceId) -> Acknowledgement {
         self.registry.departure(instance).await
     }
 
-    /// Whether clients may be sent here: the configuration is known, so is a sidecar of each service or
-    /// the wait for them is over, other sidecars are heard of, and no stop was asked for.
+    /// True if clients may be sent to this sidecar: it has a configuration, it has discovered a
+    /// sidecar of each service or the wait for them is over, it is not isolated from the other sidecars, and it
+    /// is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let index = self.configuration.borrow().clone();
         let is_configured = index.configuration.version > 0;
-        let has_company = self.clock.now() >= Timestamp::ZERO + COMPANY_LIMIT
+        let has_discovered_services = self.clock.now() >= Timestamp::ZERO + DISCOVERY_LIMIT
             || knows_services(&self.members.borrow(), &index.configuration);
         let is_isolated = *self.isolated.borrow();
-        is_configured && has_company && !is_isolated && !self.leaving.load(Ordering::Relaxed)
+        is_configured
+            && has_discovered_services
+            && !is_isolated
+            && !self.leaving.load(Ordering::Relaxed)
     }
 
-    /// The metrics, as a scraper reads them.
+    /// Returns the metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let report = self.backend.instance().map(|open| open.gate.report());
         let level = report.map_or(AdmissionLevel::OPEN, |report| report.level);
         let load = report.map(|report| report.load).unwrap_or_default();
         let lines = &log_output::COUNTERS;
-        // Each in a statement of its own: a reading that is held on to would block a change, and that the next
-        // reading of the same.
+        // Each value is read in a separate statement. A `watch` borrow that is still held would
+        // block a writer, and that writer would block the next borrow of the same channel.
         let version = self.configuration.borrow().configuration.version;
         let members = count_members(&self.members.borrow());
         let is_ready = self.is_ready();
@@ -362,8 +367,8 @@
         })
     }
 
-    /// Ends in order: first callers are sent away, then other sidecars; what is in progress is finished,
-    /// at most until the grace is over.
+    /// Stops in order: first callers are directed elsewhere, then other sidecars. Requests in
+    /// progress are completed, until the grace period is over at the latest.
     pub async fn stop(&self) {
         let started = self.clock.now();
         let grace = self.settings.bounds.stop_grace;
@@ -371,11 +376,12 @@
         log_event!(Event::Stopping, "calls_in_flight={in_flight}");
         self.leaving.store(true, Ordering::Relaxed);
         self.closing_sender.send_replace(true);
-        self.sleep_until(started + grace.mul_f64(OPEN_SHARE)).await;
+        self.sleep_until(started + grace.mul_f64(ACCEPTING_SHARE))
+            .await;
         self.stopping.store(true, Ordering::Relaxed);
         self.stop_sender.send_replace(true);
         let end = started + grace.mul_f64(1.0 - RESERVE_SHARE);
-        self.sleep_until(started + grace.mul_f64(NOTICE_SHARE))
+        self.sleep_until(started + grace.mul_f64(CALLER_NOTICE_SHARE))
             .await;
         self.refusing.store(true, Ordering::Relaxed);
         while self.is_busy() && self.clock.now() < end {
@@ -411,7 +417,8 @@
         );
     }
 
-    /// Keeps routers, limits and the back end in step with members and configuration.
+    /// Starts the tasks that apply changes of members and configuration to routers, limits and the
+    /// backend.
     fn spawn_updates(
         self: &Arc<Self>,
         routing: Arc<Routing>,
@@ -434,7 +441,7 @@
                 }
             }
         });
-        tokio::spawn(close_rested_connections(Arc::clone(&forwarder)));
+        tokio::spawn(close_idle_connections(Arc::clone(&forwarder)));
         let mut configuration = self.configuration.clone();
         let sidecar = Arc::clone(self);
         tokio::spawn(async move {
@@ -457,22 +464,26 @@
     }
 }
 
-/// Lets the platform confirm nothing for a while whenever its store was restored; runs for ever.
-async fn hold_confirmations(confirmation: Arc<Confirmation>, mut eras: watch::Receiver<StoreEra>) {
+/// Suspends confirmations by the platform after each restore of its store. Runs until the process
+/// terminates.
+async fn suspend_confirmations(
+    confirmation: Arc<Confirmation>,
+    mut eras: watch::Receiver<StoreEra>,
+) {
     while eras.changed().await.is_ok() {
         confirmation.store_restored();
     }
 }
 
-/// Closes connections to other sidecars that are not needed any more; never ends.
-async fn close_rested_connections(forwarder: Arc<Forwarder>) {
+/// Closes idle connections to other sidecars. Runs until the process terminates.
+async fn close_idle_connections(forwarder: Arc<Forwarder>) {
     loop {
-        tokio::time::sleep(REST_CHECK_INTERVAL).await;
-        forwarder.peers.close_rested();
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
+        forwarder.peers.close_idle();
     }
 }
 
-/// Whether a sidecar that takes work is known for each service that routes name.
+/// True if an available sidecar is known for each service that routes refer to.
 fn knows_services(table: &MemberTable, configuration: &Configuration) -> bool {
     let serving = table
         .members()
--- a/crates/sidecar/tests/instance_tracker.rs
+++ b/crates/sidecar/tests/instance_tracker.rs
@@ -1,5 +1,5 @@
-//! An acknowledged leaving binds: over schedules of late heartbeats, restarts, store outages and late
-//! store writes no instance gets work after its leaving was acknowledged.
+//! No instance receives work after its departure was acknowledged: random schedules of late
+//! heartbeats, restarts, store outages and late store writes.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use wharfquay_core::time::Timestamp;
 use wharfquay_sidecar::instance::{
-    Heartbeat, InstanceId, InstanceTracker, ReportedState, Standing, TrackerDecision,
+    Heartbeat, InstanceId, InstanceStatus, InstanceTracker, ReportedState, TrackerDecision,
 };
 
 const INSTANCES: usize = 3;
@@ -15,17 +15,18 @@
 /// One step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The instance sends a heartbeat that says what holds now.
+    /// The instance sends a heartbeat with its current state.
     Beat(usize),
     /// A heartbeat that was sent earlier arrives now.
     LateBeat(usize),
-    /// The instance begins to leave; it says so with a heartbeat, or with a message that it goes.
+    /// The instance begins to depart. It announces that with a heartbeat or, if `abruptly`, with a
+    /// departure message.
     Leave { instance: usize, abruptly: bool },
-    /// The sidecar's process is killed and started again with an empty memory.
+    /// The sidecar's process is killed and restarted without its state.
     Restart,
-    /// The store answers, or no longer does.
+    /// The store becomes available or unavailable.
     Store { up: bool },
-    /// Time passes and open verifications try again.
+    /// Time passes, and pending verifications are retried.
     Wait(u64),
 }
 
@@ -45,12 +46,12 @@
 struct Backend {
     is_leaving: bool,
     sequence: u64,
-    /// Sequence of the last heartbeat that said ready.
+    /// Sequence of the last heartbeat with the state ready.
     last_ready: u64,
 }
 
-/// The sidecar with its surroundings.
-struct World {
+/// The sidecar's tracker with simulated backends and store.
+struct Simulation {
     now: Timestamp,
     tracker: InstanceTracker,
     backends: Vec<Backend>,
@@ -58,7 +59,7 @@
     durable: HashSet<usize>,
     acknowledged: HashSet<usize>,
     verifying: HashSet<usize>,
-    /// The instance at the back end's address; each later one replaces the one before.
+    /// The instance at the backend's address. Each later one replaces the one before.
     present: usize,
 }
 
@@ -66,7 +67,7 @@
     InstanceId::from(format!("instance-{instance}").as_str())
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             now: Timestamp::ZERO,
@@ -80,55 +81,61 @@
         }
     }
 
-    fn beat(&mut self, instance: usize, state: ReportedState, sequence: u64) {
-        let beat = Heartbeat {
+    fn heartbeat(&mut self, instance: usize, state: ReportedState, sequence: u64) {
+        let heartbeat = Heartbeat {
             instance: id(instance),
             state,
             sequence,
             slots: 4,
             cold_left: Duration::ZERO,
         };
-        let decision = self.tracker.heartbeat(self.now, &beat);
-        self.follow(instance, decision, state == ReportedState::Draining);
+        let decision = self.tracker.heartbeat(self.now, &heartbeat);
+        self.apply_decision(instance, decision, state == ReportedState::Draining);
     }
 
-    fn follow(&mut self, instance: usize, decision: TrackerDecision, says_leaving: bool) {
+    fn apply_decision(
+        &mut self,
+        instance: usize,
+        decision: TrackerDecision,
+        announces_departure: bool,
+    ) {
         match decision {
             TrackerDecision::Verify => {
                 self.verifying.insert(instance);
             }
             TrackerDecision::RecordDeparture if self.store_is_up => {
                 self.durable.insert(instance);
-                self.tracker.departure_recorded(self.now, &id(instance));
+                self.tracker
+                    .mark_departure_recorded(self.now, &id(instance));
                 self.acknowledged.insert(instance);
             }
             TrackerDecision::RecordDeparture | TrackerDecision::Refuse => {}
             TrackerDecision::Acknowledge => {
-                if says_leaving {
+                if announces_departure {
                     self.acknowledged.insert(instance);
                 }
             }
         }
     }
 
-    /// As the registry verifies: by the durable marks, or by heartbeats and health.
+    /// Verifies as the registry does: by the departure records, or by heartbeats and health.
     fn verify(&mut self) {
         for instance in self.verifying.clone() {
             let id = id(instance);
-            if self.tracker.standing(&id) == Standing::Leaving {
+            if self.tracker.status(&id) == InstanceStatus::Leaving {
                 self.verifying.remove(&instance);
             } else if self.store_is_up {
                 self.verifying.remove(&instance);
                 if self.durable.contains(&instance) {
-                    self.tracker.departure_recorded(self.now, &id);
+                    self.tracker.mark_departure_recorded(self.now, &id);
                 } else {
-                    self.tracker.verified(self.now, &id);
+                    self.tracker.mark_verified(self.now, &id);
                 }
             } else {
                 let is_healthy = self.present == instance && !self.backends[instance].is_leaving;
                 if self.tracker.is_confirmed(&id) && is_healthy {
                     self.verifying.remove(&instance);
-                    self.tracker.verified(self.now, &id);
+                    self.tracker.mark_verified(self.now, &id);
                 }
             }
         }
@@ -142,15 +149,15 @@
                 backend.sequence += 1;
                 let (sequence, is_leaving) = (backend.sequence, backend.is_leaving);
                 if is_leaving {
-                    self.beat(instance, ReportedState::Draining, sequence);
+                    self.heartbeat(instance, ReportedState::Draining, sequence);
                 } else {
                     self.backends[instance].last_ready = sequence;
-                    self.beat(instance, ReportedState::Ready, sequence);
+                    self.heartbeat(instance, ReportedState::Ready, sequence);
                 }
             }
             Step::LateBeat(instance) => {
                 let sequence = self.backends[instance].last_ready;
-                self.beat(instance, ReportedState::Ready, sequence);
+                self.heartbeat(instance, ReportedState::Ready, sequence);
             }
             Step::Leave { instance, abruptly } => {
                 let backend = &mut self.backends[instance];
@@ -159,9 +166,9 @@
                 let sequence = backend.sequence;
                 if abruptly {
                     let decision = self.tracker.departure(self.now, &id(instance));
-                    self.follow(instance, decision, true);
+                    self.apply_decision(instance, decision, true);
                 } else {
-                    self.beat(instance, ReportedState::Draining, sequence);
+                    self.heartbeat(instance, ReportedState::Draining, sequence);
                 }
             }
             Step::Restart => {
@@ -176,10 +183,11 @@
         }
     }
 
-    fn served(&self) -> Option<usize> {
+    fn serving_instance(&self) -> Option<usize> {
         (0..INSTANCES).find(|&instance| {
             let id = id(instance);
-            self.tracker.current() == Some(&id) && self.tracker.standing(&id) == Standing::Serving
+            self.tracker.current() == Some(&id)
+                && self.tracker.status(&id) == InstanceStatus::Serving
         })
     }
 }
@@ -188,20 +196,20 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn nothing_goes_to_an_instance_whose_leaving_was_acknowledged(
+    fn an_instance_with_an_acknowledged_departure_gets_no_work(
         schedule in proptest::collection::vec(steps(), 1..60),
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &schedule {
-            world.step(step);
-            if let Some(served) = world.served() {
+            simulation.step(step);
+            if let Some(serving_instance) = simulation.serving_instance() {
                 prop_assert!(
-                    !world.acknowledged.contains(&served),
-                    "instance {served} gets work after {step:?}"
+                    !simulation.acknowledged.contains(&serving_instance),
+                    "instance {serving_instance} receives work after {step:?}"
                 );
             }
-            for acknowledged in &world.acknowledged {
-                prop_assert!(world.durable.contains(acknowledged), "not durable");
+            for acknowledged in &simulation.acknowledged {
+                prop_assert!(simulation.durable.contains(acknowledged), "not durable");
             }
         }
     }
@@ -209,48 +217,49 @@
 
 #[test]
 fn a_late_heartbeat_changes_nothing() {
-    let mut world = World::new();
-    world.step(&Step::Beat(0));
-    world.step(&Step::Wait(10));
-    assert_eq!(world.served(), Some(0));
-    world.step(&Step::Leave {
+    let mut simulation = Simulation::new();
+    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Wait(10));
+    assert_eq!(simulation.serving_instance(), Some(0));
+    simulation.step(&Step::Leave {
         instance: 0,
         abruptly: false,
     });
-    world.step(&Step::LateBeat(0));
-    world.step(&Step::Wait(10));
-    assert_eq!(world.served(), None);
-    assert!(world.acknowledged.contains(&0));
+    simulation.step(&Step::LateBeat(0));
+    simulation.step(&Step::Wait(10));
+    assert_eq!(simulation.serving_instance(), None);
+    assert!(simulation.acknowledged.contains(&0));
 }
 
 #[test]
-fn without_the_store_two_heartbeats_and_health_are_enough_and_one_is_not() {
-    let mut world = World::new();
-    world.step(&Step::Store { up: false });
-    world.step(&Step::Beat(0));
-    world.step(&Step::Wait(1_500));
-    assert_eq!(world.served(), None);
-    world.step(&Step::Beat(0));
-    world.step(&Step::Wait(10));
-    assert_eq!(world.served(), Some(0));
+fn without_the_store_an_instance_needs_two_heartbeats_and_health() {
+    let mut simulation = Simulation::new();
+    simulation.step(&Step::Store { up: false });
+    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Wait(1_500));
+    assert_eq!(simulation.serving_instance(), None);
+    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Wait(10));
+    assert_eq!(simulation.serving_instance(), Some(0));
 }
 
-/// The durable marks were asked before the instance said that it leaves, and the answer comes after it.
+/// The departure records were queried before the instance announced its departure, and the reply
+/// arrives afterwards.
 #[test]
-fn a_leaving_that_is_told_during_the_lookup_wins_over_its_answer() {
+fn a_departure_during_the_lookup_overrides_its_reply() {
     let mut tracker = InstanceTracker::default();
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         instance: id(0),
         state: ReportedState::Ready,
         sequence: 1,
         slots: 4,
         cold_left: Duration::ZERO,
     };
-    let asked = tracker.heartbeat(Timestamp::ZERO, &beat);
+    let asked = tracker.heartbeat(Timestamp::ZERO, &heartbeat);
     assert_eq!(asked, TrackerDecision::Verify);
     let left = tracker.departure(Timestamp::ZERO, &id(0));
     assert_eq!(left, TrackerDecision::RecordDeparture);
-    assert!(!tracker.verified(Timestamp::ZERO, &id(0)));
-    assert_eq!(tracker.standing(&id(0)), Standing::Leaving);
+    assert!(!tracker.mark_verified(Timestamp::ZERO, &id(0)));
+    assert_eq!(tracker.status(&id(0)), InstanceStatus::Leaving);
     assert_eq!(tracker.current(), None);
 }
