--- a/crates/core/examples/quarantine_strategies.rs
+++ b/crates/core/examples/quarantine_strategies.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use wharfquay_core::quarantine::{
-    EndLedger, EndedInstance, RequestEnd, RequestFingerprint, Standing,
+    QuarantineState, RequestFingerprint, RequestTermination, TerminatedInstance, TerminationLedger,
 };
 use wharfquay_core::time::Timestamp;
 
@@ -90,28 +90,28 @@
     sidecars: u64,
     random: Pcg64Mcg,
     backends: Vec<Backend>,
-    ledgers: HashMap<usize, EndLedger>,
+    ledgers: HashMap<usize, TerminationLedger>,
     /// Decisions and the time from which all sidecars know them.
-    known: HashMap<RequestFingerprint, (Standing, u64)>,
+    known: HashMap<RequestFingerprint, (QuarantineState, u64)>,
     third_termination: Option<u64>,
     results: Results,
 }
 
 impl Simulation {
-    fn standing(&self, now: u64, sidecar: usize, request: RequestFingerprint) -> Standing {
+    fn state(&self, now: u64, sidecar: usize, request: RequestFingerprint) -> QuarantineState {
         if self.strategy == Strategy::FirstSidecar {
             let known = self.known.get(&key_at(sidecar, request));
-            return known.map_or(Standing::Unsuspected, |(standing, _)| *standing);
+            return known.map_or(QuarantineState::Unsuspected, |(state, _)| *state);
         }
         match self.known.get(&request) {
-            Some((standing, from)) if *from <= now => *standing,
-            _ => Standing::Unsuspected,
+            Some((state, from)) if *from <= now => *state,
+            _ => QuarantineState::Unsuspected,
         }
     }
 
     fn send(&mut self, now: u64, mut job: Job) {
-        let standing = self.standing(now, job.sidecar, job.request);
-        if standing == Standing::Quarantined {
+        let state = self.state(now, job.sidecar, job.request);
+        if state == QuarantineState::Quarantined {
             self.results.harmless_refused += u64::from(job.request != CRASHING);
             return;
         }
@@ -126,7 +126,7 @@
             self.strategy,
             Strategy::OwnersAndIsolation | Strategy::AllAndIsolation
         );
-        if isolates && (job.terminations > 0 || standing == Standing::Suspect) {
+        if isolates && (job.terminations > 0 || state == QuarantineState::Suspect) {
             job.is_isolated = true;
             let backend = &mut self.backends[index];
             if backend.jobs.iter().any(|other| other.is_isolated) {
@@ -169,14 +169,14 @@
             for request in responded.map(|job| job.request).collect::<Vec<_>>() {
                 self.known.remove(&request);
                 for ledger in self.ledgers.values_mut() {
-                    ledger.answered(request);
+                    ledger.clear(request);
                 }
             }
             let backend = &mut self.backends[index];
             let is_free = !backend.jobs.iter().any(|job| job.is_isolated);
             if is_free && !backend.waiting.is_empty() {
                 let next = backend.waiting.remove(0);
-                if self.standing(now, next.sidecar, next.request) == Standing::Quarantined {
+                if self.state(now, next.sidecar, next.request) == QuarantineState::Quarantined {
                     self.results.harmless_refused += u64::from(next.request != CRASHING);
                 } else {
                     self.start(now, index, next);
@@ -189,7 +189,7 @@
         let backend = &mut self.backends[index];
         backend.starts += 1;
         backend.down_until = now + RESTART_TIME;
-        let instance = EndedInstance::new((index as u64) << 32 | backend.starts);
+        let instance = TerminatedInstance::new((index as u64) << 32 | backend.starts);
         let jobs = std::mem::take(&mut backend.jobs);
         let waiting = std::mem::take(&mut backend.waiting);
         self.results.backend_terminations += 1;
@@ -228,7 +228,7 @@
         }
     }
 
-    fn count_termination(&mut self, now: u64, job: &Job, instance: EndedInstance) {
+    fn count_termination(&mut self, now: u64, job: &Job, instance: TerminatedInstance) {
         let at = Timestamp::from_millis(now);
         let (owner, request) = match self.strategy {
             Strategy::Nothing => return,
@@ -239,27 +239,27 @@
             self.strategy,
             Strategy::OwnersAndIsolation | Strategy::AllAndIsolation
         );
-        let termination = RequestEnd {
+        let termination = RequestTermination {
             fingerprint: request,
             instance,
             was_isolated: job.is_isolated || !isolates,
         };
         let ledger = self.ledgers.entry(owner).or_default();
-        let standing = ledger.note(at, termination);
+        let state = ledger.record(at, termination);
         self.results.most_requests_counted = self.results.most_requests_counted.max(ledger.len());
-        if standing != Standing::Unsuspected {
+        if state != QuarantineState::Unsuspected {
             let from = self
                 .known
                 .get(&request)
                 .map_or(now + DECISION_DELAY, |(known, from)| {
-                    if *known == standing {
+                    if *known == state {
                         *from
                     } else {
                         now + DECISION_DELAY
                     }
                 });
-            let is_new = self.known.insert(request, (standing, from)) != Some((standing, from));
-            if is_new && standing == Standing::Quarantined && job.request != CRASHING {
+            let is_new = self.known.insert(request, (state, from)) != Some((state, from));
+            if is_new && state == QuarantineState::Quarantined && job.request != CRASHING {
                 self.results.harmless_quarantined += 1;
             }
             if is_new && self.strategy != Strategy::FirstSidecar {
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -140,7 +140,7 @@
     /// Fingerprint of the request, used for quarantine; `None` if the first hop provides none.
     pub fingerprint: Option<RequestFingerprint>,
     /// Number of backends that terminated while they executed earlier attempts of this call.
-    pub ended_backends: u8,
+    pub terminated_backends: u8,
 }
 
 impl CallContext {
--- a/crates/core/src/quarantine/ledger.rs
+++ b/crates/core/src/quarantine/ledger.rs
@@ -6,7 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    QUARANTINE_TERMINATIONS, QUARANTINE_TIME, RequestFingerprint, SUSPECT_TERMINATIONS, Standing,
+    QUARANTINE_TERMINATIONS, QUARANTINE_TIME, QuarantineState, RequestFingerprint,
+    SUSPECT_TERMINATIONS,
 };
 use crate::time::Timestamp;
 
@@ -20,9 +21,9 @@
 /// A terminated instance, identified by a hash of its identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct EndedInstance(u64);
+pub struct TerminatedInstance(u64);
 
-impl EndedInstance {
+impl TerminatedInstance {
     /// Wraps a hash.
     #[must_use]
     pub const fn new(hash: u64) -> Self {
@@ -32,11 +33,11 @@
 
 /// Termination of an instance while it executed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RequestEnd {
+pub struct RequestTermination {
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// The instance that terminated.
-    pub instance: EndedInstance,
+    pub instance: TerminatedInstance,
     /// True if the instance executed no other suspect request at the time.
     pub was_isolated: bool,
 }
@@ -45,21 +46,21 @@
 #[derive(Clone, Debug, Default)]
 struct Terminations {
     /// Distinct instances; only the last ones that a decision needs.
-    instances: Vec<EndedInstance>,
+    instances: Vec<TerminatedInstance>,
     was_isolated: bool,
     latest: Timestamp,
 }
 
 /// Counts terminations of instances by request.
 #[derive(Clone, Debug, Default)]
-pub struct EndLedger {
+pub struct TerminationLedger {
     requests: HashMap<RequestFingerprint, Terminations>,
 }
 
-impl EndLedger {
+impl TerminationLedger {
     /// Counts a termination and returns the resulting status of the request. A termination that is
     /// reported again counts once.
-    pub fn note(&mut self, now: Timestamp, termination: RequestEnd) -> Standing {
+    pub fn record(&mut self, now: Timestamp, termination: RequestTermination) -> QuarantineState {
         self.make_room(now);
         let known = self.requests.entry(termination.fingerprint).or_default();
         if now.saturating_since(known.latest) > QUARANTINE_TIME * 2 {
@@ -76,15 +77,15 @@
         }
         known.was_isolated |= termination.was_isolated;
         match known.instances.len() {
-            QUARANTINE_TERMINATIONS.. if known.was_isolated => Standing::Quarantined,
-            SUSPECT_TERMINATIONS.. => Standing::Suspect,
-            _ => Standing::Unsuspected,
+            QUARANTINE_TERMINATIONS.. if known.was_isolated => QuarantineState::Quarantined,
+            SUSPECT_TERMINATIONS.. => QuarantineState::Suspect,
+            _ => QuarantineState::Unsuspected,
         }
     }
 
     /// Clears a request that received a response: the instances that terminated under it did so for
     /// another reason.
-    pub fn answered(&mut self, fingerprint: RequestFingerprint) {
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) {
         self.requests.remove(&fingerprint);
     }
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -4,7 +4,7 @@
 //! ids and at other machines. When a backend terminates, every request that it executed is a
 //! candidate, and almost all of them are harmless. Therefore:
 //!
-//! - [`EndLedger`] counts, for each request, the instances that terminated under it. The second
+//! - [`TerminationLedger`] counts, for each request, the instances that terminated under it. The second
 //!   termination makes the request a suspect. The third quarantines it, provided that it was
 //!   isolated at one of its terminations; no backend gets a quarantined request.
 //! - A suspect is isolated: a backend executes one at a time. If the backend then terminates, the
@@ -19,14 +19,14 @@
 mod table;
 
 pub use fingerprint::RequestFingerprint;
-pub use ledger::{EndLedger, EndedInstance, RequestEnd};
-pub use table::{QuarantineReport, QuarantineTable, ReportedStanding};
+pub use ledger::{RequestTermination, TerminatedInstance, TerminationLedger};
+pub use table::{QuarantineReport, QuarantineTable, ReportedQuarantineState};
 
 use std::time::Duration;
 
 /// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum QuarantineState {
     /// Not suspected.
     Unsuspected,
     /// Backends terminated under it, possibly by chance: a backend executes one such request at a
--- a/crates/core/src/quarantine/table.rs
+++ b/crates/core/src/quarantine/table.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{QUARANTINE_TIME, RequestFingerprint, SUSPECT_TIME, Standing};
+use super::{QUARANTINE_TIME, QuarantineState, RequestFingerprint, SUSPECT_TIME};
 use crate::time::Timestamp;
 
 /// Largest number of requests stored, at about 50 bytes each. Beyond it, cleared requests are
@@ -22,14 +22,14 @@
 
 /// Status of a request in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum ReportedStanding {
+pub enum ReportedQuarantineState {
     /// A backend responded to it.
     #[serde(rename = "c")]
     Cleared,
-    /// See [`Standing::Suspect`].
+    /// See [`QuarantineState::Suspect`].
     #[serde(rename = "s")]
     Suspect,
-    /// See [`Standing::Quarantined`].
+    /// See [`QuarantineState::Quarantined`].
     #[serde(rename = "q")]
     Quarantined,
 }
@@ -43,7 +43,7 @@
     pub fingerprint: RequestFingerprint,
     /// Reported status of the request.
     #[serde(rename = "s")]
-    pub standing: ReportedStanding,
+    pub state: ReportedQuarantineState,
     /// Time since the status was found, in milliseconds. An age is sent because the clocks of two
     /// machines can't be compared.
     #[serde(rename = "a")]
@@ -52,18 +52,18 @@
 
 #[derive(Clone, Copy, Debug)]
 struct StoredStatus {
-    standing: ReportedStanding,
+    state: ReportedQuarantineState,
     since: Timestamp,
 }
 
 impl StoredStatus {
     /// Returns the time for which the status is valid.
     const fn lifetime(self) -> Duration {
-        match self.standing {
-            ReportedStanding::Cleared => CLEARED_TIME,
-            ReportedStanding::Suspect => SUSPECT_TIME,
+        match self.state {
+            ReportedQuarantineState::Cleared => CLEARED_TIME,
+            ReportedQuarantineState::Suspect => SUSPECT_TIME,
             // The first half as quarantined, the second as a suspect.
-            ReportedStanding::Quarantined => QUARANTINE_TIME.saturating_mul(2),
+            ReportedQuarantineState::Quarantined => QUARANTINE_TIME.saturating_mul(2),
         }
     }
 
@@ -71,24 +71,24 @@
         now >= self.since + self.lifetime()
     }
 
-    fn standing(self, now: Timestamp) -> Standing {
+    fn state(self, now: Timestamp) -> QuarantineState {
         if self.is_expired(now) {
-            return Standing::Unsuspected;
+            return QuarantineState::Unsuspected;
         }
-        match self.standing {
-            ReportedStanding::Cleared => Standing::Unsuspected,
-            ReportedStanding::Suspect => Standing::Suspect,
-            ReportedStanding::Quarantined if now < self.since + QUARANTINE_TIME => {
-                Standing::Quarantined
+        match self.state {
+            ReportedQuarantineState::Cleared => QuarantineState::Unsuspected,
+            ReportedQuarantineState::Suspect => QuarantineState::Suspect,
+            ReportedQuarantineState::Quarantined if now < self.since + QUARANTINE_TIME => {
+                QuarantineState::Quarantined
             }
-            ReportedStanding::Quarantined => Standing::Suspect,
+            ReportedQuarantineState::Quarantined => QuarantineState::Suspect,
         }
     }
 
     /// Returns true if `newer` replaces this status.
     fn is_superseded_by(self, newer: Self) -> bool {
-        use ReportedStanding::{Cleared, Quarantined, Suspect};
-        match (self.standing, newer.standing) {
+        use ReportedQuarantineState::{Cleared, Quarantined, Suspect};
+        match (self.state, newer.state) {
             (Suspect, Quarantined) => true,
             (Quarantined, Suspect) => false,
             (Cleared, Suspect | Quarantined) => newer.since > self.since,
@@ -109,9 +109,9 @@
 impl QuarantineTable {
     /// Returns the current status of a request.
     #[must_use]
-    pub fn standing(&self, now: Timestamp, fingerprint: RequestFingerprint) -> Standing {
+    pub fn state(&self, now: Timestamp, fingerprint: RequestFingerprint) -> QuarantineState {
         let known = self.known.get(&fingerprint);
-        known.map_or(Standing::Unsuspected, |known| known.standing(now))
+        known.map_or(QuarantineState::Unsuspected, |known| known.state(now))
     }
 
     /// Returns the time until a quarantined request is executed again.
@@ -124,9 +124,9 @@
     }
 
     /// Merges a report. Returns true if it changed the table and should be forwarded.
-    pub fn learn(&mut self, now: Timestamp, report: QuarantineReport) -> bool {
+    pub fn merge(&mut self, now: Timestamp, report: QuarantineReport) -> bool {
         let newer = StoredStatus {
-            standing: report.standing,
+            state: report.state,
             since: now - Duration::from_millis(report.age_ms),
         };
         if newer.is_expired(now) {
@@ -149,7 +149,7 @@
             .current_quarantined(now)
             .map(|(fingerprint, known)| QuarantineReport {
                 fingerprint,
-                standing: known.standing,
+                state: known.state,
                 age_ms: age_ms(now, known.since),
             })
             .collect();
@@ -169,10 +169,13 @@
     #[must_use]
     pub fn counts(&self, now: Timestamp) -> (usize, usize) {
         let count = |wanted| {
-            let standings = self.known.values().map(|known| known.standing(now));
-            standings.filter(|standing| *standing == wanted).count()
+            let states = self.known.values().map(|known| known.state(now));
+            states.filter(|state| *state == wanted).count()
         };
-        (count(Standing::Suspect), count(Standing::Quarantined))
+        (
+            count(QuarantineState::Suspect),
+            count(QuarantineState::Quarantined),
+        )
     }
 
     /// Returns the number of requests stored, including cleared ones.
@@ -195,7 +198,7 @@
             .known
             .iter()
             .map(|(fingerprint, known)| (*fingerprint, *known));
-        known.filter(move |(_, known)| known.standing(now) == Standing::Quarantined)
+        known.filter(move |(_, known)| known.state(now) == QuarantineState::Quarantined)
     }
 
     fn make_room(&mut self, now: Timestamp) {
@@ -209,7 +212,7 @@
         let mut order: Vec<_> = self
             .known
             .iter()
-            .map(|(fingerprint, known)| (known.standing, known.since, *fingerprint))
+            .map(|(fingerprint, known)| (known.state, known.since, *fingerprint))
             .collect();
         order.sort_unstable();
         for (_, _, fingerprint) in order.into_iter().take(CAPACITY / EVICTION_DIVISOR) {
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -183,7 +183,7 @@
             admitted_below: AdmissionLevel::OPEN,
             is_repeat: false,
             fingerprint: None,
-            ended_backends: 0,
+            terminated_backends: 0,
         })
     }
 }
--- a/crates/daemon/src/outbound/handler.rs
+++ b/crates/daemon/src/outbound/handler.rs
@@ -141,7 +141,7 @@
             admitted_below: AdmissionLevel::OPEN,
             is_repeat: false,
             fingerprint: None,
-            ended_backends: 0,
+            terminated_backends: 0,
         }
     }
 }
--- a/crates/protocol/src/context.rs
+++ b/crates/protocol/src/context.rs
@@ -88,7 +88,7 @@
     /// Number of backends that terminated while they executed earlier attempts of this call. Absent
     /// if zero.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
-    ended_backends: u8,
+    terminated_backends: u8,
     /// Sidecar to which the call is addressed. Absent in calls from processes that don't send it.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     callee: Option<Callee>,
@@ -112,7 +112,7 @@
             admitted_below: context.admitted_below,
             is_repeat: context.is_repeat,
             fingerprint: context.fingerprint,
-            ended_backends: context.ended_backends,
+            terminated_backends: context.terminated_backends,
             callee: None,
         }
     }
@@ -150,7 +150,7 @@
             admitted_below: self.admitted_below,
             is_repeat: self.is_repeat,
             fingerprint: self.fingerprint,
-            ended_backends: self.ended_backends,
+            terminated_backends: self.terminated_backends,
         })
     }
 
--- a/crates/protocol/tests/wire.rs
+++ b/crates/protocol/tests/wire.rs
@@ -59,7 +59,7 @@
                     fingerprint: level
                         .is_multiple_of(3)
                         .then_some(RequestFingerprint::new(attempt)),
-                    ended_backends: depth,
+                    terminated_backends: depth,
                 }
             },
         )
@@ -102,7 +102,7 @@
         admitted_below: AdmissionLevel::CLOSED,
         is_repeat: true,
         fingerprint: Some(RequestFingerprint::new(u64::MAX)),
-        ended_backends: u8::MAX,
+        terminated_backends: u8::MAX,
     };
     let value = WireContext::from_context(&context, Timestamp::ZERO).encode();
     assert!(value.len() <= MAX_ENCODED_LENGTH, "{} bytes", value.len());
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -13,7 +13,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
-use wharfquay_core::quarantine::{EndedInstance, QuarantineReport, RequestEnd, RequestFingerprint};
+use wharfquay_core::quarantine::{
+    QuarantineReport, RequestFingerprint, RequestTermination, TerminatedInstance,
+};
 use wharfquay_daemon::sync::lock;
 
 use crate::events::Event;
@@ -55,7 +57,7 @@
     Terminations {
         /// The terminated instance.
         #[serde(rename = "i")]
-        instance: EndedInstance,
+        instance: TerminatedInstance,
         /// Fingerprints of the requests, each with a flag that is true if it was the only suspect
         /// in execution.
         #[serde(rename = "r")]
@@ -92,10 +94,12 @@
 
 impl ExchangeRequest {
     /// Creates a report of terminations of one instance.
-    pub(crate) fn terminations(terminations: &[RequestEnd]) -> Self {
+    pub(crate) fn terminations(terminations: &[RequestTermination]) -> Self {
         let instance = terminations
             .first()
-            .map_or(EndedInstance::new(0), |termination| termination.instance);
+            .map_or(TerminatedInstance::new(0), |termination| {
+                termination.instance
+            });
         let requests = terminations
             .iter()
             .map(|termination| (termination.fingerprint, termination.was_isolated));
--- a/crates/sidecar/src/exchange_handler.rs
+++ b/crates/sidecar/src/exchange_handler.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use wharfquay_core::idempotency::clock::UnixMillis;
-use wharfquay_core::quarantine::{RequestEnd, RequestFingerprint};
+use wharfquay_core::quarantine::{RequestFingerprint, RequestTermination};
 
 use crate::confirmation::Confirmation;
 use crate::exchange::{ExchangeHandler, ExchangeRequest, Notice, Reply};
@@ -27,12 +27,13 @@
             ExchangeRequest::Tokens { tenant, wanted } => self.owner.grant(tenant, *wanted),
             ExchangeRequest::Terminations { instance, requests } => {
                 let termination =
-                    |(fingerprint, was_isolated): &(RequestFingerprint, bool)| RequestEnd {
+                    |(fingerprint, was_isolated): &(RequestFingerprint, bool)| RequestTermination {
                         fingerprint: *fingerprint,
                         instance: *instance,
                         was_isolated: *was_isolated,
                     };
-                let terminations: Vec<RequestEnd> = requests.iter().map(termination).collect();
+                let terminations: Vec<RequestTermination> =
+                    requests.iter().map(termination).collect();
                 self.quarantine.count_terminations(&terminations);
                 Reply::Recorded
             }
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -116,7 +116,7 @@
     offers: usize,
     arrivals: u32,
     /// Backends that terminated while they executed the call.
-    ended_backends: u8,
+    terminated_backends: u8,
     /// Result of an attempt that may have been executed.
     uncertain: Option<Failure>,
 }
@@ -128,7 +128,7 @@
             attempted: Vec::new(),
             offers: 0,
             arrivals: 0,
-            ended_backends: 0,
+            terminated_backends: 0,
             uncertain: None,
         }
     }
@@ -143,7 +143,7 @@
         CallContext {
             admitted_below: self.admitted_below,
             is_repeat: call.is_repeat || self.arrivals > 0,
-            ended_backends: self.ended_backends,
+            terminated_backends: self.terminated_backends,
             ..attempt_context(call, now, allowance)
         }
     }
@@ -154,7 +154,7 @@
             self.uncertain = Some(failure);
         }
         if failure.code == ResultCode::BackendEnded {
-            self.ended_backends = self.ended_backends.saturating_add(1);
+            self.terminated_backends = self.terminated_backends.saturating_add(1);
         }
         if reached_backend(failure.code) {
             self.arrivals += 1;
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -287,7 +287,7 @@
                 deadline: deadline.min(scope.context.deadline),
                 allowance: RetryAllowance::NONE,
                 repeatability,
-                ended_backends: 0,
+                terminated_backends: 0,
                 ..scope.context.clone()
             },
             None => {
@@ -305,7 +305,7 @@
                     admitted_below: AdmissionLevel::OPEN,
                     is_repeat: false,
                     fingerprint: None,
-                    ended_backends: 0,
+                    terminated_backends: 0,
                 }
             }
         }
--- a/crates/sidecar/src/quarantine/disseminator.rs
+++ b/crates/sidecar/src/quarantine/disseminator.rs
@@ -12,7 +12,7 @@
 use rand::seq::IndexedRandom;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
-use wharfquay_core::quarantine::{QuarantineReport, RequestEnd, RequestFingerprint};
+use wharfquay_core::quarantine::{QuarantineReport, RequestFingerprint, RequestTermination};
 use wharfquay_daemon::clock::Clock;
 use wharfquay_membership::member::MemberState;
 use wharfquay_membership::table::MemberTable;
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outgoing {
     /// Terminations of one instance, for the owners of its requests.
-    Terminations(Vec<RequestEnd>),
+    Terminations(Vec<RequestTermination>),
     /// A request received a response after a termination; for its owners.
     ResponseReceived(RequestFingerprint),
     /// A decision, for all sidecars.
@@ -182,8 +182,8 @@
     }
 
     /// Reports to the owners of each request that an instance terminated while executing it.
-    fn report_terminations(&self, terminations: &[RequestEnd]) {
-        let mut shards: HashMap<u64, Vec<RequestEnd>> = HashMap::new();
+    fn report_terminations(&self, terminations: &[RequestTermination]) {
+        let mut shards: HashMap<u64, Vec<RequestTermination>> = HashMap::new();
         for termination in terminations {
             shards
                 .entry(shard_of(termination.fingerprint))
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -18,8 +18,8 @@
 use wharfquay_core::call::CallContext;
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::quarantine::{
-    EndLedger, EndedInstance, QUARANTINE_TIME, QuarantineReport, QuarantineTable, ReportedStanding,
-    RequestEnd, RequestFingerprint, Standing,
+    QUARANTINE_TIME, QuarantineReport, QuarantineState, QuarantineTable, ReportedQuarantineState,
+    RequestFingerprint, RequestTermination, TerminatedInstance, TerminationLedger,
 };
 use wharfquay_core::time::Timestamp;
 use wharfquay_daemon::answer::Failure;
@@ -56,7 +56,7 @@
 pub(crate) struct Quarantine {
     clock: Clock,
     table: Mutex<QuarantineTable>,
-    ledger: Mutex<EndLedger>,
+    ledger: Mutex<TerminationLedger>,
     /// Notified when the state of a request changes.
     changed: Notify,
     /// Held by the suspect that has its turn at the local backend.
@@ -103,12 +103,12 @@
         };
         let now = self.now();
         let table = lock(&self.table);
-        match table.standing(now, fingerprint) {
-            Standing::Quarantined => Err(Failure::with_retry_after(
+        match table.state(now, fingerprint) {
+            QuarantineState::Quarantined => Err(Failure::with_retry_after(
                 ResultCode::Quarantined,
                 table.time_left(now, fingerprint),
             )),
-            Standing::Suspect | Standing::Unsuspected => Ok(()),
+            QuarantineState::Suspect | QuarantineState::Unsuspected => Ok(()),
         }
     }
 
@@ -145,16 +145,16 @@
     }
 
     fn is_suspect(&self, context: &CallContext) -> bool {
-        context.ended_backends > 0
+        context.terminated_backends > 0
             || context.fingerprint.is_some_and(|fingerprint| {
-                lock(&self.table).standing(self.now(), fingerprint) == Standing::Suspect
+                lock(&self.table).state(self.now(), fingerprint) == QuarantineState::Suspect
             })
     }
 
     /// Reports that an instance of the local backend terminated while it executed these requests.
     pub(crate) fn instance_ended(&self, instance: &InstanceId, running: &[ExecutingRequest]) {
-        let instance = EndedInstance::new(hash_bytes(instance.to_string().as_bytes()));
-        let terminations = running.iter().map(|request| RequestEnd {
+        let instance = TerminatedInstance::new(hash_bytes(instance.to_string().as_bytes()));
+        let terminations = running.iter().map(|request| RequestTermination {
             fingerprint: request.fingerprint,
             instance,
             was_isolated: request.is_isolated,
@@ -169,17 +169,17 @@
         let Some(fingerprint) = context.fingerprint else {
             return;
         };
-        let standing = lock(&self.table).standing(self.now(), fingerprint);
-        if standing == Standing::Quarantined {
+        let state = lock(&self.table).state(self.now(), fingerprint);
+        if state == QuarantineState::Quarantined {
             self.outbox.send(Outgoing::RemoveRecord(fingerprint));
         }
-        if standing != Standing::Unsuspected {
+        if state != QuarantineState::Unsuspected {
             self.apply_reports(&[QuarantineReport {
                 fingerprint,
-                standing: ReportedStanding::Cleared,
+                state: ReportedQuarantineState::Cleared,
                 age_ms: 0,
             }]);
-        } else if context.ended_backends > 0 {
+        } else if context.terminated_backends > 0 {
             self.outbox.send(Outgoing::ResponseReceived(fingerprint));
         }
     }
@@ -188,19 +188,19 @@
     pub(crate) fn apply_reports(&self, reports: &[QuarantineReport]) {
         let now = self.now();
         for report in reports {
-            if !lock(&self.table).learn(now, *report) {
+            if !lock(&self.table).merge(now, *report) {
                 continue;
             }
             let fingerprint = report.fingerprint;
-            match report.standing {
-                ReportedStanding::Cleared => {
-                    lock(&self.ledger).answered(fingerprint);
+            match report.state {
+                ReportedQuarantineState::Cleared => {
+                    lock(&self.ledger).clear(fingerprint);
                     log_event!(Event::RequestCleared, "fingerprint={fingerprint}");
                 }
-                ReportedStanding::Suspect => {
+                ReportedQuarantineState::Suspect => {
                     log_event!(Event::RequestSuspected, "fingerprint={fingerprint}");
                 }
-                ReportedStanding::Quarantined => {
+                ReportedQuarantineState::Quarantined => {
                     let age_ms = report.age_ms;
                     log_event!(
                         Event::RequestQuarantined,
@@ -214,24 +214,25 @@
     }
 
     /// Counts terminations as an owner of these requests and decides on their state.
-    pub(crate) fn count_terminations(&self, terminations: &[RequestEnd]) {
+    pub(crate) fn count_terminations(&self, terminations: &[RequestTermination]) {
         let now = self.now();
-        let decide = |termination: &RequestEnd| {
-            let standing = match lock(&self.ledger).note(now, *termination) {
-                Standing::Unsuspected => return None,
-                Standing::Suspect => ReportedStanding::Suspect,
-                Standing::Quarantined => ReportedStanding::Quarantined,
+        let decide = |termination: &RequestTermination| {
+            let state = match lock(&self.ledger).record(now, *termination) {
+                QuarantineState::Unsuspected => return None,
+                QuarantineState::Suspect => ReportedQuarantineState::Suspect,
+                QuarantineState::Quarantined => ReportedQuarantineState::Quarantined,
             };
             Some(QuarantineReport {
                 fingerprint: termination.fingerprint,
-                standing,
+                state,
                 age_ms: 0,
             })
         };
         let decisions: Vec<QuarantineReport> = terminations.iter().filter_map(decide).collect();
         let newly_quarantined = |report: &&QuarantineReport| {
-            let standing = lock(&self.table).standing(now, report.fingerprint);
-            report.standing == ReportedStanding::Quarantined && standing != Standing::Quarantined
+            let state = lock(&self.table).state(now, report.fingerprint);
+            report.state == ReportedQuarantineState::Quarantined
+                && state != QuarantineState::Quarantined
         };
         for report in decisions.iter().filter(newly_quarantined) {
             self.outbox.send(Outgoing::WriteRecord(report.fingerprint));
@@ -241,7 +242,7 @@
 
     /// Discards the terminations counted for a request that received a response.
     pub(crate) fn clear_terminations(&self, fingerprint: RequestFingerprint) {
-        lock(&self.ledger).answered(fingerprint);
+        lock(&self.ledger).clear(fingerprint);
     }
 
     /// Returns every quarantined request that is known here.
--- a/crates/sidecar/src/quarantine/record_store.rs
+++ b/crates/sidecar/src/quarantine/record_store.rs
@@ -10,7 +10,7 @@
 
 use wharfquay_core::idempotency::clock::UnixMillis;
 use wharfquay_core::quarantine::{
-    QUARANTINE_TIME, QuarantineReport, ReportedStanding, RequestFingerprint,
+    QUARANTINE_TIME, QuarantineReport, ReportedQuarantineState, RequestFingerprint,
 };
 use wharfquay_daemon::clock::wall_clock;
 
@@ -63,7 +63,7 @@
             }
             reports.push(QuarantineReport {
                 fingerprint: record.fingerprint,
-                standing: ReportedStanding::Quarantined,
+                state: ReportedQuarantineState::Quarantined,
                 age_ms,
             });
         }
--- a/crates/sidecar/tests/addressed_calls.rs
+++ b/crates/sidecar/tests/addressed_calls.rs
@@ -42,7 +42,7 @@
         admitted_below: AdmissionLevel::OPEN,
         is_repeat: false,
         fingerprint: None,
-        ended_backends: 0,
+        terminated_backends: 0,
     };
     let wire = WireContext::from_context(&context, Timestamp::ZERO);
     let wire = match callee {
