--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -32,7 +32,7 @@
     /// Time after which its response is of no use to the caller.
     pub deadline: Timestamp,
     /// Progress of its originating request.
-    pub standing: Standing,
+    pub progress: RequestProgress,
     /// Admission level that the originating request passed at its edge.
     pub admitted_below: AdmissionLevel,
 }
@@ -40,7 +40,7 @@
 /// Progress of the originating request of a call that requests admission. It determines whether a
 /// refusal would waste work already done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum RequestProgress {
     /// No work was done for the request yet; the admission level applies.
     New,
     /// The call is made on behalf of a request in execution. The admission level does not apply:
@@ -163,7 +163,7 @@
             effects.push(self.refuse(now, &call, ResultCode::DeadlineUnreachable));
             return effects;
         }
-        if call.standing == Standing::New && !self.level().admits(call.key) {
+        if call.progress == RequestProgress::New && !self.level().admits(call.key) {
             effects.push(self.refuse(now, &call, ResultCode::RefusedByLevel));
             return effects;
         }
@@ -191,8 +191,8 @@
     }
 
     /// Records that the execution started a call to another service. The time until the matching
-    /// [`Self::downstream_ended`] does not count as latency of this backend.
-    pub fn downstream_started(&mut self, now: Timestamp, ticket: CallTicket) {
+    /// [`Self::downstream_call_completed`] does not count as latency of this backend.
+    pub fn downstream_call_started(&mut self, now: Timestamp, ticket: CallTicket) {
         if let Some(execution) = self.executing.get_mut(&ticket) {
             if execution.downstream_calls == 0 {
                 execution.downstream_since = now;
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Records the end of a call to another service; see [`Self::downstream_started`].
-    pub fn downstream_ended(&mut self, now: Timestamp, ticket: CallTicket) {
+    /// Records the end of a call to another service; see [`Self::downstream_call_started`].
+    pub fn downstream_call_completed(&mut self, now: Timestamp, ticket: CallTicket) {
         if let Some(execution) = self.executing.get_mut(&ticket) {
             execution.downstream_calls = execution.downstream_calls.saturating_sub(1);
             if execution.downstream_calls == 0 {
--- a/crates/core/src/admission/level.rs
+++ b/crates/core/src/admission/level.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use crate::admission::controller::{OfferedCall, Standing};
+use crate::admission::controller::{OfferedCall, RequestProgress};
 use crate::priority::{AdmissionKey, AdmissionLevel, Priority, Rank};
 use crate::time::Timestamp;
 
@@ -88,9 +88,9 @@
     /// edge made its decision.
     pub fn arrived(&mut self, call: &OfferedCall) {
         let priority = call.key.priority();
-        let admitted_below = match call.standing {
-            Standing::New => call.admitted_below.fold(self.level()),
-            Standing::InProgress => call.admitted_below,
+        let admitted_below = match call.progress {
+            RequestProgress::New => call.admitted_below.fold(self.level()),
+            RequestProgress::InProgress => call.admitted_below,
         };
         let share = admitted_below.admitted_share(priority);
         self.arrived[priority.index()] += 1.0 / share.max(SMALLEST_ADMITTED_SHARE);
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -17,7 +17,7 @@
 
 pub use controller::{
     AdmissionController, AdmissionEffect, CallTicket, Cancellation, Completion, Load, OfferedCall,
-    Standing,
+    RequestProgress,
 };
 pub use limit::LimitAlgorithm;
 pub use path::{PathLevels, PathTiming, Refusal, level_below};
--- a/crates/core/tests/admission_controller.rs
+++ b/crates/core/tests/admission_controller.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use wharfquay_core::admission::{
     AdmissionController, AdmissionEffect, AdmissionSettings, CallTicket, Cancellation, Completion,
-    LimitAlgorithm, OfferedCall, Standing,
+    LimitAlgorithm, OfferedCall, RequestProgress,
 };
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel, Priority, Rank};
 use wharfquay_core::time::Timestamp;
@@ -109,7 +109,7 @@
             ticket: CallTicket(ticket),
             key: AdmissionKey::new(priority, Rank::from_number(rank)),
             deadline: self.now + Duration::from_micros(time_left),
-            standing: Standing::New,
+            progress: RequestProgress::New,
             admitted_below: AdmissionLevel::OPEN,
         };
         let effects = self.controller.offer(self.now, call);
@@ -161,9 +161,9 @@
             return;
         };
         if started {
-            self.controller.downstream_started(self.now, ticket);
+            self.controller.downstream_call_started(self.now, ticket);
         } else {
-            self.controller.downstream_ended(self.now, ticket);
+            self.controller.downstream_call_completed(self.now, ticket);
         }
     }
 
--- a/crates/core/tests/admission_decisions.rs
+++ b/crates/core/tests/admission_decisions.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use wharfquay_core::admission::{
     AdmissionController, AdmissionEffect, AdmissionSettings, CallTicket, Completion,
-    LimitAlgorithm, OfferedCall, Standing,
+    LimitAlgorithm, OfferedCall, RequestProgress,
 };
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel, Priority, Rank};
@@ -22,7 +22,7 @@
         ticket: CallTicket(ticket),
         key: AdmissionKey::new(priority, rank),
         deadline,
-        standing: Standing::New,
+        progress: RequestProgress::New,
         admitted_below: AdmissionLevel::OPEN,
     }
 }
@@ -141,8 +141,8 @@
             let ticket = CallTicket(round);
             controller.offer(start, call(round, 2, start + Duration::from_secs(10)));
             if slow && downstream {
-                controller.downstream_started(start + Duration::from_millis(10), ticket);
-                controller.downstream_ended(start + Duration::from_millis(50), ticket);
+                controller.downstream_call_started(start + Duration::from_millis(10), ticket);
+                controller.downstream_call_completed(start + Duration::from_millis(50), ticket);
             }
             let latency = if slow { 50 } else { 10 };
             let end = start + Duration::from_millis(latency);
--- a/crates/core/tests/admission_queue.rs
+++ b/crates/core/tests/admission_queue.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use wharfquay_core::admission::queue::{PushResult, WaitQueue};
-use wharfquay_core::admission::{CallTicket, OfferedCall, QueueDiscipline, Standing};
+use wharfquay_core::admission::{CallTicket, OfferedCall, QueueDiscipline, RequestProgress};
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel, Priority, Rank};
 use wharfquay_core::time::Timestamp;
 
@@ -45,7 +45,7 @@
         ticket: CallTicket(ticket),
         key: AdmissionKey::new(priority, Rank::from_number(rank)),
         deadline: Timestamp::from_millis(1_000_000),
-        standing: Standing::New,
+        progress: RequestProgress::New,
         admitted_below: AdmissionLevel::OPEN,
     }
 }
--- a/crates/core/tests/admission_trees.rs
+++ b/crates/core/tests/admission_trees.rs
@@ -7,7 +7,7 @@
 
 use wharfquay_core::admission::{
     AdmissionController, AdmissionEffect, AdmissionSettings, CallTicket, Completion, OfferedCall,
-    Standing,
+    RequestProgress,
 };
 use wharfquay_core::call::OriginId;
 use wharfquay_core::outcome::ResultCode;
@@ -108,16 +108,16 @@
 
     fn call(&mut self, now: u64, number: u64) {
         let request = self.requests[&number];
-        let (standing, max_wait) = if request.is_tree {
-            (Standing::InProgress, MAX_WAIT_IN_PROGRESS)
+        let (progress, max_wait) = if request.is_tree {
+            (RequestProgress::InProgress, MAX_WAIT_IN_PROGRESS)
         } else {
-            (Standing::New, MAX_WAIT_NEW)
+            (RequestProgress::New, MAX_WAIT_NEW)
         };
         let call = OfferedCall {
             ticket: CallTicket(number * 8 + u64::from(request.calls_left)),
             key: request.key,
             deadline: Timestamp::from_millis(now + 700),
-            standing,
+            progress,
             admitted_below: request.admitted_below,
         };
         let at = Timestamp::from_millis(now);
--- a/crates/daemon/src/inbound/gate.rs
+++ b/crates/daemon/src/inbound/gate.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, oneshot};
 use wharfquay_core::admission::{
     AdmissionController, AdmissionEffect, AdmissionSettings, CallTicket, Cancellation, Completion,
-    Load, OfferedCall, Standing,
+    Load, OfferedCall, RequestProgress,
 };
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel};
@@ -57,28 +57,28 @@
 
 /// A call that requests admission.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct AdmissionRequest {
     /// Admission key of the call: its position in the order in which calls are refused.
     pub key: AdmissionKey,
     /// Deadline of the call, after which a response is useless to the caller.
     pub deadline: Timestamp,
     /// Maximum wait in the queue for this call; `None` for the configured maximum.
-    pub patience: Option<Duration>,
+    pub max_queue_wait: Option<Duration>,
     /// Whether work was already spent on the originating request.
-    pub standing: Standing,
+    pub progress: RequestProgress,
     /// Admission level at which the edge admitted the originating request.
     pub admitted_below: AdmissionLevel,
 }
 
-impl Entry {
+impl AdmissionRequest {
     /// Creates an entry for a call about whose originating request nothing else is known.
     #[must_use]
     pub const fn new(key: AdmissionKey, deadline: Timestamp) -> Self {
         Self {
             key,
             deadline,
-            patience: None,
-            standing: Standing::New,
+            max_queue_wait: None,
+            progress: RequestProgress::New,
             admitted_below: AdmissionLevel::OPEN,
         }
     }
@@ -118,14 +118,14 @@
         key: AdmissionKey,
         deadline: Timestamp,
     ) -> Result<Permit, Failure> {
-        self.enter_as(Entry::new(key, deadline)).await
+        self.enter_with(AdmissionRequest::new(key, deadline)).await
     }
 
     /// Waits like [`Self::enter`], with further information about the originating request.
     ///
     /// # Errors
     /// The refusal; the call was not run.
-    pub async fn enter_as(self: &Arc<Self>, entry: Entry) -> Result<Permit, Failure> {
+    pub async fn enter_with(self: &Arc<Self>, entry: AdmissionRequest) -> Result<Permit, Failure> {
         let ticket = CallTicket(self.next_ticket.fetch_add(1, Ordering::Relaxed));
         let (sender, verdict) = oneshot::channel();
         let mut permit = Permit {
@@ -139,11 +139,11 @@
                 ticket,
                 key: entry.key,
                 deadline: entry.deadline,
-                standing: entry.standing,
+                progress: entry.progress,
                 admitted_below: entry.admitted_below,
             };
-            match entry.patience {
-                Some(patience) => state.controller.offer_within(now, call, patience),
+            match entry.max_queue_wait {
+                Some(max_queue_wait) => state.controller.offer_within(now, call, max_queue_wait),
                 None => state.controller.offer(now, call),
             }
         });
@@ -181,15 +181,19 @@
     }
 
     /// Records that the execution of `ticket` starts to wait for a downstream call.
-    pub fn downstream_started(&self, ticket: CallTicket) {
+    pub fn downstream_call_started(&self, ticket: CallTicket) {
         let now = self.clock.now();
-        lock(&self.state).controller.downstream_started(now, ticket);
+        lock(&self.state)
+            .controller
+            .downstream_call_started(now, ticket);
     }
 
     /// Records that a downstream call of the execution of `ticket` has completed.
-    pub fn downstream_ended(&self, ticket: CallTicket) {
+    pub fn downstream_call_completed(&self, ticket: CallTicket) {
         let now = self.clock.now();
-        lock(&self.state).controller.downstream_ended(now, ticket);
+        lock(&self.state)
+            .controller
+            .downstream_call_completed(now, ticket);
     }
 
     /// Advances the controller whenever its next timer expires; never returns.
--- a/crates/daemon/src/outbound/handler.rs
+++ b/crates/daemon/src/outbound/handler.rs
@@ -156,7 +156,7 @@
 
 impl DownstreamCallGuard {
     fn start(gate: &Arc<AdmissionGate>, ticket: CallTicket) -> Self {
-        gate.downstream_started(ticket);
+        gate.downstream_call_started(ticket);
         Self {
             gate: Arc::clone(gate),
             ticket,
@@ -166,7 +166,7 @@
 
 impl Drop for DownstreamCallGuard {
     fn drop(&mut self) {
-        self.gate.downstream_ended(self.ticket);
+        self.gate.downstream_call_completed(self.ticket);
     }
 }
 
--- a/crates/emulator/src/simulator/call_path/engine/execution.rs
+++ b/crates/emulator/src/simulator/call_path/engine/execution.rs
@@ -123,7 +123,7 @@
             execution.next_call += count;
         }
         for _ in &callees {
-            self.downstream_started(id);
+            self.downstream_call_started(id);
         }
         for callee in callees {
             if self.executions.get(id).is_none() {
@@ -133,18 +133,18 @@
         }
     }
 
-    fn downstream_started(&mut self, id: ExecutionId) {
+    fn downstream_call_started(&mut self, id: ExecutionId) {
         let now = self.now;
         let Some(execution) = self.executions.get(id) else {
             return;
         };
         if let Some(admission) = &mut self.nodes[execution.node].admission {
-            admission.downstream_started(now, CallTicket(id.as_u64()));
+            admission.downstream_call_started(now, CallTicket(id.as_u64()));
         }
     }
 
     /// A deeper call of an execution ended.
-    pub(super) fn call_ended(&mut self, id: ExecutionId, call: OutgoingId, end: CallEnd) {
+    pub(super) fn call_completed(&mut self, id: ExecutionId, call: OutgoingId, end: CallEnd) {
         let now = self.now;
         let Some(execution) = self.executions.get_mut(id) else {
             return;
@@ -155,7 +155,7 @@
         let failed = execution.failed;
         let node = execution.node;
         if let Some(admission) = &mut self.nodes[node].admission {
-            admission.downstream_ended(now, CallTicket(id.as_u64()));
+            admission.downstream_call_completed(now, CallTicket(id.as_u64()));
         }
         if failed {
             self.finish_execution(id, Some(end));
--- a/crates/emulator/src/simulator/call_path/engine/inbound.rs
+++ b/crates/emulator/src/simulator/call_path/engine/inbound.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use wharfquay_core::admission::{AdmissionEffect, CallTicket, Load, OfferedCall, Standing};
+use wharfquay_core::admission::{AdmissionEffect, CallTicket, Load, OfferedCall, RequestProgress};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::AdmissionLevel;
 
@@ -89,7 +89,7 @@
             ticket: CallTicket(id.as_u64()),
             key: self.key_at(request, execution.service),
             deadline,
-            standing: Standing::New,
+            progress: RequestProgress::New,
             admitted_below: AdmissionLevel::OPEN,
         })
     }
--- a/crates/emulator/src/simulator/call_path/engine/outgoing.rs
+++ b/crates/emulator/src/simulator/call_path/engine/outgoing.rs
@@ -329,7 +329,7 @@
             return;
         };
         match outgoing.parent {
-            Some(parent) => self.call_ended(parent, id, end),
+            Some(parent) => self.call_completed(parent, id, end),
             None => self.request_ends(outgoing.request, end),
         }
         self.drop_reference(outgoing.request);
--- a/crates/sidecar/src/inbound/execution.rs
+++ b/crates/sidecar/src/inbound/execution.rs
@@ -9,14 +9,14 @@
 use http::{Request, Response};
 use hyper::body::Incoming;
 use tokio::time::Instant;
-use wharfquay_core::admission::{Completion, Load, Standing};
+use wharfquay_core::admission::{Completion, Load, RequestProgress};
 use wharfquay_core::call::{CallContext, RetryAllowance};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::AdmissionLevel;
 use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::body::{AnswerBody, BodyEnd, BodyObserver, RequestBody};
 use wharfquay_daemon::clock::Clock;
-use wharfquay_daemon::inbound::gate::{Entry, Permit};
+use wharfquay_daemon::inbound::gate::{AdmissionRequest, Permit};
 use wharfquay_protocol::answer::WireAnswer;
 
 use super::backend::{LocalBackend, OpenInstance};
@@ -130,7 +130,7 @@
             Ok(turn) => turn,
             Err(failure) => return (Err(failure), allowance),
         };
-        let entering = instance.gate.enter_as(entry(&context));
+        let entering = instance.gate.enter_with(entry(&context));
         let permit = match entering.await {
             Ok(permit) => permit,
             Err(failure) => return (Err(failure), allowance),
@@ -192,17 +192,17 @@
 }
 
 /// Returns the admission parameters of a call.
-fn entry(context: &CallContext) -> Entry {
-    let standing = if context.depth > CLIENT_REQUEST_DEPTH {
-        Standing::InProgress
+fn entry(context: &CallContext) -> AdmissionRequest {
+    let progress = if context.depth > CLIENT_REQUEST_DEPTH {
+        RequestProgress::InProgress
     } else {
-        Standing::New
+        RequestProgress::New
     };
-    Entry {
+    AdmissionRequest {
         key: context.admission_key(),
         deadline: context.deadline,
-        patience: Some(MAX_GATE_WAIT),
-        standing,
+        max_queue_wait: Some(MAX_GATE_WAIT),
+        progress,
         admitted_below: context.admitted_below,
     }
 }
--- a/crates/sidecar/src/inbound/report.rs
+++ b/crates/sidecar/src/inbound/report.rs
@@ -62,7 +62,7 @@
         let now = self.clock.now();
         let queued = self.admitted.unwrap_or(now).saturating_since(self.arrived);
         let took = now.saturating_since(self.arrived);
-        metrics.call_ended(code, queued, took);
+        metrics.call_completed(code, queued, took);
         let is_success = status > 0 && status < 500;
         if is_success && !is_sampled(self.context.origin) {
             return;
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -288,7 +288,7 @@
     }
 
     /// Counts a completed call for the local backend.
-    pub fn call_ended(&self, result: ResultCode, queued: Duration, took: Duration) {
+    pub fn call_completed(&self, result: ResultCode, queued: Duration, took: Duration) {
         self.calls.with_label_values(&[result.name()]).inc();
         self.queue_seconds.observe(queued.as_secs_f64());
         self.call_seconds.observe(took.as_secs_f64());
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -359,7 +359,7 @@
 
 impl DownstreamWait {
     fn start(scope: &Arc<Scope>) -> Self {
-        scope.gate.downstream_started(scope.ticket);
+        scope.gate.downstream_call_started(scope.ticket);
         Self {
             scope: Arc::clone(scope),
         }
@@ -368,6 +368,6 @@
 
 impl Drop for DownstreamWait {
     fn drop(&mut self) {
-        self.scope.gate.downstream_ended(self.scope.ticket);
+        self.scope.gate.downstream_call_completed(self.scope.ticket);
     }
 }
