--- a/crates/core/examples/retry_splits.rs
+++ b/crates/core/examples/retry_splits.rs
@@ -11,7 +11,7 @@
 use wharfquay_core::call::{Repeatability, RetryAllowance};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::retry::{
-    AllowanceSplit, FailureLocation, Grant, Ledger, RetryDecision, RetryQuestion, decide,
+    AllowanceSplit, FailureLocation, Grant, Ledger, RetryDecision, RetryInput, decide,
 };
 use wharfquay_core::time::Timestamp;
 
@@ -187,7 +187,7 @@
                 self.child_completed(target, code, failed);
             }
             Event::Lost(target) => {
-                self.calls[target.caller].ledger.lose(target.grant);
+                self.calls[target.caller].ledger.settle_lost(target.grant);
                 self.child_completed(target, ResultCode::ConnectionLost, true);
             }
         }
@@ -207,7 +207,7 @@
 
     fn may_retry(&mut self, caller: usize, code: ResultCode) -> bool {
         let ledger = &mut self.calls[caller].ledger;
-        let question = RetryQuestion {
+        let question = RetryInput {
             now: Timestamp::ZERO,
             deadline: Timestamp::from_millis(1),
             code,
--- a/crates/core/examples/routing_balance.rs
+++ b/crates/core/examples/routing_balance.rs
@@ -270,7 +270,7 @@
         let caller = &mut self.callers[caller];
         caller.reported[server] = load.utilisation();
         let observation = Observation {
-            error_answer: false,
+            error_response: false,
             latency: Duration::from_micros(latency),
             outcome: if executed {
                 OutcomeClass::Run
--- a/crates/core/examples/routing_pick_cost.rs
+++ b/crates/core/examples/routing_pick_cost.rs
@@ -51,7 +51,7 @@
         excluded: &[],
     };
     let observation = Observation {
-        error_answer: false,
+        error_response: false,
         latency: Duration::from_millis(10),
         outcome: OutcomeClass::Run,
         overloaded: false,
--- a/crates/core/src/drain/leaving.rs
+++ b/crates/core/src/drain/leaving.rs
@@ -107,7 +107,7 @@
 
     /// Removes an endpoint that no source lists any more. The driver must keep entries for as long
     /// as a delayed source may still list the endpoint as live.
-    pub fn forget(&mut self, endpoint: &EndpointId) {
+    pub fn remove(&mut self, endpoint: &EndpointId) {
         self.marks.remove(endpoint);
     }
 
--- a/crates/core/src/idempotency/claim/coordinator.rs
+++ b/crates/core/src/idempotency/claim/coordinator.rs
@@ -234,7 +234,7 @@
         effects.push(match record.outcome {
             _ if !same_request => self.refuse(ResultCode::IdempotencyKeyReused),
             RecordedOutcome::Lost => self.refuse(ResultCode::ClaimUncertain),
-            RecordedOutcome::Answered(answer) => {
+            RecordedOutcome::Responded(answer) => {
                 self.phase = Phase::Concluded;
                 CoordinatorEffect::Replay(answer)
             }
@@ -398,7 +398,7 @@
         let outcome = match outcome {
             ExecutionOutcome::NotRun => return self.withdraw(now),
             ExecutionOutcome::Unknown => RecordedOutcome::Lost,
-            ExecutionOutcome::Run(answer) => RecordedOutcome::Answered(answer),
+            ExecutionOutcome::Run(answer) => RecordedOutcome::Responded(answer),
         };
         let store = ReplicaRequest::Store(Store {
             key: self.request.key,
--- a/crates/core/src/idempotency/claim/interface.rs
+++ b/crates/core/src/idempotency/claim/interface.rs
@@ -4,7 +4,7 @@
 
 use crate::call::IdempotencyKey;
 use crate::idempotency::claim::group::ReplicaId;
-use crate::idempotency::claim::message::{Fingerprint, RecordedAnswer, ReplicaRequest};
+use crate::idempotency::claim::message::{Fingerprint, RecordedResponse, ReplicaRequest};
 use crate::outcome::ResultCode;
 use crate::time::Timestamp;
 
@@ -55,7 +55,7 @@
     /// It is not known whether the request was executed.
     Unknown,
     /// Executed, with this response.
-    Run(RecordedAnswer),
+    Run(RecordedResponse),
 }
 
 /// An action that the driver of a coordinator has to perform.
@@ -71,7 +71,7 @@
     /// Dispatch the request immediately, then call [`Coordinator::complete`].
     Dispatch,
     /// Respond to the caller with the recorded response of the request's earlier execution.
-    Replay(RecordedAnswer),
+    Replay(RecordedResponse),
     /// Respond to the caller with this code.
     Refuse {
         /// Reason of the refusal.
--- a/crates/core/src/idempotency/claim/message.rs
+++ b/crates/core/src/idempotency/claim/message.rs
@@ -37,7 +37,7 @@
 
 /// Response of the backend, recorded for replay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordedAnswer {
+pub struct RecordedResponse {
     /// HTTP status of the response.
     #[serde(rename = "s")]
     pub status: u16,
@@ -51,7 +51,7 @@
 pub enum RecordedOutcome {
     /// The backend executed the request and responded.
     #[serde(rename = "a")]
-    Answered(RecordedAnswer),
+    Responded(RecordedResponse),
     /// The request was dispatched and its result is not known.
     #[serde(rename = "l")]
     Lost,
--- a/crates/core/src/idempotency/claim/records.rs
+++ b/crates/core/src/idempotency/claim/records.rs
@@ -76,7 +76,7 @@
     /// Returns the size of the recorded response content in bytes.
     fn content_length(&self) -> usize {
         match self.outcome.as_ref().map(|record| &record.outcome) {
-            Some(RecordedOutcome::Answered(answer)) => {
+            Some(RecordedOutcome::Responded(answer)) => {
                 answer.content.as_ref().map_or(0, |content| content.len())
             }
             Some(RecordedOutcome::Lost) | None => 0,
@@ -86,7 +86,7 @@
     /// Drops the content of the recorded response; its status stays.
     fn drop_content(&mut self) {
         if let Some(record) = &mut self.outcome
-            && let RecordedOutcome::Answered(answer) = &mut record.outcome
+            && let RecordedOutcome::Responded(answer) = &mut record.outcome
         {
             answer.content = None;
         }
--- a/crates/core/src/retry/authorize.rs
+++ b/crates/core/src/retry/authorize.rs
@@ -1,7 +1,7 @@
 //! Retry decision combined with the payment for the retry.
 
 use super::budget::DestinationBudget;
-use super::decide::{GiveUpReason, RetryDecision, RetryQuestion, decide};
+use super::decide::{GiveUpReason, RetryDecision, RetryInput, decide};
 use super::ledger::Ledger;
 
 /// Decides on a retry and pays for it in the same step.
@@ -10,11 +10,11 @@
 /// attempts of one call that fail concurrently can't both spend the last unit. Nothing is paid if
 /// the decision is to give up.
 pub fn authorize(
-    question: &RetryQuestion,
+    question: &RetryInput,
     ledger: &mut Ledger,
     budget: &mut DestinationBudget,
 ) -> RetryDecision {
-    let question = RetryQuestion {
+    let question = RetryInput {
         allowance: ledger.remaining(),
         budget_available: budget.available(question.now),
         ..*question
--- a/crates/core/src/retry/decide.rs
+++ b/crates/core/src/retry/decide.rs
@@ -19,7 +19,7 @@
 
 /// Input of the retry decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetryQuestion {
+pub struct RetryInput {
     /// The current time.
     pub now: Timestamp,
     /// Time after which a response is of no use to the caller.
@@ -92,14 +92,14 @@
 /// An offer after a refusal is paid from the allowance only, because the refusal caused no work at
 /// the destination. A retry after an unknown outcome is paid from the allowance and the budget.
 #[must_use]
-pub fn decide(question: &RetryQuestion) -> RetryDecision {
+pub fn decide(question: &RetryInput) -> RetryDecision {
     match evaluate(question) {
         Ok(after) => RetryDecision::Retry { after },
         Err(reason) => RetryDecision::GiveUp(reason),
     }
 }
 
-impl RetryQuestion {
+impl RetryInput {
     /// Returns true if a retry is also paid from the destination's budget.
     #[must_use]
     pub fn needs_budget(&self) -> bool {
@@ -107,7 +107,7 @@
     }
 }
 
-fn evaluate(question: &RetryQuestion) -> Result<Duration, GiveUpReason> {
+fn evaluate(question: &RetryInput) -> Result<Duration, GiveUpReason> {
     let kind = classify(question)?;
     if question.location == FailureLocation::Below {
         return Err(GiveUpReason::NotNearestHop);
@@ -131,7 +131,7 @@
     Ok(after)
 }
 
-fn classify(question: &RetryQuestion) -> Result<RetryKind, GiveUpReason> {
+fn classify(question: &RetryInput) -> Result<RetryKind, GiveUpReason> {
     match question.code {
         ResultCode::Answered | ResultCode::AnsweredEarlier => Err(GiveUpReason::Answered),
         ResultCode::MalformedRequest
@@ -175,7 +175,7 @@
     }
 }
 
-fn reexecute(question: &RetryQuestion) -> Result<RetryKind, GiveUpReason> {
+fn reexecute(question: &RetryInput) -> Result<RetryKind, GiveUpReason> {
     match question.repeatability {
         Repeatability::Repeatable => Ok(RetryKind::Reexecute),
         Repeatability::AtMostOnce => Err(GiveUpReason::NotRepeatable),
--- a/crates/core/src/retry/ledger.rs
+++ b/crates/core/src/retry/ledger.rs
@@ -110,7 +110,7 @@
     }
 
     /// Closes a grant whose response is lost: all of it counts as spent.
-    pub fn lose(&mut self, grant: Grant) -> Settlement {
+    pub fn settle_lost(&mut self, grant: Grant) -> Settlement {
         self.settle(grant, RetryAllowance::NONE)
     }
 
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -12,7 +12,7 @@
 pub use authorize::authorize;
 pub use backoff::Backoff;
 pub use budget::{BudgetSettings, DestinationBudget};
-pub use decide::{FailureLocation, GiveUpReason, RetryDecision, RetryQuestion, decide};
+pub use decide::{FailureLocation, GiveUpReason, RetryDecision, RetryInput, decide};
 pub use ledger::{Grant, Ledger, Settlement};
 pub use split::AllowanceSplit;
 pub use window::RepeatWindow;
--- a/crates/core/src/retry/window.rs
+++ b/crates/core/src/retry/window.rs
@@ -69,7 +69,7 @@
 
     /// Returns the number of repeats of the highest priority that would be admitted now.
     #[must_use]
-    pub fn left(&mut self, now: Timestamp) -> u64 {
+    pub fn remaining(&mut self, now: Timestamp) -> u64 {
         (self.allowed(now) as u64).saturating_sub(self.repeated(now))
     }
 
--- a/crates/core/src/routing/endpoint_stats.rs
+++ b/crates/core/src/routing/endpoint_stats.rs
@@ -64,7 +64,7 @@
             && contradicts_capacity(observation, reference);
         blend(&mut self.contradicted, contradicted);
         blend(&mut self.overloaded, observation.overloaded);
-        blend(&mut self.errors, observation.error_answer);
+        blend(&mut self.errors, observation.error_response);
         if !observation.overloaded {
             self.blend_failure(observation.is_failure());
         }
@@ -139,10 +139,10 @@
         let weight = OBSERVATION_WEIGHT.max(1.0 - influence);
         let sample = match observation.outcome {
             OutcomeClass::NotRun => return,
-            OutcomeClass::Run if observation.error_answer && self.latency_micros.is_none() => {
+            OutcomeClass::Run if observation.error_response && self.latency_micros.is_none() => {
                 return;
             }
-            OutcomeClass::Run if !observation.error_answer => latency,
+            OutcomeClass::Run if !observation.error_response => latency,
             // The attempt was cut short or gave up early, so its latency is a lower bound.
             OutcomeClass::Run | OutcomeClass::Unknown => latency.max(mean),
         };
@@ -168,7 +168,7 @@
 
 fn contradicts_capacity(observation: &Observation, reference: &Reference) -> bool {
     let is_lost = observation.outcome == OutcomeClass::Unknown;
-    if observation.overloaded || observation.error_answer || is_lost {
+    if observation.overloaded || observation.error_response || is_lost {
         return true;
     }
     let latency = observation.latency.as_micros() as f64;
--- a/crates/core/src/routing/observation.rs
+++ b/crates/core/src/routing/observation.rs
@@ -33,7 +33,7 @@
     /// Outcome class of the attempt's result.
     pub outcome: OutcomeClass,
     /// True if the backend's complete response reports a failure, such as a 5xx status.
-    pub error_answer: bool,
+    pub error_response: bool,
     /// True if the endpoint refused the attempt or responded to it as overloaded.
     pub overloaded: bool,
     /// Load carried by the response.
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -104,7 +104,7 @@
     /// Records the incarnation that an endpoint reported. The first one reported changes nothing
     /// else. A later one starts cold and without observations. An earlier one, which comes with a
     /// delayed response, is ignored.
-    pub fn heard_incarnation(&mut self, now: Timestamp, endpoint: &EndpointId, incarnation: u64) {
+    pub fn record_incarnation(&mut self, now: Timestamp, endpoint: &EndpointId, incarnation: u64) {
         if let Some(entry) = self.entry_mut(endpoint) {
             entry.record_incarnation(now, incarnation);
         }
@@ -171,7 +171,7 @@
 
     /// Records the end of an attempt that gives no information on the endpoint, such as one that
     /// the caller cancelled. Pairs with one call of [`Router::dispatched`].
-    pub fn abandoned(&mut self, endpoint: &EndpointId) {
+    pub fn discard_attempt(&mut self, endpoint: &EndpointId) {
         if let Some(entry) = self.entry_mut(endpoint) {
             entry.attempt_completed();
         }
--- a/crates/core/tests/drain_leaving.rs
+++ b/crates/core/tests/drain_leaving.rs
@@ -66,7 +66,7 @@
     assert_eq!(sources, [Resource, MachineList, Shutdown]);
     let listed: Vec<(&EndpointId, u64)> = set.endpoints().collect();
     assert_eq!(listed, [(&endpoint, 2)]);
-    set.forget(&endpoint);
+    set.remove(&endpoint);
     assert!(!set.is_leaving(&endpoint, 1));
 }
 
--- a/crates/core/tests/idempotency_cases.rs
+++ b/crates/core/tests/idempotency_cases.rs
@@ -11,7 +11,7 @@
 use wharfquay_core::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId};
 use wharfquay_core::idempotency::claim::message::{
     Abandon, Abstention, Claim, ClaimId, Fetch, Fingerprint, HandoverStatus, OutcomeRecord,
-    RecordedAnswer, RecordedOutcome, ReplicaReply, ReplicaRequest, Store, Vote, VoteReply,
+    RecordedOutcome, RecordedResponse, ReplicaReply, ReplicaRequest, Store, Vote, VoteReply,
 };
 use wharfquay_core::idempotency::claim::replica::{PeerRequest, Replica, ReplicaSettings};
 use wharfquay_core::idempotency::clock::{KeyWindow, UnixMillis};
@@ -87,7 +87,7 @@
 fn outcome(content: &[u8]) -> OutcomeRecord {
     OutcomeRecord {
         fingerprint: REQUEST,
-        outcome: RecordedOutcome::Answered(RecordedAnswer {
+        outcome: RecordedOutcome::Responded(RecordedResponse {
             status: 201,
             content: Some(content.to_vec().into()),
         }),
@@ -258,11 +258,11 @@
     let Vote::Recorded(record) = vote else {
         panic!("the outcome itself is kept, got {vote:?}");
     };
-    let without_content = RecordedAnswer {
+    let without_content = RecordedResponse {
         status: 201,
         content: None,
     };
-    assert_eq!(record.outcome, RecordedOutcome::Answered(without_content));
+    assert_eq!(record.outcome, RecordedOutcome::Responded(without_content));
     let later = READY + RETENTION + 2 * SKEW + 2;
     let fresh = claim_on(key_created_at(later), 1);
     assert_eq!(
@@ -681,7 +681,7 @@
 
 #[test]
 fn a_majority_dispatches_once_and_delivers_the_outcome() {
-    let answer = RecordedAnswer {
+    let answer = RecordedResponse {
         status: 200,
         content: None,
     };
--- a/crates/core/tests/idempotency_support/mod.rs
+++ b/crates/core/tests/idempotency_support/mod.rs
@@ -12,7 +12,7 @@
 };
 use wharfquay_core::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId};
 use wharfquay_core::idempotency::claim::message::{
-    Fetch, Fingerprint, Page, RecordedAnswer, ReplicaReply, ReplicaRequest,
+    Fetch, Fingerprint, Page, RecordedResponse, ReplicaReply, ReplicaRequest,
 };
 use wharfquay_core::idempotency::claim::replica::{PeerRequest, Replica, ReplicaSettings};
 use wharfquay_core::idempotency::clock::{KeyWindow, UnixMillis};
@@ -122,7 +122,7 @@
 pub(crate) enum CallState {
     Open,
     Dispatched,
-    Replayed(RecordedAnswer),
+    Replayed(RecordedResponse),
     Refused(ResultCode),
     /// The backend's response reached the edge.
     Completed,
@@ -143,7 +143,7 @@
     call: usize,
     at: u64,
     proved_not_run: bool,
-    answer: Option<RecordedAnswer>,
+    answer: Option<RecordedResponse>,
 }
 
 /// The deployment, its faults and the record of every dispatch.
@@ -408,7 +408,7 @@
         );
     }
 
-    fn check_replay(&mut self, call: usize, answer: RecordedAnswer) {
+    fn check_replay(&mut self, call: usize, answer: RecordedResponse) {
         let checked = &self.calls[call];
         let recorded = self.effects_of(checked.key).any(|one| {
             let same_request = self.calls[one.call].variant == checked.variant;
@@ -431,7 +431,7 @@
             return;
         }
         let index = open[dispatch % open.len()];
-        let answer = RecordedAnswer {
+        let answer = RecordedResponse {
             status: u16::try_from(index).expect("few dispatches"),
             content: Some(vec![0; 10].into()),
         };
--- a/crates/core/tests/retry_decide.rs
+++ b/crates/core/tests/retry_decide.rs
@@ -6,15 +6,15 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::retry::{
     BudgetSettings, DestinationBudget, FailureLocation, GiveUpReason, Ledger, RetryDecision,
-    RetryQuestion, authorize, decide,
+    RetryInput, authorize, decide,
 };
 use wharfquay_core::time::Timestamp;
 
 const BACKOFF: Duration = Duration::from_millis(7);
 
 /// Returns an input that allows a retry unless the result code excludes it.
-fn question(code: ResultCode) -> RetryQuestion {
-    RetryQuestion {
+fn question(code: ResultCode) -> RetryInput {
+    RetryInput {
         now: Timestamp::from_millis(100),
         deadline: Timestamp::from_millis(600),
         code,
@@ -125,7 +125,7 @@
     for (codes, repeatable, at_most_once) in cases {
         for code in codes {
             assert_eq!(decide(&question(*code)), repeatable, "{code:?}, repeatable");
-            let once = RetryQuestion {
+            let once = RetryInput {
                 repeatability: Repeatability::AtMostOnce,
                 ..question(*code)
             };
@@ -137,7 +137,7 @@
 #[test]
 fn each_bound_stops_a_retry() {
     use GiveUpReason::{AllowanceSpent, BudgetSpent, Deadline, NoSibling, NotNearestHop};
-    type Change = fn(&mut RetryQuestion);
+    type Change = fn(&mut RetryInput);
     // Name, difference from an input that allows a retry, decision on an offer, decision on a
     // reexecution.
     #[rustfmt::skip]
--- a/crates/core/tests/retry_ledger.rs
+++ b/crates/core/tests/retry_ledger.rs
@@ -73,7 +73,7 @@
                     grants[grant].1 = false;
                 }
                 Step::Lose(grant) if grant < grants.len() => {
-                    ledger.lose(grants[grant].0);
+                    ledger.settle_lost(grants[grant].0);
                     grants[grant].1 = false;
                 }
                 Step::Settle { .. } | Step::Lose(_) => {}
@@ -134,7 +134,7 @@
     let mut ledger = Ledger::with_split(RetryAllowance::new(4), AllowanceSplit::FairShare);
     let lost = ledger.grant(2);
     let responded = ledger.grant(1);
-    ledger.lose(lost);
+    ledger.settle_lost(lost);
     assert_eq!(ledger.settle(lost, lost.allowance()), Settlement::Ignored);
     let result = ledger.settle(responded, RetryAllowance::new(u16::MAX));
     assert_eq!(result, Settlement::Settled(RetryAllowance::new(2)));
--- a/crates/core/tests/retry_support/call_tree.rs
+++ b/crates/core/tests/retry_support/call_tree.rs
@@ -8,7 +8,7 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::retry::{
     AllowanceSplit, BudgetSettings, DestinationBudget, FailureLocation, Grant, Ledger,
-    RetryDecision, RetryQuestion, authorize,
+    RetryDecision, RetryInput, authorize,
 };
 use wharfquay_core::time::Timestamp;
 
@@ -235,7 +235,7 @@
         let call = &mut self.calls[caller];
         let chosen = self.rng.random_range(0..call.waiting.len());
         let grant = call.waiting.swap_remove(chosen);
-        call.ledger.lose(grant);
+        call.ledger.settle_lost(grant);
         self.consider_retry(caller, ResultCode::ConnectionLost);
     }
 
@@ -246,7 +246,7 @@
     }
 
     fn consider_retry(&mut self, caller: usize, code: ResultCode) {
-        let question = RetryQuestion {
+        let question = RetryInput {
             now: Timestamp::ZERO,
             deadline: Timestamp::from_millis(1_000_000),
             code,
--- a/crates/core/tests/routing_learning.rs
+++ b/crates/core/tests/routing_learning.rs
@@ -24,7 +24,7 @@
 const HEALTHY: Behaviour = Behaviour {
     latency_ms: 10,
     outcome: OutcomeClass::Run,
-    error_answer: false,
+    error_response: false,
     overloaded: false,
     reported: Reported::Actual(2),
 };
@@ -34,7 +34,7 @@
 struct Behaviour {
     latency_ms: u64,
     outcome: OutcomeClass,
-    error_answer: bool,
+    error_response: bool,
     overloaded: bool,
     reported: Reported,
 }
@@ -134,7 +134,7 @@
                 Reported::Fixed(fixed) => fixed,
             };
             let observation = Observation {
-                error_answer: call.behaviour.error_answer,
+                error_response: call.behaviour.error_response,
                 latency: Duration::from_millis(call.behaviour.latency_ms),
                 outcome: call.behaviour.outcome,
                 overloaded: call.behaviour.overloaded,
@@ -160,7 +160,7 @@
     fn fail(&mut self, name: &str, calls: u32) {
         let endpoint = EndpointId::from(name);
         let lost = Observation {
-            error_answer: false,
+            error_response: false,
             latency: Duration::from_millis(10),
             outcome: OutcomeClass::Unknown,
             overloaded: false,
@@ -213,13 +213,13 @@
     let refusing_reports_idle = Behaviour {
         latency_ms: 1,
         outcome: OutcomeClass::NotRun,
-        error_answer: false,
+        error_response: false,
         overloaded: true,
         reported: Reported::Fixed(0),
     };
     let fast_failure = Behaviour {
         latency_ms: 1,
-        error_answer: true,
+        error_response: true,
         reported: Reported::Fixed(0),
         ..HEALTHY
     };
@@ -434,7 +434,7 @@
         router.set_endpoints(now, vec![listed.clone()]);
         router.dispatched(now, &listed.id);
         let closed = Observation {
-            error_answer: false,
+            error_response: false,
             latency: Duration::from_millis(10),
             outcome: OutcomeClass::Run,
             overloaded: false,
@@ -443,7 +443,7 @@
         };
         router.observe(now, &listed.id, closed);
         for incarnation in incarnations {
-            router.heard_incarnation(now, &listed.id, *incarnation);
+            router.record_incarnation(now, &listed.id, *incarnation);
         }
         let status = router
             .endpoint_statuses(now)
--- a/crates/core/tests/routing_pick.rs
+++ b/crates/core/tests/routing_pick.rs
@@ -73,7 +73,7 @@
     let level = prop::option::of((0..=32_768_u16).prop_map(AdmissionLevel::new));
     (outcome, any::<bool>(), level, 0..20_u32).prop_map(|(outcome, overloaded, level, load)| {
         Observation {
-            error_answer: false,
+            error_response: false,
             latency: Duration::from_millis(u64::from(load)),
             outcome,
             overloaded,
--- a/crates/core/tests/routing_refusal.rs
+++ b/crates/core/tests/routing_refusal.rs
@@ -17,7 +17,7 @@
 const SEED: u64 = 12;
 const NOW: Timestamp = Timestamp::from_millis(10_000);
 const REFUSAL: Observation = Observation {
-    error_answer: false,
+    error_response: false,
     latency: Duration::from_millis(1),
     outcome: OutcomeClass::NotRun,
     overloaded: true,
--- a/crates/daemon/src/control/claims/coordinate.rs
+++ b/crates/daemon/src/control/claims/coordinate.rs
@@ -7,7 +7,7 @@
 use wharfquay_core::idempotency::claim::coordinator::{
     ClaimedRequest, Coordinator, CoordinatorEffect, CoordinatorSettings, ExecutionOutcome,
 };
-use wharfquay_core::idempotency::claim::message::{Fingerprint, RecordedAnswer};
+use wharfquay_core::idempotency::claim::message::{Fingerprint, RecordedResponse};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::time::Timestamp;
 
@@ -33,7 +33,7 @@
     /// Dispatch the call.
     Dispatch(DispatchPermit),
     /// Replay the recorded response of an earlier request with the same key.
-    Replay(RecordedAnswer),
+    Replay(RecordedResponse),
     /// Refuse the call.
     Refuse(Failure),
 }
--- a/crates/daemon/src/edge/claimed.rs
+++ b/crates/daemon/src/edge/claimed.rs
@@ -15,7 +15,7 @@
 use sha2::{Digest, Sha256};
 use wharfquay_core::call::{CallContext, IdempotencyKey};
 use wharfquay_core::idempotency::claim::coordinator::ExecutionOutcome;
-use wharfquay_core::idempotency::claim::message::{Fingerprint, RecordedAnswer};
+use wharfquay_core::idempotency::claim::message::{Fingerprint, RecordedResponse};
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::time::Timestamp;
 use wharfquay_resources::kinds::RequestKind;
@@ -161,7 +161,7 @@
 ) -> (ExecutionOutcome, Result<Response<AnswerBody>, Failure>) {
     let (parts, mut rest) = response.into_parts();
     let status = parts.status.as_u16();
-    let executed = |content| ExecutionOutcome::Run(RecordedAnswer { status, content });
+    let executed = |content| ExecutionOutcome::Run(RecordedResponse { status, content });
     let mut body = BytesMut::new();
     while let Some(frame) = rest.frame().await {
         let Ok(frame) = frame else {
@@ -222,7 +222,7 @@
 }
 
 /// Converts a recorded response into the response for the caller.
-fn replay(recorded: &RecordedAnswer) -> Result<Response<AnswerBody>, Failure> {
+fn replay(recorded: &RecordedResponse) -> Result<Response<AnswerBody>, Failure> {
     let stored = recorded.content.as_ref();
     let stored = stored.and_then(|bytes| ciborium::from_reader(bytes.as_slice()).ok());
     let stored: StoredResponse = stored.ok_or_else(|| Failure::new(ResultCode::AnsweredEarlier))?;
--- a/crates/daemon/src/outbound/attempt.rs
+++ b/crates/daemon/src/outbound/attempt.rs
@@ -159,7 +159,7 @@
     started: Timestamp,
     metadata: Option<WireAnswer>,
     /// True if the backend's response has a 5xx status.
-    error_answer: bool,
+    error_response: bool,
     ended: bool,
 }
 
@@ -171,7 +171,7 @@
             clock,
             started: clock.now(),
             metadata: None,
-            error_answer: false,
+            error_response: false,
             ended: false,
         }
     }
@@ -182,7 +182,7 @@
 
     /// Records the status of the backend's response when its head arrives.
     pub(crate) fn record_response(&mut self, status: StatusCode) {
-        self.error_answer = status.is_server_error();
+        self.error_response = status.is_server_error();
     }
 
     /// Reports that the attempt failed without a response of the backend.
@@ -202,7 +202,7 @@
         let observation = Observation {
             latency: now.saturating_since(self.started),
             outcome,
-            error_answer: self.error_answer,
+            error_response: self.error_response,
             overloaded,
             load: self.metadata.map(|metadata| ReportedLoad {
                 in_flight: metadata.in_flight,
@@ -234,7 +234,7 @@
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         if !self.ended {
-            self.route.abandoned(&self.target.id);
+            self.route.discard_attempt(&self.target.id);
         }
     }
 }
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -8,7 +8,7 @@
 use wharfquay_core::call::Repeatability;
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::priority::AdmissionLevel;
-use wharfquay_core::retry::{FailureLocation, Grant, RetryDecision, RetryQuestion};
+use wharfquay_core::retry::{FailureLocation, Grant, RetryDecision, RetryInput};
 use wharfquay_core::routing::EndpointId;
 use wharfquay_core::time::Timestamp;
 use wharfquay_protocol::answer::WireAnswer;
@@ -295,7 +295,7 @@
         let key = call.context.admission_key();
         let mut ledger = lock(&call.account.ledger);
         let backoff = &call.account.backoff;
-        let question = RetryQuestion {
+        let question = RetryInput {
             now,
             deadline: call.context.deadline,
             code: failure.code,
@@ -316,7 +316,7 @@
     match outcome {
         GrantOutcome::Unspent => ledger.settle(grant, grant.allowance()),
         GrantOutcome::Returned(returned) => ledger.settle(grant, returned),
-        GrantOutcome::Lost => ledger.lose(grant),
+        GrantOutcome::Lost => ledger.settle_lost(grant),
     };
 }
 
--- a/crates/daemon/src/outbound/routes.rs
+++ b/crates/daemon/src/outbound/routes.rs
@@ -7,7 +7,7 @@
 
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel};
 use wharfquay_core::retry::{
-    BudgetSettings, DestinationBudget, Ledger, RetryDecision, RetryQuestion, authorize,
+    BudgetSettings, DestinationBudget, Ledger, RetryDecision, RetryInput, authorize,
 };
 use wharfquay_core::routing::{
     Endpoint, EndpointId, Observation, Pick, PickRequest, Router, RouterSettings, SubsetSettings,
@@ -183,8 +183,8 @@
     }
 
     /// Records a cancelled attempt, whose result shows nothing about the endpoint.
-    pub(crate) fn abandoned(&self, endpoint: &EndpointId) {
-        lock(&self.state).router.abandoned(endpoint);
+    pub(crate) fn discard_attempt(&self, endpoint: &EndpointId) {
+        lock(&self.state).router.discard_attempt(endpoint);
     }
 
     /// Stops sending calls to an endpoint that refused one because it is leaving.
@@ -198,7 +198,7 @@
     }
 
     /// Decides whether to retry and, if so, charges the ledger and the destination budget.
-    pub(crate) fn authorize(&self, question: &RetryQuestion, ledger: &mut Ledger) -> RetryDecision {
+    pub(crate) fn authorize(&self, question: &RetryInput, ledger: &mut Ledger) -> RetryDecision {
         authorize(question, ledger, &mut lock(&self.state).budget)
     }
 
@@ -241,7 +241,7 @@
             known.started_at = Some(now);
         }
         known.incarnation = known.incarnation.max(incarnation);
-        self.router.heard_incarnation(now, endpoint, incarnation);
+        self.router.record_incarnation(now, endpoint, incarnation);
     }
 
     fn apply(&mut self, now: Timestamp, plan: &RouteConfig) {
--- a/crates/emulator/src/simulator/call_path/engine/outgoing.rs
+++ b/crates/emulator/src/simulator/call_path/engine/outgoing.rs
@@ -284,7 +284,7 @@
         let returned = answer.metadata.map(|metadata| metadata.returned);
         self.with_ledger(id, |ledger| match returned {
             Some(returned) => ledger.settle(attempt.grant, returned),
-            None => ledger.lose(attempt.grant),
+            None => ledger.settle_lost(attempt.grant),
         });
         let Some(outgoing) = self.outgoing.get(id) else {
             return;
@@ -341,7 +341,7 @@
             return;
         };
         if let Some(attempt) = outgoing.attempt {
-            self.nodes[outgoing.node].routers[outgoing.service].abandoned(&attempt.endpoint);
+            self.nodes[outgoing.node].routers[outgoing.service].discard_attempt(&attempt.endpoint);
             self.cancel_execution(attempt.execution);
         }
         self.drop_reference(outgoing.request);
@@ -431,7 +431,7 @@
     Observation {
         latency: now.saturating_since(attempt.sent),
         outcome,
-        error_answer: false,
+        error_response: false,
         overloaded,
         load: metadata.map(|metadata| ReportedLoad {
             in_flight: metadata.load.in_flight,
--- a/crates/emulator/src/simulator/call_path/engine/retries.rs
+++ b/crates/emulator/src/simulator/call_path/engine/retries.rs
@@ -4,7 +4,7 @@
 
 use wharfquay_core::call::RetryAllowance;
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
-use wharfquay_core::retry::{Backoff, FailureLocation, RetryDecision, RetryQuestion, authorize};
+use wharfquay_core::retry::{Backoff, FailureLocation, RetryDecision, RetryInput, authorize};
 use wharfquay_core::routing::PickRequest;
 
 use super::Engine;
@@ -73,7 +73,7 @@
         let repeatability = self.layout.kinds[request.kind].repeatability;
         let deadline = request.deadline;
         let backoff = Backoff::default().delay(retries, &mut self.routing_rng);
-        let question = RetryQuestion {
+        let question = RetryInput {
             now: self.now,
             deadline,
             code,
--- a/crates/protocol/examples/claim_costs.rs
+++ b/crates/protocol/examples/claim_costs.rs
@@ -14,7 +14,7 @@
 };
 use wharfquay_core::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId};
 use wharfquay_core::idempotency::claim::message::{
-    Claim, ClaimId, Fingerprint, RecordedAnswer, ReplicaRequest, Store,
+    Claim, ClaimId, Fingerprint, RecordedResponse, ReplicaRequest, Store,
 };
 use wharfquay_core::idempotency::claim::replica::{Replica, ReplicaSettings};
 use wharfquay_core::idempotency::clock::{KeyWindow, UnixMillis};
@@ -50,8 +50,8 @@
     ExecutionOutcome::Run(answer(ANSWER_BYTES))
 }
 
-fn answer(bytes: usize) -> RecordedAnswer {
-    RecordedAnswer {
+fn answer(bytes: usize) -> RecordedResponse {
+    RecordedResponse {
         status: 201,
         content: Some(vec![7; bytes].into()),
     }
@@ -158,7 +158,7 @@
         claim: ClaimId::from_u128(number.into()),
         record: OutcomeRecord {
             fingerprint: Fingerprint::from_u128(1),
-            outcome: RecordedOutcome::Answered(answer(bytes)),
+            outcome: RecordedOutcome::Responded(answer(bytes)),
         },
     }
 }
--- a/crates/sidecar/src/inbound/backend.rs
+++ b/crates/sidecar/src/inbound/backend.rs
@@ -163,7 +163,7 @@
     /// Number of repeats that the backend may still receive in the current window.
     #[must_use]
     pub fn repeats_left(&self) -> u64 {
-        lock(&self.repeats).left(self.clock.now())
+        lock(&self.repeats).remaining(self.clock.now())
     }
 
     /// Applies the service's settings from the configuration.
--- a/crates/sidecar/src/outbound/attempt.rs
+++ b/crates/sidecar/src/outbound/attempt.rs
@@ -252,7 +252,7 @@
         let seen = Observation {
             latency: now.saturating_since(self.started),
             outcome,
-            error_answer: status.is_server_error(),
+            error_response: status.is_server_error(),
             overloaded,
             load: load.filter(|load| load.limit > 0),
             level: completed.metadata.map(|metadata| metadata.level),
@@ -264,7 +264,7 @@
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         if !self.is_observed {
-            self.router.abandoned(&self.target.id);
+            self.router.discard_attempt(&self.target.id);
         }
     }
 }
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -11,7 +11,7 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel};
 use wharfquay_core::retry::{
-    Backoff, FailureLocation, GiveUpReason, Grant, Ledger, RetryDecision, RetryQuestion, decide,
+    Backoff, FailureLocation, GiveUpReason, Grant, Ledger, RetryDecision, RetryInput, decide,
 };
 use wharfquay_core::routing::EndpointId;
 use wharfquay_core::time::Timestamp;
@@ -426,7 +426,7 @@
             return Err(NoRetry::AttemptsSpent);
         }
         let mut ledger = lock(&call.ledger);
-        let question = RetryQuestion {
+        let question = RetryInput {
             now,
             deadline: call.context.deadline,
             code: failure.code,
@@ -451,7 +451,7 @@
     let mut ledger = lock(ledger);
     match outcome.returned {
         Some(returned) => ledger.settle(grant, returned),
-        None => ledger.lose(grant),
+        None => ledger.settle_lost(grant),
     };
 }
 
--- a/crates/sidecar/src/outbound/routing.rs
+++ b/crates/sidecar/src/outbound/routing.rs
@@ -154,8 +154,8 @@
     }
 
     /// Records the end of an attempt that provides no information about the endpoint.
-    pub fn abandoned(&self, endpoint: &EndpointId) {
-        lock(&self.state).router.abandoned(endpoint);
+    pub fn discard_attempt(&self, endpoint: &EndpointId) {
+        lock(&self.state).router.discard_attempt(endpoint);
     }
 
     /// Stops calls to an endpoint for a while after it refused one because it can't take any.
