--- a/crates/emulator/src/experiment/start.rs
+++ b/crates/emulator/src/experiment/start.rs
@@ -82,7 +82,7 @@
 /// [`ScenarioError`] when an option is out of range.
 pub fn run(options: &ControlOptions) -> Result<StartReport, ScenarioError> {
     let ways = [
-        ("an entry for each", DirectorySettings::of_all_members()),
+        ("an entry for each", DirectorySettings::register_all()),
         ("a bounded number", DirectorySettings::default()),
     ];
     let figures = ways.map(|(way, settings)| run_way(options, way, &settings));
--- a/crates/emulator/src/simulator/control/daemon.rs
+++ b/crates/emulator/src/simulator/control/daemon.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 use wharfquay_core::time::Timestamp;
 use wharfquay_membership::counters::Counters;
-use wharfquay_membership::directory::Enrolment;
+use wharfquay_membership::directory::DirectoryRegistration;
 use wharfquay_membership::node::Node;
 
 /// Messages that wait for a frozen process, as in a socket's buffer.
@@ -56,7 +56,7 @@
     /// The relay has asked this reader for a whole configuration.
     pub(super) whole_wanted: bool,
     /// The process's part in the platform's directory.
-    pub(super) enrolment: Option<Enrolment>,
+    pub(super) registration: Option<DirectoryRegistration>,
     /// Randomness of the process.
     pub(super) random: Pcg64Mcg,
     waiting: VecDeque<(usize, Vec<u8>)>,
@@ -78,7 +78,7 @@
             highest_in_force: 0,
             watched_revision: 0,
             whole_wanted: false,
-            enrolment: None,
+            registration: None,
             random: Pcg64Mcg::seed_from_u64(seed ^ number.wrapping_mul(STEP)),
             waiting: VecDeque::new(),
             earlier_processes: Traffic::default(),
@@ -94,7 +94,7 @@
         self.in_force = 0;
         self.watched_revision = 0;
         self.whole_wanted = false;
-        self.enrolment = None;
+        self.registration = None;
         self.waiting.clear();
     }
 
--- a/crates/emulator/src/simulator/control/directory.rs
+++ b/crates/emulator/src/simulator/control/directory.rs
@@ -7,7 +7,7 @@
 use rand::seq::SliceRandom;
 use wharfquay_core::time::Timestamp;
 use wharfquay_membership::directory::{
-    DirectorySettings, DirectoryStep, Enrolment, ListingAge, OwnEntry,
+    DirectoryRegistration, DirectorySettings, DirectoryStep, EntryState, ListingFreshness,
 };
 use wharfquay_membership::gossip::Seed;
 
@@ -85,10 +85,10 @@
         now < self.refused_until && daemon * STEP % 100 < self.refused_percent
     }
 
-    fn list(&mut self, now: Timestamp, age: ListingAge) -> Vec<usize> {
+    fn list(&mut self, now: Timestamp, age: ListingFreshness) -> Vec<usize> {
         let (oldest, price) = match age {
-            ListingAge::MayBeStale => (self.staleness, STALE_PRICE),
-            ListingAge::Latest => (Duration::ZERO, 1.0),
+            ListingFreshness::MayBeStale => (self.staleness, STALE_PRICE),
+            ListingFreshness::Latest => (Duration::ZERO, 1.0),
         };
         let entries = self.entries.iter();
         let shown = entries.filter(|(_, written_at)| **written_at + oldest <= now);
@@ -119,14 +119,14 @@
         };
         let daemon = &mut self.daemons[index];
         let id = self.topology.profile(index).id;
-        let enrolment = Enrolment::new(
+        let registration = DirectoryRegistration::new(
             directory.settings.clone(),
             id,
             directory.is_first_start,
             self.now,
             &mut daemon.random,
         );
-        daemon.enrolment = Some(enrolment);
+        daemon.registration = Some(registration);
         let process = daemon.process;
         let daemon = index;
         self.schedule(self.now, Event::Directory { daemon, process });
@@ -142,8 +142,8 @@
         for index in 0..self.daemons.len() {
             let daemon = &mut self.daemons[index];
             let heard_at = now + super::random_delay(delay, &mut daemon.random);
-            if let Some(enrolment) = daemon.enrolment.as_mut() {
-                enrolment.store_restored(heard_at, &mut daemon.random);
+            if let Some(registration) = daemon.registration.as_mut() {
+                registration.on_store_restored(heard_at, &mut daemon.random);
                 let process = daemon.process;
                 let daemon = index;
                 self.schedule(heard_at, Event::Directory { daemon, process });
@@ -158,24 +158,24 @@
         let (Some(node), Some(directory)) = (&daemon.node, &mut self.directory) else {
             return;
         };
-        let Some(enrolment) = daemon.enrolment.as_mut() else {
+        let Some(registration) = daemon.registration.as_mut() else {
             return;
         };
         if daemon.process != process {
             return;
         }
         let random = &mut daemon.random;
-        let next_at = match enrolment.next(now, node.table()) {
+        let next_at = match registration.next(now, node.table()) {
             DirectoryStep::WaitUntil(at) => at,
-            DirectoryStep::Enter => {
+            DirectoryStep::Register => {
                 let is_written = directory.enter(now, index);
-                enrolment.entered(now, is_written, random);
+                registration.on_registration_result(now, is_written, random);
                 now + ANSWER_TIME
             }
-            DirectoryStep::Look(age) => {
+            DirectoryStep::List(age) => {
                 let shown = directory.list(now, age);
                 if directory.refuses(now, index) {
-                    enrolment.look_failed(now, random);
+                    registration.on_listing_failed(now, random);
                 } else {
                     self.take_listing(index, shown);
                 }
@@ -190,12 +190,12 @@
         let now = self.now;
         let daemon = &mut self.daemons[index];
         let own = match shown.contains(&index) {
-            true => OwnEntry::Current,
-            false => OwnEntry::Missing,
+            true => EntryState::Current,
+            false => EntryState::Missing,
         };
         shown.retain(|other| *other != index);
-        if let Some(enrolment) = daemon.enrolment.as_mut() {
-            enrolment.listed(now, own, shown.len(), &mut daemon.random);
+        if let Some(registration) = daemon.registration.as_mut() {
+            registration.on_listing(now, own, shown.len(), &mut daemon.random);
         }
         shown.shuffle(&mut daemon.random);
         let seeds = shown.iter().take(MAX_SEEDS).map(|other| Seed {
--- a/crates/emulator/tests/directory_start.rs
+++ b/crates/emulator/tests/directory_start.rs
@@ -2,7 +2,7 @@
 
 use wharfquay_emulator::experiment::propagation::ControlOptions;
 use wharfquay_emulator::experiment::start::{self, PhaseFigures, WayFigures};
-use wharfquay_membership::directory::{DirectorySettings, ENTRIES};
+use wharfquay_membership::directory::{DIRECTORY_ENTRIES, DirectorySettings};
 
 /// Several times as many as the directory keeps entries.
 const DAEMONS: usize = 320;
@@ -30,7 +30,7 @@
 fn the_directory_does_not_grow_with_the_deployment() {
     let way = bounded_way(DAEMONS, 3);
     for phase in &way.phases {
-        let most = ENTRIES + DAEMONS / 4;
+        let most = DIRECTORY_ENTRIES + DAEMONS / 4;
         assert!(phase.entries <= most, "{phase:?}");
     }
     let first = phase(&way, "first start");
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -27,7 +27,7 @@
 /// Number of directory entries that are maintained if the deployment has at least as many members.
 /// Starting members spread their first contacts over the entries. The number leaves enough of them
 /// if most of the registered members have departed.
-pub const ENTRIES: usize = 80;
+pub const DIRECTORY_ENTRIES: usize = 80;
 
 /// Number of entries, registration probabilities and poll intervals.
 #[derive(Clone, Debug, PartialEq)]
@@ -59,7 +59,7 @@
 impl Default for DirectorySettings {
     fn default() -> Self {
         Self {
-            entries: ENTRIES,
+            entries: DIRECTORY_ENTRIES,
             first_start: RegistrationSchedule {
                 probabilities: vec![1.0 / 16.0, 1.0 / 16.0, 1.0 / 8.0, 0.5, 1.0],
                 poll_interval: Duration::from_secs(1),
@@ -81,7 +81,7 @@
 impl DirectorySettings {
     /// Settings under which every member registers immediately.
     #[must_use]
-    pub fn of_all_members() -> Self {
+    pub fn register_all() -> Self {
         let immediate = RegistrationSchedule {
             probabilities: vec![1.0],
             poll_interval: Duration::from_millis(250),
@@ -118,7 +118,7 @@
 
 /// Required freshness of a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListingAge {
+pub enum ListingFreshness {
     /// The listing may be seconds old.
     MayBeStale,
     /// The listing includes every write acknowledged before the request.
@@ -128,18 +128,18 @@
 /// The next action for the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectoryStep {
-    /// List the directory and pass the result to [`Enrolment::listed`] or
-    /// [`Enrolment::look_failed`].
-    Look(ListingAge),
-    /// Write this member's entry and pass the result to [`Enrolment::entered`].
-    Enter,
-    /// Call [`Enrolment::next`] again at this time, or when the store has been restored.
+    /// List the directory and pass the result to [`DirectoryRegistration::on_listing`] or
+    /// [`DirectoryRegistration::on_listing_failed`].
+    List(ListingFreshness),
+    /// Write this member's entry and pass the result to [`DirectoryRegistration::on_registration_result`].
+    Register,
+    /// Call [`DirectoryRegistration::next`] again at this time, or when the store has been restored.
     WaitUntil(Timestamp),
 }
 
 /// State of this member's entry in a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnEntry {
+pub enum EntryState {
     /// The listing has no such entry.
     Missing,
     /// The entry has the expected content.
@@ -150,7 +150,7 @@
 
 /// Registration state of one member in the directory.
 #[derive(Clone, Debug)]
-pub struct Enrolment {
+pub struct DirectoryRegistration {
     settings: DirectorySettings,
     schedule: RegistrationSchedule,
     id: MemberId,
@@ -160,7 +160,7 @@
     /// Number of draws made so far for registering.
     draws: u32,
     /// Freshness of the listing requested last.
-    requested_age: ListingAge,
+    requested_freshness: ListingFreshness,
     /// True if the directory must be polled even though others have already made contact: the entry
     /// of an earlier instance may still be there, and members that start together base some
     /// decisions on the same listing.
@@ -178,7 +178,7 @@
     members_at_last_selection: Option<usize>,
 }
 
-impl Enrolment {
+impl DirectoryRegistration {
     /// Creates the state of a member that starts now. `is_first_start` is true if the whole
     /// deployment starts for the first time, which rules out entries of earlier instances.
     pub fn new(
@@ -192,14 +192,14 @@
             true => settings.first_start.clone(),
             false => settings.later_start.clone(),
         };
-        let mut enrolment = Self {
+        let mut registration = Self {
             schedule,
             next_at: now + jitter(settings.max_first_poll_delay, rng),
             retry_delay: settings.initial_retry_delay,
             id,
             polls: 0,
             draws: 0,
-            requested_age: ListingAge::MayBeStale,
+            requested_freshness: ListingFreshness::MayBeStale,
             must_poll: !is_first_start,
             knows_other_members: false,
             has_listed_others: false,
@@ -210,12 +210,12 @@
         };
         if is_first_start {
             // The directory is still empty, so the first poll is skipped.
-            enrolment.entry_due = enrolment.draw_registration(rng);
-            if !enrolment.entry_due {
-                enrolment.schedule_next_poll(now, rng);
+            registration.entry_due = registration.draw_registration(rng);
+            if !registration.entry_due {
+                registration.schedule_next_poll(now, rng);
             }
         }
-        enrolment
+        registration
     }
 
     /// Returns the next action at `now`.
@@ -224,34 +224,40 @@
             return DirectoryStep::WaitUntil(self.next_at);
         }
         if self.entry_due {
-            return DirectoryStep::Enter;
+            return DirectoryStep::Register;
         }
         let members = table.live_count();
         if members <= 1 || self.must_poll {
             self.must_poll = false;
             self.knows_other_members = members > 1;
-            self.requested_age = self.listing_age();
-            return DirectoryStep::Look(self.requested_age);
+            self.requested_freshness = self.listing_age();
+            return DirectoryStep::List(self.requested_freshness);
         }
         self.review(now, table, members);
         if self.entry_due {
-            return DirectoryStep::Enter;
+            return DirectoryStep::Register;
         }
         self.next_at = now + self.settings.review_interval;
         DirectoryStep::WaitUntil(self.next_at)
     }
 
     /// Processes a listing: the state of this member's entry, and the number of other entries.
-    pub fn listed(&mut self, now: Timestamp, own: OwnEntry, others: usize, rng: &mut impl Rng) {
+    pub fn on_listing(
+        &mut self,
+        now: Timestamp,
+        own: EntryState,
+        others: usize,
+        rng: &mut impl Rng,
+    ) {
         let is_alone = !self.knows_other_members && (others == 0 || self.has_listed_others);
         self.has_listed_others |= others > 0;
         match own {
-            OwnEntry::Current => self.has_entry = true,
-            OwnEntry::Different => self.entry_due = true,
+            EntryState::Current => self.has_entry = true,
+            EntryState::Different => self.entry_due = true,
             // The entry may have been written after the stale listing was made.
-            OwnEntry::Missing if self.has_entry && self.requested_age == ListingAge::MayBeStale => {
-            }
-            OwnEntry::Missing => {
+            EntryState::Missing
+                if self.has_entry && self.requested_freshness == ListingFreshness::MayBeStale => {}
+            EntryState::Missing => {
                 self.has_entry = false;
                 self.entry_due = is_alone && self.draw_registration(rng);
             }
@@ -264,12 +270,12 @@
     }
 
     /// Records that the platform returned no listing.
-    pub fn look_failed(&mut self, now: Timestamp, rng: &mut impl Rng) {
+    pub fn on_listing_failed(&mut self, now: Timestamp, rng: &mut impl Rng) {
         self.schedule_retry(now, rng);
     }
 
     /// Records whether the platform accepted this member's entry.
-    pub fn entered(&mut self, now: Timestamp, is_written: bool, rng: &mut impl Rng) {
+    pub fn on_registration_result(&mut self, now: Timestamp, is_written: bool, rng: &mut impl Rng) {
         self.has_entry |= is_written;
         self.entry_due = !is_written;
         if is_written {
@@ -282,7 +288,7 @@
 
     /// Records that the platform's store was restored from a backup, which may lack this member's
     /// entry.
-    pub fn store_restored(&mut self, now: Timestamp, rng: &mut impl Rng) {
+    pub fn on_store_restored(&mut self, now: Timestamp, rng: &mut impl Rng) {
         if self.has_entry {
             self.has_entry = false;
             self.entry_due = true;
@@ -293,15 +299,15 @@
 
     /// Returns the freshness to request. Once others are listed, a fresh listing would add little,
     /// since they still have to reply.
-    fn listing_age(&self) -> ListingAge {
+    fn listing_age(&self) -> ListingFreshness {
         let stale_polls = match self.has_listed_others {
             true => self.settings.stale_polls_after_listing,
             false => self.settings.stale_polls,
         };
         if self.polls < stale_polls {
-            ListingAge::MayBeStale
+            ListingFreshness::MayBeStale
         } else {
-            ListingAge::Latest
+            ListingFreshness::Latest
         }
     }
 
--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -8,7 +8,8 @@
 use rand_pcg::Pcg64Mcg;
 use wharfquay_core::time::Timestamp;
 use wharfquay_membership::directory::{
-    DirectorySettings, DirectoryStep, ENTRIES, Enrolment, ListingAge, OwnEntry,
+    DIRECTORY_ENTRIES, DirectoryRegistration, DirectorySettings, DirectoryStep, EntryState,
+    ListingFreshness,
 };
 use wharfquay_membership::member::{
     Incarnation, Liveness, Member, MemberId, MemberProfile, ZoneName,
@@ -47,17 +48,18 @@
     table
 }
 
-fn enrolment(number: usize, is_first_start: bool) -> (Enrolment, Pcg64Mcg) {
+fn registration(number: usize, is_first_start: bool) -> (DirectoryRegistration, Pcg64Mcg) {
     let mut random = Pcg64Mcg::seed_from_u64(u64::try_from(number).unwrap());
     let settings = DirectorySettings::default();
     let now = Timestamp::ZERO;
-    let enrolment = Enrolment::new(settings, id(number), is_first_start, now, &mut random);
-    (enrolment, random)
+    let registration =
+        DirectoryRegistration::new(settings, id(number), is_first_start, now, &mut random);
+    (registration, random)
 }
 
 /// Runs one member while the platform accepts every call. Returns its steps without the waits.
 fn run_member(
-    enrolment: &mut Enrolment,
+    registration: &mut DirectoryRegistration,
     random: &mut Pcg64Mcg,
     from: Timestamp,
     table: impl Fn(Timestamp) -> MemberTable,
@@ -66,17 +68,17 @@
     let mut steps = Vec::new();
     let mut now = from;
     while now < from + SIMULATED_TIME {
-        let step = enrolment.next(now, &table(now));
+        let step = registration.next(now, &table(now));
         match step {
             DirectoryStep::WaitUntil(at) => {
                 assert!(at > now, "the wait ends immediately");
                 now = at;
                 continue;
             }
-            DirectoryStep::Look(_) => {
-                enrolment.listed(now, OwnEntry::Missing, others_listed, random);
+            DirectoryStep::List(_) => {
+                registration.on_listing(now, EntryState::Missing, others_listed, random);
             }
-            DirectoryStep::Enter => enrolment.entered(now, true, random),
+            DirectoryStep::Register => registration.on_registration_result(now, true, random),
         }
         steps.push(step);
     }
@@ -86,7 +88,7 @@
 fn registrations(steps: &[DirectoryStep]) -> usize {
     steps
         .iter()
-        .filter(|step| **step == DirectoryStep::Enter)
+        .filter(|step| **step == DirectoryStep::Register)
         .count()
 }
 
@@ -95,9 +97,9 @@
     let members = 500;
     let all = table(members);
     let registered = (0..members).filter(|number| {
-        let (mut enrolment, mut random) = enrolment(*number, false);
+        let (mut registration, mut random) = registration(*number, false);
         let steps = run_member(
-            &mut enrolment,
+            &mut registration,
             &mut random,
             Timestamp::ZERO,
             |_| all.clone(),
@@ -106,23 +108,23 @@
         assert!(registrations(&steps) <= 1, "{steps:?}");
         registrations(&steps) == 1
     });
-    assert_eq!(registered.count(), ENTRIES);
+    assert_eq!(registered.count(), DIRECTORY_ENTRIES);
 }
 
 #[test]
 fn small_deployment_registers_every_member_once() {
     let all = table(12);
     for number in 0..12 {
-        let (mut enrolment, mut random) = enrolment(number, false);
+        let (mut registration, mut random) = registration(number, false);
         let steps = run_member(
-            &mut enrolment,
+            &mut registration,
             &mut random,
             Timestamp::ZERO,
             |_| all.clone(),
             0,
         );
-        let poll = DirectoryStep::Look(ListingAge::MayBeStale);
-        assert_eq!(steps, [poll, DirectoryStep::Enter]);
+        let poll = DirectoryStep::List(ListingFreshness::MayBeStale);
+        assert_eq!(steps, [poll, DirectoryStep::Register]);
     }
 }
 
@@ -130,10 +132,10 @@
 fn member_selected_only_while_its_table_is_small_does_not_register() {
     let last = (0..500)
         .find(|number| {
-            let (mut enrolment, mut random) = enrolment(*number, false);
+            let (mut registration, mut random) = registration(*number, false);
             let all = table(500);
             registrations(&run_member(
-                &mut enrolment,
+                &mut registration,
                 &mut random,
                 Timestamp::ZERO,
                 |_| all.clone(),
@@ -147,9 +149,9 @@
         known.extend([member(last)]);
         known
     };
-    let (mut enrolment, mut random) = enrolment(last, false);
+    let (mut registration, mut random) = registration(last, false);
     let steps = run_member(
-        &mut enrolment,
+        &mut registration,
         &mut random,
         Timestamp::ZERO,
         growing_table,
@@ -162,13 +164,13 @@
 fn few_of_many_isolated_members_register_at_their_first_poll() {
     let alone = table(1);
     let registered = (0..6_400).filter(|number| {
-        let (mut enrolment, mut random) = enrolment(*number, false);
+        let (mut registration, mut random) = registration(*number, false);
         let mut now = Timestamp::ZERO;
-        while let DirectoryStep::WaitUntil(at) = enrolment.next(now, &alone) {
+        while let DirectoryStep::WaitUntil(at) = registration.next(now, &alone) {
             now = at;
         }
-        enrolment.listed(now, OwnEntry::Missing, 0, &mut random);
-        enrolment.next(now, &alone) == DirectoryStep::Enter
+        registration.on_listing(now, EntryState::Missing, 0, &mut random);
+        registration.next(now, &alone) == DirectoryStep::Register
     });
     let registered = registered.count();
     assert!((300..500).contains(&registered), "{registered} of 6400");
@@ -177,9 +179,9 @@
 #[test]
 fn isolated_member_requests_fresh_listings_and_finally_registers() {
     let alone = table(1);
-    let (mut enrolment, mut random) = enrolment(7, false);
+    let (mut registration, mut random) = registration(7, false);
     let steps = run_member(
-        &mut enrolment,
+        &mut registration,
         &mut random,
         Timestamp::ZERO,
         |_| alone.clone(),
@@ -187,12 +189,14 @@
     );
     let polls: Vec<&DirectoryStep> = steps
         .iter()
-        .filter(|step| matches!(step, DirectoryStep::Look(_)))
+        .filter(|step| matches!(step, DirectoryStep::List(_)))
         .collect();
-    assert_eq!(*polls[0], DirectoryStep::Look(ListingAge::MayBeStale));
-    assert_eq!(*polls[1], DirectoryStep::Look(ListingAge::MayBeStale));
-    assert_eq!(*polls[2], DirectoryStep::Look(ListingAge::Latest));
-    let position = steps.iter().position(|step| *step == DirectoryStep::Enter);
+    assert_eq!(*polls[0], DirectoryStep::List(ListingFreshness::MayBeStale));
+    assert_eq!(*polls[1], DirectoryStep::List(ListingFreshness::MayBeStale));
+    assert_eq!(*polls[2], DirectoryStep::List(ListingFreshness::Latest));
+    let position = steps
+        .iter()
+        .position(|step| *step == DirectoryStep::Register);
     assert!(position.is_some_and(|position| position <= 5), "{steps:?}");
 }
 
@@ -200,15 +204,15 @@
 fn member_polls_again_before_registering_if_others_are_listed() {
     for number in 0..200 {
         let alone = table(1);
-        let (mut enrolment, mut random) = enrolment(number, false);
+        let (mut registration, mut random) = registration(number, false);
         let steps = run_member(
-            &mut enrolment,
+            &mut registration,
             &mut random,
             Timestamp::ZERO,
             |_| alone.clone(),
             3,
         );
-        let poll = DirectoryStep::Look(ListingAge::MayBeStale);
+        let poll = DirectoryStep::List(ListingFreshness::MayBeStale);
         assert_eq!(steps[..2], [poll, poll], "{number}");
     }
 }
@@ -216,13 +220,13 @@
 #[test]
 fn entry_changed_by_another_writer_is_rewritten() {
     let alone = table(1);
-    let (mut enrolment, mut random) = enrolment(1, false);
+    let (mut registration, mut random) = registration(1, false);
     let mut now = Timestamp::ZERO;
-    while let DirectoryStep::WaitUntil(at) = enrolment.next(now, &alone) {
+    while let DirectoryStep::WaitUntil(at) = registration.next(now, &alone) {
         now = at;
     }
-    enrolment.listed(now, OwnEntry::Different, 300, &mut random);
-    assert_eq!(enrolment.next(now, &alone), DirectoryStep::Enter);
+    registration.on_listing(now, EntryState::Different, 300, &mut random);
+    assert_eq!(registration.next(now, &alone), DirectoryStep::Register);
 }
 
 #[test]
@@ -230,38 +234,46 @@
     let all = table(500);
     let mut rewritten = 0;
     for number in 0..500 {
-        let (mut enrolment, mut random) = enrolment(number, false);
+        let (mut registration, mut random) = registration(number, false);
         let start = Timestamp::ZERO;
         let before = registrations(&run_member(
-            &mut enrolment,
+            &mut registration,
             &mut random,
             start,
             |_| all.clone(),
             0,
         ));
         let restored_at = start + SIMULATED_TIME;
-        enrolment.store_restored(restored_at, &mut random);
-        let steps = run_member(&mut enrolment, &mut random, restored_at, |_| all.clone(), 0);
+        registration.on_store_restored(restored_at, &mut random);
+        let steps = run_member(
+            &mut registration,
+            &mut random,
+            restored_at,
+            |_| all.clone(),
+            0,
+        );
         assert_eq!(registrations(&steps), before, "{number}: {steps:?}");
         rewritten += registrations(&steps);
     }
-    assert_eq!(rewritten, ENTRIES);
+    assert_eq!(rewritten, DIRECTORY_ENTRIES);
 }
 
 #[test]
 fn rejected_registration_is_retried_with_backoff() {
     let all = table(3);
-    let (mut enrolment, mut random) = enrolment(1, false);
+    let (mut registration, mut random) = registration(1, false);
     let mut now = Timestamp::ZERO;
     let mut attempts = 0;
     while now < Timestamp::ZERO + SIMULATED_TIME {
-        match enrolment.next(now, &all) {
+        match registration.next(now, &all) {
             DirectoryStep::WaitUntil(at) => now = at,
-            DirectoryStep::Enter => {
+            DirectoryStep::Register => {
                 attempts += 1;
-                enrolment.entered(now, false, &mut random);
+                registration.on_registration_result(now, false, &mut random);
+            }
+            DirectoryStep::List(_) => {
+                registration.on_listing(now, EntryState::Missing, 2, &mut random)
             }
-            DirectoryStep::Look(_) => enrolment.listed(now, OwnEntry::Missing, 2, &mut random),
         }
     }
     assert!((20..60).contains(&attempts), "{attempts}");
--- a/crates/sidecar/src/control/directory.rs
+++ b/crates/sidecar/src/control/directory.rs
@@ -1,5 +1,5 @@
 //! Discovery of other sidecars through the platform's directory: carries out the decisions of
-//! [`Enrolment`].
+//! [`DirectoryRegistration`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, watch};
 use wharfquay_daemon::clock::Clock;
 use wharfquay_membership::directory::{
-    DirectorySettings, DirectoryStep, Enrolment, ListingAge, OwnEntry,
+    DirectoryRegistration, DirectorySettings, DirectoryStep, EntryState, ListingFreshness,
 };
 use wharfquay_membership::member::MemberId;
 use wharfquay_membership::table::MemberTable;
@@ -33,7 +33,7 @@
     /// Reads the directory until gossip has discovered other sidecars, and maintains this sidecar's
     /// entry. Runs until the process terminates.
     pub(super) async fn run(self) {
-        let mut registration = Enrolment::new(
+        let mut registration = DirectoryRegistration::new(
             DirectorySettings::default(),
             MemberId::from(self.entry.id.as_str()),
             self.is_first_start,
@@ -47,42 +47,46 @@
                 DirectoryStep::WaitUntil(time) => tokio::select! {
                     () = self.clock.sleep_until(Some(time)) => {}
                     Ok(()) = eras.changed() => {
-                        registration.store_restored(self.clock.now(), &mut rand::rng());
+                        registration.on_store_restored(self.clock.now(), &mut rand::rng());
                     }
                 },
-                DirectoryStep::Look(age) => match self.list(age).await {
+                DirectoryStep::List(age) => match self.list(age).await {
                     Some(entries) => {
                         self.record_listing(&mut registration, &entries);
                         if self.seeds.send(entries).await.is_err() {
                             return;
                         }
                     }
-                    None => registration.look_failed(self.clock.now(), &mut rand::rng()),
+                    None => registration.on_listing_failed(self.clock.now(), &mut rand::rng()),
                 },
-                DirectoryStep::Enter => {
+                DirectoryStep::Register => {
                     let is_written = self.register().await;
-                    registration.entered(self.clock.now(), is_written, &mut rand::rng());
+                    registration.on_registration_result(
+                        self.clock.now(),
+                        is_written,
+                        &mut rand::rng(),
+                    );
                 }
             }
         }
     }
 
-    fn record_listing(&self, registration: &mut Enrolment, entries: &[DirectoryEntry]) {
+    fn record_listing(&self, registration: &mut DirectoryRegistration, entries: &[DirectoryEntry]) {
         let is_own = |entry: &&DirectoryEntry| entry.id == self.entry.id;
         let own = match entries.iter().find(is_own) {
-            None => OwnEntry::Missing,
-            Some(found) if *found == self.entry => OwnEntry::Current,
-            Some(_) => OwnEntry::Different,
+            None => EntryState::Missing,
+            Some(found) if *found == self.entry => EntryState::Current,
+            Some(_) => EntryState::Different,
         };
         let others = entries.iter().filter(|entry| !is_own(entry)).count();
-        registration.listed(self.clock.now(), own, others, &mut rand::rng());
+        registration.on_listing(self.clock.now(), own, others, &mut rand::rng());
     }
 
     /// Returns the entries of the directory; `None` if the call fails or times out.
-    async fn list(&self, age: ListingAge) -> Option<Vec<DirectoryEntry>> {
+    async fn list(&self, age: ListingFreshness) -> Option<Vec<DirectoryEntry>> {
         let freshness = match age {
-            ListingAge::MayBeStale => Freshness::MayBeStale,
-            ListingAge::Latest => Freshness::Latest,
+            ListingFreshness::MayBeStale => Freshness::MayBeStale,
+            ListingFreshness::Latest => Freshness::Latest,
         };
         let listing = self.platform.directory(freshness);
         let listed = tokio::time::timeout(REPLY_TIMEOUT, listing).await;
--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -17,7 +17,7 @@
 use wharfquay_core::time::Timestamp;
 use wharfquay_daemon::clock::Clock;
 use wharfquay_daemon::sync::lock;
-use wharfquay_membership::directory::ENTRIES;
+use wharfquay_membership::directory::DIRECTORY_ENTRIES;
 use wharfquay_membership::member::{MemberId, MemberState, rendezvous_score_for};
 use wharfquay_membership::table::MemberTable;
 
@@ -233,7 +233,7 @@
         let listed = self.listed.borrow();
         listed
             .as_ref()
-            .is_some_and(|listed| listed.len() >= ENTRIES)
+            .is_some_and(|listed| listed.len() >= DIRECTORY_ENTRIES)
     }
 
     fn has_other_readers(&self, readers: &[Peer]) -> bool {
--- a/crates/sidecar/src/quota/ring.rs
+++ b/crates/sidecar/src/quota/ring.rs
@@ -7,7 +7,7 @@
 
 use wharfquay_core::time::Timestamp;
 use wharfquay_daemon::sync::lock;
-use wharfquay_membership::directory::ENTRIES;
+use wharfquay_membership::directory::DIRECTORY_ENTRIES;
 use wharfquay_membership::member::{Member, MemberId, rendezvous_score_for};
 use wharfquay_membership::table::MemberTable;
 
@@ -98,7 +98,7 @@
                 not_alive_since: Some(now),
             });
         }
-        state.has_complete_directory = entries.len() < ENTRIES;
+        state.has_complete_directory = entries.len() < DIRECTORY_ENTRIES;
         state.owners.clear();
     }
 
