--- a/crates/daemon/src/control/gossip/mod.rs
+++ b/crates/daemon/src/control/gossip/mod.rs
@@ -197,7 +197,7 @@
                 self.node.on_store(now, &report, &mut rand::rng())
             }
             ReadResult::Unavailable => {
-                self.node.store_contact(false);
+                self.node.set_store_contact(false);
                 Vec::new()
             }
             ReadResult::Unusable => Vec::new(),
@@ -242,7 +242,7 @@
             // The subscribers learn of it from the configuration, which is published after the
             // effects.
             Effect::Ready(_) => {}
-            Effect::Read(read) => self.read_store(read),
+            Effect::SetReader(read) => self.read_store(read),
             Effect::ReadSnapshot => {
                 if let Some(reader) = &mut self.reader {
                     reader.request_snapshot();
@@ -299,7 +299,7 @@
 
     fn compact(&mut self, revision: u64) {
         match relay::encode(&*self.held) {
-            Ok(payload) => self.node.compacted(revision, payload),
+            Ok(payload) => self.node.provide_snapshot(revision, payload),
             Err(error) => log_event!(Event::ConfigurationNotEncoded, "error={}", Quoted(error)),
         }
     }
--- a/crates/emulator/src/simulator/control/faults.rs
+++ b/crates/emulator/src/simulator/control/faults.rs
@@ -178,7 +178,7 @@
     fn retry_store(&mut self, reader: usize, process: u32) {
         self.store.unwatch(reader);
         if let Some(node) = self.daemons[reader].node.as_mut() {
-            node.store_contact(false);
+            node.set_store_contact(false);
         }
         let at = self.now + STORE_RETRY;
         self.schedule(at, Event::StoreList { reader, process });
--- a/crates/emulator/src/simulator/control/measure.rs
+++ b/crates/emulator/src/simulator/control/measure.rs
@@ -112,7 +112,7 @@
     let memory = |index| {
         simulation
             .node(index)
-            .map_or(0.0, |node| node.memory() as f64)
+            .map_or(0.0, |node| node.memory_bytes() as f64)
     };
     Quantiles::of_values(simulation.running().map(memory).collect())
 }
--- a/crates/emulator/src/simulator/control/mod.rs
+++ b/crates/emulator/src/simulator/control/mod.rs
@@ -308,12 +308,12 @@
             Effect::AdoptSnapshot(snapshot) => self.put_in_force(index, snapshot.revision),
             Effect::AdoptDelta(delta) => self.put_in_force(index, delta.revision),
             Effect::Ready(revision) => self.note_ready(index, revision),
-            Effect::Read(true) => self.list_store(index),
+            Effect::SetReader(true) => self.list_store(index),
             Effect::ReadSnapshot => {
                 self.daemons[index].whole_wanted = true;
                 self.list_store(index);
             }
-            Effect::Read(false) => self.store.unwatch(index),
+            Effect::SetReader(false) => self.store.unwatch(index),
             Effect::StoreOlder { .. } => self.observations.older_store_reports += 1,
             Effect::Compact(revision) => self.compact(index, revision),
             Effect::Dropped { .. } => {}
@@ -380,7 +380,7 @@
     fn compact(&mut self, index: usize, revision: u64) {
         let payload = self.store.snapshot_at(revision).payload;
         if let Some(node) = self.daemons[index].node.as_mut() {
-            node.compacted(revision, payload);
+            node.provide_snapshot(revision, payload);
         }
     }
 
--- a/crates/emulator/tests/control_faults.rs
+++ b/crates/emulator/tests/control_faults.rs
@@ -402,7 +402,11 @@
         assert!(matches!(effects[..], [Effect::Dropped { .. }]), "{name}");
         let after = node.counters();
         assert_eq!(after.malformed - before.malformed, malformed, "{name}");
-        assert_eq!(after.foreign - before.foreign, foreign, "{name}");
+        assert_eq!(
+            after.rejected_foreign - before.rejected_foreign,
+            foreign,
+            "{name}"
+        );
         assert_eq!(after.messages_received, before.messages_received, "{name}");
     }
 }
--- a/crates/emulator/tests/control_plane.rs
+++ b/crates/emulator/tests/control_plane.rs
@@ -87,7 +87,7 @@
 fn only_a_few_daemons_read_the_store() {
     for (scenario, daemons) in [("lagos", None), ("gujarat", None), ("target", Some(200))] {
         let mut simulation = simulation(scenario, daemons);
-        let bound = Settings::default().readers;
+        let bound = Settings::default().max_readers;
         simulation.start_warm();
         simulation.run_for(Duration::from_secs(30));
         let readers = simulation.store.most_watchers();
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -15,7 +15,7 @@
     pub malformed: u64,
     /// Messages dropped because of another version, another deployment or this daemon's own sender
     /// id.
-    pub foreign: u64,
+    pub rejected_foreign: u64,
     /// Members that this daemon declared dead after a suspicion.
     pub declared_dead: u64,
     /// Updates about itself that this daemon refuted.
--- a/crates/membership/src/node/maintenance.rs
+++ b/crates/membership/src/node/maintenance.rs
@@ -52,7 +52,7 @@
         if should_read != self.reading {
             self.reading = should_read;
             self.relay.reports_mut().set_store_contact(None);
-            effects.push(Effect::Read(should_read));
+            effects.push(Effect::SetReader(should_read));
         }
         if self.gossip.delegate_rank().is_some() && now >= self.next_count_exchange {
             self.next_count_exchange = now + COUNT_EXCHANGE_INTERVAL;
@@ -193,9 +193,9 @@
             .filter(|zone| self.gossip.is_zone_reachable(now, zone))
             .collect();
         zones.sort_by_key(|zone| hash_bytes(zone.as_str().as_bytes()));
-        let per_zone = (self.settings.readers / zones.len().max(1))
-            .clamp(1, self.settings.readers_per_zone.max(1));
-        let zone_count = (self.settings.readers / per_zone).max(1);
+        let per_zone = (self.settings.max_readers / zones.len().max(1))
+            .clamp(1, self.settings.max_readers_per_zone.max(1));
+        let zone_count = (self.settings.max_readers / per_zone).max(1);
         if rank >= per_zone && !self.first_delegates_lack_store(now, rank) {
             return false;
         }
--- a/crates/membership/src/node/mod.rs
+++ b/crates/membership/src/node/mod.rs
@@ -54,7 +54,7 @@
     /// This daemon became ready with this configuration revision.
     Ready(u64),
     /// Start (`true`) or stop (`false`) reading the store.
-    Read(bool),
+    SetReader(bool),
     /// Read the whole configuration from the store.
     ReadSnapshot,
     /// The store reported a revision older than the one in force; its report is ignored.
@@ -64,7 +64,7 @@
         /// The revision in force.
         held: u64,
     },
-    /// Pass a snapshot of this revision, the one in force, to [`Node::compacted`].
+    /// Pass a snapshot of this revision, the one in force, to [`Node::provide_snapshot`].
     Compact(u64),
     /// A received message was dropped. For the log.
     Dropped {
@@ -204,8 +204,8 @@
 
     /// Returns the approximate memory of the member table and the configuration, in bytes.
     #[must_use]
-    pub fn memory(&self) -> usize {
-        self.table().memory() + self.relay.memory() + size_of::<Self>()
+    pub fn memory_bytes(&self) -> usize {
+        self.table().memory_bytes() + self.relay.memory_bytes() + size_of::<Self>()
     }
 
     /// Replaces the seeds, which come from the settings file and the machine list.
@@ -226,7 +226,7 @@
         report: &StoreReport,
         rng: &mut impl Rng,
     ) -> Vec<Effect> {
-        self.store_contact(true);
+        self.set_store_contact(true);
         let relay_effects = self.relay.on_store(now, report);
         let mut effects = Vec::new();
         let mut out = Vec::new();
@@ -239,7 +239,7 @@
     ///
     /// A change is reported to the other delegates of the zone immediately, since one of them may
     /// have to read instead.
-    pub fn store_contact(&mut self, contact: bool) {
+    pub fn set_store_contact(&mut self, contact: bool) {
         let reports = self.relay.reports_mut();
         if reports.store_contact() == Some(contact) {
             return;
@@ -250,8 +250,8 @@
     }
 
     /// Accepts a snapshot of the revision in force, as requested by [`Effect::Compact`].
-    pub fn compacted(&mut self, revision: u64, payload: Payload) {
-        self.relay.compacted(revision, payload);
+    pub fn provide_snapshot(&mut self, revision: u64, payload: Payload) {
+        self.relay.provide_snapshot(revision, payload);
     }
 
     /// Processes a received message. Malformed and foreign messages are counted and dropped.
@@ -280,7 +280,7 @@
         let message = match decoded {
             Ok(message) => message,
             Err(DecodeError::Version { found, .. }) => {
-                self.counters.foreign += 1;
+                self.counters.rejected_foreign += 1;
                 return Err(DropReason::ForeignVersion(found));
             }
             Err(error) => {
@@ -289,11 +289,11 @@
             }
         };
         if message.header.deployment != self.settings.deployment {
-            self.counters.foreign += 1;
+            self.counters.rejected_foreign += 1;
             return Err(DropReason::ForeignDeployment(message.header.deployment));
         }
         if message.header.from == self.me().profile.id {
-            self.counters.foreign += 1;
+            self.counters.rejected_foreign += 1;
             return Err(DropReason::OwnId);
         }
         Ok(message)
--- a/crates/membership/src/relay/log.rs
+++ b/crates/membership/src/relay/log.rs
@@ -108,7 +108,7 @@
 
     /// Returns the size of the held configuration, in bytes.
     #[must_use]
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let base = self
             .base
             .as_ref()
--- a/crates/membership/src/relay/mod.rs
+++ b/crates/membership/src/relay/mod.rs
@@ -64,7 +64,7 @@
         /// The revision in force.
         held: u64,
     },
-    /// Pass a snapshot of this revision, the one in force, to [`Relay::compacted`].
+    /// Pass a snapshot of this revision, the one in force, to [`Relay::provide_snapshot`].
     Compact(u64),
     /// Read a whole snapshot from the store. Requested when the store's changes leave a gap, and
     /// when its revision decreased, since its deltas may then not apply to the configuration in
@@ -156,8 +156,8 @@
 
     /// Returns the size of the configuration held for peers, in bytes.
     #[must_use]
-    pub fn memory(&self) -> usize {
-        self.log.memory()
+    pub fn memory_bytes(&self) -> usize {
+        self.log.memory_bytes()
     }
 
     /// Processes data that this daemon, as a reader, got from the store.
@@ -261,7 +261,7 @@
     }
 
     /// Accepts a snapshot of the revision in force, as requested by [`RelayEffect::Compact`].
-    pub fn compacted(&mut self, revision: u64, payload: Payload) {
+    pub fn provide_snapshot(&mut self, revision: u64, payload: Payload) {
         self.compaction_requested = false;
         self.log.compact(Snapshot { revision, payload });
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -32,9 +32,9 @@
     /// Minimum time without contact after which another zone counts as unreachable.
     pub min_zone_timeout: Duration,
     /// Maximum number of readers of the store in the whole deployment.
-    pub readers: usize,
+    pub max_readers: usize,
     /// Maximum number of readers of the store in one zone.
-    pub readers_per_zone: usize,
+    pub max_readers_per_zone: usize,
     /// Number of other zones to which a delegate pushes a configuration change.
     pub change_zone_fanout: usize,
     /// Number of members of the local zone to which a daemon pushes a configuration change.
@@ -77,8 +77,8 @@
             zone_sync_interval: Duration::from_secs(1),
             delegates: 3,
             min_zone_timeout: Duration::from_secs(15),
-            readers: 6,
-            readers_per_zone: 2,
+            max_readers: 6,
+            max_readers_per_zone: 2,
             change_zone_fanout: 3,
             change_fanout: 3,
             announcement_fanout: 6,
@@ -108,8 +108,8 @@
             max_readiness_wait: Duration::from_millis(2_000),
             // More delegates, which can read the platform if it refuses the readers.
             delegates: 8,
-            readers: 8,
-            readers_per_zone: 2,
+            max_readers: 8,
+            max_readers_per_zone: 2,
             announcement_delay: Duration::from_millis(50),
             bytes_per_second: 24_000,
             burst_bytes: 96_000,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -133,7 +133,7 @@
 
     /// Returns the approximate size of the table in bytes. Shared records are counted in full.
     #[must_use]
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.members().map(memory_of).sum()
     }
 }
--- a/crates/membership/tests/relay_adoption.rs
+++ b/crates/membership/tests/relay_adoption.rs
@@ -111,7 +111,7 @@
                     relay.on_header(now, &peer, revision, true)
                 }
                 Input::Compact => {
-                    relay.compacted(driver.in_force, payload(driver.in_force));
+                    relay.provide_snapshot(driver.in_force, payload(driver.in_force));
                     Vec::new()
                 }
                 Input::Wait(millis) => {
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -241,11 +241,11 @@
             ReaderEvent::Unchanged(requested_at) => {
                 self.confirmation
                     .confirm_by_platform(self.read_version, requested_at);
-                self.node.store_contact(true);
+                self.node.set_store_contact(true);
                 return Vec::new();
             }
             ReaderEvent::Unreachable => {
-                self.node.store_contact(false);
+                self.node.set_store_contact(false);
                 return Vec::new();
             }
         };
@@ -303,7 +303,7 @@
                 }
                 Effect::AdoptDelta(delta) => self.adopt(delta.revision, &delta.payload),
                 Effect::Ready(revision) => log_event!(Event::Ready, "version={revision}"),
-                Effect::Read(read) => {
+                Effect::SetReader(read) => {
                     self.chosen_to_read = read;
                     self.review_at = self.clock.now();
                 }
@@ -424,7 +424,7 @@
         };
         configuration.version = revision;
         // Every payload is a whole configuration, so a starting sidecar needs this one only.
-        self.node.compacted(revision, payload.clone());
+        self.node.provide_snapshot(revision, payload.clone());
         let routes = configuration.routes.len();
         let previous = self.channels.configuration.borrow().configuration.version;
         log_event!(
