--- a/crates/daemon/src/backend_pool/mod.rs
+++ b/crates/daemon/src/backend_pool/mod.rs
@@ -45,7 +45,7 @@
     Lost,
     /// The response is malformed, or the end of its body can't be distinguished from a lost
     /// connection.
-    MalformedAnswer,
+    MalformedResponse,
 }
 
 /// A pool of connections to one backend.
@@ -343,7 +343,7 @@
 
 fn classify(error: &hyper::Error) -> BackendError {
     if error.is_parse() {
-        BackendError::MalformedAnswer
+        BackendError::MalformedResponse
     } else {
         BackendError::Lost
     }
--- a/crates/daemon/src/body.rs
+++ b/crates/daemon/src/body.rs
@@ -22,7 +22,7 @@
     /// the deadline passed before the body was complete
     DeadlinePassed,
     /// the sender aborted the body
-    BrokenOff,
+    Truncated,
 }
 
 impl std::error::Error for BodyError {}
@@ -40,31 +40,31 @@
         rest: Incoming,
     },
     /// A body that another task reads from the sender.
-    Fed(FedBody),
+    Channel(ChannelBody),
 }
 
 /// A request body that another task reads from the sender and delivers in chunks.
 #[derive(Debug)]
-pub struct FedBody {
+pub struct ChannelBody {
     /// The chunks; closing the channel ends the body.
-    pub pieces: mpsc::Receiver<Result<Bytes, BodyError>>,
+    pub chunks: mpsc::Receiver<Result<Bytes, BodyError>>,
     /// Number of bytes still to be received; `None` if the sender did not state the length.
     pub remaining: Option<u64>,
     /// True once the body has ended.
     pub ended: bool,
 }
 
-impl FedBody {
+impl ChannelBody {
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let piece = ready!(self.pieces.poll_recv(context));
-        match &piece {
+        let chunk = ready!(self.chunks.poll_recv(context));
+        match &chunk {
             Some(Ok(bytes)) => {
                 let length = bytes.len() as u64;
                 self.remaining = self.remaining.map(|left| left.saturating_sub(length));
             }
             Some(Err(_)) | None => self.ended = true,
         }
-        Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+        Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
 
@@ -93,7 +93,7 @@
                 let frame = ready!(Pin::new(rest).poll_frame(context));
                 Poll::Ready(frame.map(|result| result.map_err(BodyError::Stream)))
             }
-            Self::Fed(body) => body.poll(context),
+            Self::Channel(body) => body.poll(context),
         }
     }
 
@@ -101,7 +101,7 @@
         match self {
             Self::Held(bytes) => bytes.is_none(),
             Self::Streamed { prefix, rest } => prefix.is_none() && rest.is_end_stream(),
-            Self::Fed(body) => body.ended,
+            Self::Channel(body) => body.ended,
         }
     }
 
@@ -109,7 +109,7 @@
         match self {
             Self::Held(bytes) => SizeHint::with_exact(length(bytes.as_ref())),
             Self::Streamed { prefix, rest } => prefixed(length(prefix.as_ref()), &rest.size_hint()),
-            Self::Fed(body) => body
+            Self::Channel(body) => body
                 .remaining
                 .map_or_else(SizeHint::new, SizeHint::with_exact),
         }
@@ -129,10 +129,10 @@
     bytes.map_or(0, |bytes| bytes.len() as u64)
 }
 
-/// How the body of a relayed response ended.
+/// How the body of a stream response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// The whole body was relayed.
+    /// The whole body was stream.
     Complete,
     /// The sender aborted the body, or the deadline passed.
     Failed,
@@ -148,17 +148,17 @@
 
 /// The body of a response to a caller. If the stream is aborted or the deadline passes, the body
 /// ends with an error, which keeps the receiver from taking a truncated body for a complete one.
-pub struct AnswerBody {
+pub struct ResponseBody {
     source: Source,
 }
 
 enum Source {
-    Own(Option<Bytes>),
-    Relayed(Relayed),
-    Resumed(Option<Bytes>, Box<AnswerBody>),
+    Buffered(Option<Bytes>),
+    IncomingStream(IncomingStream),
+    Prefixed(Option<Bytes>, Box<ResponseBody>),
 }
 
-struct Relayed {
+struct IncomingStream {
     incoming: Incoming,
     deadline: Pin<Box<Sleep>>,
     observers: Vec<Box<dyn BodyObserver>>,
@@ -166,21 +166,21 @@
     failure: Option<BodyError>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Creates a body from bytes that the daemon itself produced.
     #[must_use]
-    pub fn own(bytes: impl Into<Bytes>) -> Self {
+    pub fn from_bytes(bytes: impl Into<Bytes>) -> Self {
         let bytes = Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty());
         Self {
-            source: Source::Own(bytes),
+            source: Source::Buffered(bytes),
         }
     }
 
     /// Creates a body that streams `incoming` and fails at `deadline`.
     #[must_use]
-    pub fn relayed(incoming: Incoming, deadline: Instant) -> Self {
+    pub fn streamed(incoming: Incoming, deadline: Instant) -> Self {
         Self {
-            source: Source::Relayed(Relayed {
+            source: Source::IncomingStream(IncomingStream {
                 incoming,
                 deadline: Box::pin(tokio::time::sleep_until(deadline)),
                 observers: Vec::new(),
@@ -191,15 +191,15 @@
 
     /// Creates a body from a `prefix` that was already read and the rest.
     #[must_use]
-    pub fn resumed(prefix: Bytes, rest: Self) -> Self {
+    pub fn with_prefix(prefix: Bytes, rest: Self) -> Self {
         Self {
-            source: Source::Resumed(Some(prefix), Box::new(rest)),
+            source: Source::Prefixed(Some(prefix), Box::new(rest)),
         }
     }
 
     /// Removes a body that the daemon itself produced, for a response that must not have one.
     pub fn remove_local_body(&mut self) {
-        if let Source::Own(bytes) = &mut self.source {
+        if let Source::Buffered(bytes) = &mut self.source {
             *bytes = None;
         }
     }
@@ -208,14 +208,14 @@
     /// observer is called immediately.
     pub fn observe(&mut self, observer: Box<dyn BodyObserver>) {
         match &mut self.source {
-            Source::Own(_) => observer.ended(BodyEnd::Complete),
-            Source::Relayed(relayed) => relayed.observers.push(observer),
-            Source::Resumed(_, rest) => rest.observe(observer),
+            Source::Buffered(_) => observer.ended(BodyEnd::Complete),
+            Source::IncomingStream(stream) => stream.observers.push(observer),
+            Source::Prefixed(_, rest) => rest.observe(observer),
         }
     }
 }
 
-impl Relayed {
+impl IncomingStream {
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(failure) = self.failure.take() {
             self.end(BodyEnd::Failed);
@@ -254,7 +254,7 @@
     }
 }
 
-impl Drop for Relayed {
+impl Drop for IncomingStream {
     fn drop(&mut self) {
         let is_complete = self.failure.is_none() && self.incoming.is_end_stream();
         self.end(if is_complete {
@@ -265,7 +265,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -274,9 +274,11 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut self.source {
-            Source::Own(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Source::Relayed(relayed) => relayed.poll(context),
-            Source::Resumed(prefix, rest) => match prefix.take() {
+            Source::Buffered(bytes) => {
+                Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
+            }
+            Source::IncomingStream(stream) => stream.poll(context),
+            Source::Prefixed(prefix, rest) => match prefix.take() {
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 None => Pin::new(rest.as_mut()).poll_frame(context),
             },
@@ -285,17 +287,17 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.source {
-            Source::Own(bytes) => bytes.is_none(),
-            Source::Relayed(relayed) => relayed.incoming.is_end_stream(),
-            Source::Resumed(prefix, rest) => prefix.is_none() && rest.is_end_stream(),
+            Source::Buffered(bytes) => bytes.is_none(),
+            Source::IncomingStream(stream) => stream.incoming.is_end_stream(),
+            Source::Prefixed(prefix, rest) => prefix.is_none() && rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Own(bytes) => SizeHint::with_exact(length(bytes.as_ref())),
-            Source::Relayed(relayed) => relayed.incoming.size_hint(),
-            Source::Resumed(prefix, rest) => prefixed(length(prefix.as_ref()), &rest.size_hint()),
+            Source::Buffered(bytes) => SizeHint::with_exact(length(bytes.as_ref())),
+            Source::IncomingStream(stream) => stream.incoming.size_hint(),
+            Source::Prefixed(prefix, rest) => prefixed(length(prefix.as_ref()), &rest.size_hint()),
         }
     }
 }
--- a/crates/daemon/src/control/claims/coordinate.rs
+++ b/crates/daemon/src/control/claims/coordinate.rs
@@ -11,10 +11,10 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::time::Timestamp;
 
-use crate::answer::Failure;
 use crate::clock::wall_clock;
 use crate::control::claims::transport::Delivery;
 use crate::control::claims::{Claims, group};
+use crate::response::Failure;
 
 /// The call for which an idempotency key is to be claimed.
 #[derive(Clone, Copy, Debug)]
--- a/crates/daemon/src/control/claims/mod.rs
+++ b/crates/daemon/src/control/claims/mod.rs
@@ -23,7 +23,7 @@
 use wharfquay_protocol::envelope;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::clock::{Clock, wall_clock};
 use crate::control::ControlAddresses;
 use crate::events::{Event, Quoted, log_event};
@@ -100,7 +100,7 @@
     }
 
     /// Handles a claim message that arrives on the control listener.
-    pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         if request.method() != http::Method::POST || request.uri().path() != PATH {
             return plain_response(StatusCode::NOT_FOUND, Bytes::new());
         }
@@ -131,8 +131,8 @@
     }
 }
 
-fn plain_response(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::own(body));
+fn plain_response(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::from_bytes(body));
     *response.status_mut() = status;
     response
 }
--- a/crates/daemon/src/control/gossip/transport.rs
+++ b/crates/daemon/src/control/gossip/transport.rs
@@ -13,7 +13,7 @@
 use tokio_util::task::TaskTracker;
 use wharfquay_protocol::envelope::MAX_STREAM_MESSAGE;
 
-use crate::body::{AnswerBody, RequestBody};
+use crate::body::{RequestBody, ResponseBody};
 use crate::events::{Event, Quoted, log_event};
 use crate::metrics::{Direction, Metrics, Transport};
 use crate::peers::PeerPool;
@@ -60,7 +60,7 @@
     }
 
     /// Handles a request for which [`Self::accepts`] returns true.
-    pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let sender = request.headers().get(SENDER);
         let source = sender.and_then(|value| value.to_str().ok()?.parse().ok());
         let Some(source) = source else {
@@ -78,8 +78,8 @@
     }
 }
 
-fn empty_response(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::own(Bytes::new()));
+fn empty_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::from_bytes(Bytes::new()));
     *response.status_mut() = status;
     response
 }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -27,7 +27,7 @@
 use wharfquay_platform::Client;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::clock::Clock;
 use crate::control::claims::Claims;
 use crate::control::gossip::{ControlSockets, GossipTask, StreamInbox};
@@ -68,7 +68,7 @@
 
 impl ControlView {
     /// Serves a request on the control listener.
-    pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn serve(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         match &self.inbox {
             Some(inbox) if StreamInbox::accepts(&request) => inbox.serve(request).await,
             _ => self.claims.serve(request).await,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -19,7 +19,7 @@
 
 use crate::admin::AdminState;
 use crate::backend_pool::BackendPool;
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::clock::Clock;
 use crate::control::{self, gossip::ControlSockets};
 use crate::decisions::DecisionLog;
@@ -269,7 +269,7 @@
     fn spawn_listener<H, F>(&self, bound: BoundListener, protocols: Protocols, handle: H)
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-        F: Future<Output = Response<AnswerBody>> + Send + 'static,
+        F: Future<Output = Response<ResponseBody>> + Send + 'static,
     {
         let builder = server::builder(protocols, &self.node.settings.limits);
         let tasks = self.tasks.clone();
--- a/crates/daemon/src/edge/claimed.rs
+++ b/crates/daemon/src/edge/claimed.rs
@@ -21,12 +21,12 @@
 use wharfquay_resources::kinds::RequestKind;
 use wharfquay_resources::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
 
-use crate::answer::{Failure, set_result};
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::control::claims::{ClaimVerdict, ClaimedCall, DispatchPermit};
 use crate::metrics::ClaimResult;
 use crate::node::Node;
 use crate::outbound::call::{CallBody, OutgoingCall};
+use crate::response::{Failure, set_result};
 
 /// Largest response body that is recorded for repeats, in bytes.
 const MAX_RECORDED_BODY: usize = 8 * 1_024;
@@ -62,7 +62,7 @@
     call: OutgoingCall,
     key: IdempotencyKey,
     body: Incoming,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let running = tokio::spawn(async move {
         let _in_flight = node.begin_call();
         claim_and_forward(&node, &call, key, body).await
@@ -76,7 +76,7 @@
     call: &OutgoingCall,
     key: IdempotencyKey,
     body: Incoming,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     node.forwarder
         .check_level(call)
         .map_err(undetermined_before_claim)?;
@@ -137,7 +137,7 @@
     call: &OutgoingCall,
     body: CallBody,
     permit: DispatchPermit,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let result = node.forwarder.forward_body(call, body).await;
     let (outcome, result) = match result {
         Ok(response) => record_response(response).await,
@@ -157,8 +157,8 @@
 /// Reads a response of at most [`MAX_RECORDED_BODY`] bytes to record it; a larger one is streamed
 /// to the caller and not recorded.
 async fn record_response(
-    response: Response<AnswerBody>,
-) -> (ExecutionOutcome, Result<Response<AnswerBody>, Failure>) {
+    response: Response<ResponseBody>,
+) -> (ExecutionOutcome, Result<Response<ResponseBody>, Failure>) {
     let (parts, mut rest) = response.into_parts();
     let status = parts.status.as_u16();
     let executed = |content| ExecutionOutcome::Run(RecordedResponse { status, content });
@@ -175,13 +175,13 @@
         };
         body.extend_from_slice(&data);
         if body.len() > MAX_RECORDED_BODY {
-            let body = AnswerBody::resumed(body.freeze(), rest);
+            let body = ResponseBody::with_prefix(body.freeze(), rest);
             return (executed(None), Ok(Response::from_parts(parts, body)));
         }
     }
     let body = body.freeze();
     let content = StoredResponse::new(&parts.headers, &body).encode();
-    let response = Response::from_parts(parts, AnswerBody::own(body));
+    let response = Response::from_parts(parts, ResponseBody::from_bytes(body));
     (executed(content), Ok(response))
 }
 
@@ -222,14 +222,14 @@
 }
 
 /// Converts a recorded response into the response for the caller.
-fn replay(recorded: &RecordedResponse) -> Result<Response<AnswerBody>, Failure> {
+fn replay(recorded: &RecordedResponse) -> Result<Response<ResponseBody>, Failure> {
     let stored = recorded.content.as_ref();
     let stored = stored.and_then(|bytes| ciborium::from_reader(bytes.as_slice()).ok());
     let stored: StoredResponse = stored.ok_or_else(|| Failure::new(ResultCode::AnsweredEarlier))?;
     let (mut parts, ()) = Response::new(()).into_parts();
     restore_head(&mut parts, recorded.status, &stored.headers);
     set_result(&mut parts.headers, ResultCode::Answered);
-    let body = AnswerBody::own(stored.body.into_vec());
+    let body = ResponseBody::from_bytes(stored.body.into_vec());
     Ok(Response::from_parts(parts, body))
 }
 
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -19,14 +19,14 @@
 use wharfquay_resources::kinds::RequestKind;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::answer::Failure;
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::decisions::DecisionTrace;
 use crate::events::{Event, log_event};
 use crate::metrics::{Admission, Side};
 use crate::node::Node;
 use crate::outbound::call::{OutgoingCall, RequestHead, RetryAccount, backoff_for};
 use crate::request::{check_head_size, service_name};
+use crate::response::Failure;
 
 /// Retry-After of refusals while this edge is stopping.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -46,7 +46,7 @@
         Self { node }
     }
 
-    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let call = self.node.begin_call();
         let method = request.method().clone();
         let cancellation = self.node.cancellation_guard(Side::Edge);
@@ -57,7 +57,7 @@
         response
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<ResponseBody>, Failure> {
         check_head_size(&request, self.node.settings.limits.header_bytes)?;
         let snapshot = self.open_configuration().map_err(|failure| {
             let keyed = request.headers().contains_key(names::IDEMPOTENCY_KEY);
@@ -104,7 +104,11 @@
         result
     }
 
-    fn count_admission(&self, priority: Priority, result: &Result<Response<AnswerBody>, Failure>) {
+    fn count_admission(
+        &self,
+        priority: Priority,
+        result: &Result<Response<ResponseBody>, Failure>,
+    ) {
         let is_refused = result
             .as_ref()
             .is_err_and(|failure| failure.code.outcome() == OutcomeClass::NotRun);
--- a/crates/daemon/src/headers.rs
+++ b/crates/daemon/src/headers.rs
@@ -18,7 +18,7 @@
 ];
 
 /// Internal headers that are removed from requests of callers and backends.
-const INTERNAL_REQUEST: [HeaderName; 5] = [
+const INTERNAL_REQUEST_HEADERS: [HeaderName; 5] = [
     names::CONTEXT,
     names::SCOPE,
     names::ORIGIN,
@@ -27,7 +27,8 @@
 ];
 
 /// Internal headers that are removed from responses of backends.
-const INTERNAL_ANSWER: [HeaderName; 3] = [names::RESULT, names::OUTCOME, names::ANSWER];
+const INTERNAL_RESPONSE_HEADERS: [HeaderName; 3] =
+    [names::RESULT, names::OUTCOME, names::RESPONSE_METADATA];
 
 /// Removes the hop-by-hop headers, including those that the `Connection` header lists.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
@@ -50,15 +51,15 @@
 }
 
 /// Removes internal headers from a request of a caller or a backend.
-pub fn remove_internal_request(headers: &mut HeaderMap) {
-    for name in &INTERNAL_REQUEST {
+pub fn remove_internal_request_headers(headers: &mut HeaderMap) {
+    for name in &INTERNAL_REQUEST_HEADERS {
         headers.remove(name);
     }
 }
 
 /// Removes internal headers from a response of a backend.
-pub fn remove_internal_answer(headers: &mut HeaderMap) {
-    for name in &INTERNAL_ANSWER {
+pub fn remove_internal_response_headers(headers: &mut HeaderMap) {
+    for name in &INTERNAL_RESPONSE_HEADERS {
         headers.remove(name);
     }
 }
--- a/crates/daemon/src/inbound/dispatch.rs
+++ b/crates/daemon/src/inbound/dispatch.rs
@@ -8,11 +8,11 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_protocol::headers as names;
 
-use crate::answer::Failure;
 use crate::backend_pool::{BackendError, Lease, SendError};
 use crate::body::RequestBody;
 use crate::headers::remove_hop_by_hop;
 use crate::inbound::LocalBackend;
+use crate::response::Failure;
 use crate::scopes::OpenScope;
 
 /// Header with which a backend asserts, on a 503 response, that it refused the request before it
@@ -66,7 +66,7 @@
         BackendError::ConnectionLimit => ResultCode::ConnectionLimit,
         BackendError::ConnectFailed => ResultCode::ConnectFailed,
         BackendError::Lost => ResultCode::ConnectionLost,
-        BackendError::MalformedAnswer => ResultCode::MalformedAnswer,
+        BackendError::MalformedResponse => ResultCode::MalformedAnswer,
     }
 }
 
--- a/crates/daemon/src/inbound/gate.rs
+++ b/crates/daemon/src/inbound/gate.rs
@@ -14,8 +14,8 @@
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel};
 use wharfquay_core::time::Timestamp;
 
-use crate::answer::Failure;
 use crate::clock::Clock;
+use crate::response::Failure;
 use crate::sync::lock;
 
 type Verdict = Result<(), Failure>;
--- a/crates/daemon/src/inbound/handler.rs
+++ b/crates/daemon/src/inbound/handler.rs
@@ -9,20 +9,20 @@
 use wharfquay_core::admission::{AdmissionSettings, Completion};
 use wharfquay_core::call::{CallContext, RetryAllowance};
 use wharfquay_core::outcome::ResultCode;
-use wharfquay_protocol::answer::WireAnswer;
 use wharfquay_protocol::context::WireContext;
 use wharfquay_protocol::headers as names;
+use wharfquay_protocol::response::ResponseMetadata;
 use wharfquay_resources::kinds::Service;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::answer::{Failure, set_metadata, set_result};
 use crate::backend_pool::BackendPool;
-use crate::body::{AnswerBody, BodyEnd, BodyObserver};
-use crate::headers::{remove_hop_by_hop, remove_internal_answer};
+use crate::body::{BodyEnd, BodyObserver, ResponseBody};
+use crate::headers::{remove_hop_by_hop, remove_internal_response_headers};
 use crate::inbound::dispatch::{self, BackendResponse};
 use crate::inbound::gate::{AdmissionGate, Permit};
 use crate::metrics::{Admission, Side};
 use crate::node::Node;
+use crate::response::{Failure, set_metadata, set_result};
 use crate::scopes::OpenScope;
 
 /// Retry-After of refusals while this daemon is leaving or not ready.
@@ -76,7 +76,7 @@
         Self { node, backend }
     }
 
-    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let call = self.node.begin_call();
         let method = request.method().clone();
         let cancellation = self.node.cancellation_guard(Side::Inbound);
@@ -104,7 +104,7 @@
         &self,
         context: CallContext,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let kind = context.request_kind.clone();
         let allowance = context.allowance;
         let result = self.admit_and_dispatch(context, request).await;
@@ -166,13 +166,13 @@
         Ok(())
     }
 
-    fn relay(&self, execution: Execution) -> (Response<AnswerBody>, RetryAllowance) {
+    fn relay(&self, execution: Execution) -> (Response<ResponseBody>, RetryAllowance) {
         let returned = execution.scope.scope().close_ledger();
         let (mut parts, incoming) = execution.backend_response.response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
-        remove_internal_answer(&mut parts.headers);
+        remove_internal_response_headers(&mut parts.headers);
         set_result(&mut parts.headers, ResultCode::Answered);
-        let mut body = AnswerBody::relayed(incoming, execution.deadline);
+        let mut body = ResponseBody::streamed(incoming, execution.deadline);
         body.observe(Box::new(execution.backend_response.lease));
         body.observe(Box::new(CompletionObserver {
             _scope: execution.scope,
@@ -181,12 +181,12 @@
         (Response::from_parts(parts, body), returned)
     }
 
-    fn metadata(&self, request_kind: &str, returned: RetryAllowance) -> WireAnswer {
+    fn metadata(&self, request_kind: &str, unused_retries: RetryAllowance) -> ResponseMetadata {
         let report = self.backend.gate.report();
         let snapshot = self.node.control.snapshot.borrow().clone();
         let below = self.level_below(&snapshot, request_kind);
-        WireAnswer {
-            returned,
+        ResponseMetadata {
+            unused_retries,
             level: report.level,
             folded_level: report.level.fold(below),
             incarnation: self.node.clock.started_at().as_millis(),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -4,7 +4,6 @@
 //! messages and timers into its inputs and executes its effects.
 
 mod admin;
-pub mod answer;
 pub mod backend_pool;
 pub mod body;
 pub mod clock;
@@ -25,6 +24,7 @@
 pub mod pause;
 pub mod peers;
 mod request;
+pub mod response;
 pub mod scopes;
 mod server;
 pub mod settings;
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -8,8 +8,7 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_resources::snapshot::{Revision, Snapshot};
 
-use crate::answer::{Failure, result};
-use crate::body::{AnswerBody, BodyEnd, BodyObserver};
+use crate::body::{BodyEnd, BodyObserver, ResponseBody};
 use crate::clock::Clock;
 use crate::control::{ControlView, EndpointTable};
 use crate::decisions::DecisionLog;
@@ -17,6 +16,7 @@
 use crate::metrics::{Metrics, Side};
 use crate::outbound::Forwarder;
 use crate::pause::{PauseDetector, TICK_INTERVAL};
+use crate::response::{Failure, result};
 use crate::scopes::ScopeTable;
 use crate::settings::Settings;
 use crate::sync::lock;
@@ -132,8 +132,8 @@
         &self,
         side: Side,
         method: &Method,
-        ended: Result<Response<AnswerBody>, Failure>,
-    ) -> Response<AnswerBody> {
+        ended: Result<Response<ResponseBody>, Failure>,
+    ) -> Response<ResponseBody> {
         let mut response = ended.unwrap_or_else(Failure::into_response);
         let code = result(response.headers()).unwrap_or(ResultCode::MalformedAnswer);
         self.metrics.record_completion(side, code);
--- a/crates/daemon/src/outbound/attempt.rs
+++ b/crates/daemon/src/outbound/attempt.rs
@@ -10,16 +10,16 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::routing::{Observation, ReportedLoad};
 use wharfquay_core::time::Timestamp;
-use wharfquay_protocol::answer::WireAnswer;
 use wharfquay_protocol::context::WireContext;
 use wharfquay_protocol::headers as names;
+use wharfquay_protocol::response::ResponseMetadata;
 
-use crate::answer::{self, Failure};
 use crate::body::{BodyEnd, BodyObserver, RequestBody};
 use crate::clock::Clock;
 use crate::outbound::call::OutgoingCall;
 use crate::outbound::routes::{Route, Target};
 use crate::peers::{PeerError, PeerPool};
+use crate::response::{self, Failure};
 
 /// Largest amount of the remaining time that each hop keeps for itself. The hop nearer to the
 /// backend then times out first, and its more precise result code reaches the caller.
@@ -35,7 +35,7 @@
     /// How the retry allowance sent with the attempt is settled.
     pub(crate) allowance: GrantOutcome,
     /// Metadata of the daemon that responded; `None` without a response or without valid metadata.
-    pub(crate) metadata: Option<WireAnswer>,
+    pub(crate) metadata: Option<ResponseMetadata>,
     /// The request body, if no byte of the request was sent.
     pub(crate) unsent: Option<RequestBody>,
 }
@@ -131,16 +131,16 @@
 }
 
 fn read_response(mut response: Response<Incoming>) -> AttemptOutcome {
-    let metadata = answer::take_metadata(response.headers_mut());
-    let result = match answer::result(response.headers()) {
+    let metadata = response::take_metadata(response.headers_mut());
+    let result = match response::result(response.headers()) {
         Some(ResultCode::Answered) => Ok(response),
         Some(code) => {
-            let retry_after = answer::retry_after(response.headers());
+            let retry_after = response::retry_after(response.headers());
             Err(Failure::with_retry_after(code, retry_after))
         }
         None => Err(Failure::new(ResultCode::MalformedAnswer)),
     };
-    let returned = metadata.map(|metadata| GrantOutcome::Returned(metadata.returned));
+    let returned = metadata.map(|metadata| GrantOutcome::Returned(metadata.unused_retries));
     AttemptOutcome {
         result,
         allowance: returned.unwrap_or(GrantOutcome::Lost),
@@ -157,7 +157,7 @@
     target: Target,
     clock: Clock,
     started: Timestamp,
-    metadata: Option<WireAnswer>,
+    metadata: Option<ResponseMetadata>,
     /// True if the backend's response has a 5xx status.
     error_response: bool,
     ended: bool,
@@ -176,7 +176,7 @@
         }
     }
 
-    pub(crate) const fn record_metadata(&mut self, metadata: Option<WireAnswer>) {
+    pub(crate) const fn record_metadata(&mut self, metadata: Option<ResponseMetadata>) {
         self.metadata = metadata;
     }
 
--- a/crates/daemon/src/outbound/call.rs
+++ b/crates/daemon/src/outbound/call.rs
@@ -15,10 +15,10 @@
 use wharfquay_resources::kinds::RetryBudget;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::answer::Failure;
 use crate::body::{MAX_HELD_BODY, RequestBody};
 use crate::decisions::DecisionTrace;
-use crate::headers::{remove_hop_by_hop, remove_internal_request};
+use crate::headers::{remove_hop_by_hop, remove_internal_request_headers};
+use crate::response::Failure;
 
 /// The head of a request, without the headers that must not cross this hop.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
         let (parts, body) = request.into_parts();
         let mut headers = parts.headers;
         remove_hop_by_hop(&mut headers);
-        remove_internal_request(&mut headers);
+        remove_internal_request_headers(&mut headers);
         headers.remove(http::header::HOST);
         let path = parts.uri.path_and_query().cloned();
         let path = path.filter(|path| path.as_str().starts_with('/'));
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -11,10 +11,9 @@
 use wharfquay_core::retry::{FailureLocation, Grant, RetryDecision, RetryInput};
 use wharfquay_core::routing::EndpointId;
 use wharfquay_core::time::Timestamp;
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_protocol::response::ResponseMetadata;
 
-use crate::answer::{Failure, set_result};
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::clock::Clock;
 use crate::headers::remove_hop_by_hop;
 use crate::metrics::Metrics;
@@ -22,6 +21,7 @@
 use crate::outbound::call::{CallBody, OutgoingCall, RetryAccount};
 use crate::outbound::routes::{Route, RouteTable, Target};
 use crate::peers::PeerPool;
+use crate::response::{Failure, set_result};
 use crate::sync::lock;
 
 /// Sends calls to services and retries them within their allowance.
@@ -116,7 +116,7 @@
         &self,
         call: &OutgoingCall,
         body: Incoming,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let route = self.route(call)?;
         self.check_level(call)?;
         let body = self.read_body(call, body).await?;
@@ -128,7 +128,7 @@
         &self,
         call: &OutgoingCall,
         body: CallBody,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let route = self.route(call)?;
         self.run(call, body, &route).await
     }
@@ -154,7 +154,7 @@
         call: &OutgoingCall,
         mut body: CallBody,
         route: &Arc<Route>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let mut attempts = Attempts::default();
         loop {
             let target = self
@@ -228,7 +228,7 @@
         body: &mut CallBody,
         route: &Arc<Route>,
         target: &Target,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let mut flight = InFlightAttempt::new(route, target, self.clock);
         let sent = body
             .for_attempt()
@@ -261,12 +261,12 @@
         call: &OutgoingCall,
         response: Response<Incoming>,
         flight: InFlightAttempt,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
         set_result(&mut parts.headers, ResultCode::Answered);
         let deadline = self.clock.instant(call.context.deadline);
-        let mut body = AnswerBody::relayed(incoming, deadline);
+        let mut body = ResponseBody::streamed(incoming, deadline);
         body.observe(Box::new(flight));
         Response::from_parts(parts, body)
     }
@@ -274,7 +274,7 @@
     /// Records the level of the path below the endpoint that responded. The endpoint's own level
     /// goes only to the router, because other endpoints of the service may admit what this one
     /// refuses.
-    fn record_path_level(&self, call: &OutgoingCall, target: &Target, metadata: &WireAnswer) {
+    fn record_path_level(&self, call: &OutgoingCall, target: &Target, metadata: &ResponseMetadata) {
         let Some(below) = level_below(metadata.level, metadata.folded_level) else {
             return;
         };
--- a/crates/daemon/src/outbound/handler.rs
+++ b/crates/daemon/src/outbound/handler.rs
@@ -14,14 +14,14 @@
 use wharfquay_protocol::headers as names;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::answer::Failure;
-use crate::body::{AnswerBody, BodyEnd, BodyObserver};
+use crate::body::{BodyEnd, BodyObserver, ResponseBody};
 use crate::decisions::DecisionTrace;
 use crate::inbound::gate::AdmissionGate;
 use crate::metrics::Side;
 use crate::node::Node;
 use crate::outbound::call::{OutgoingCall, RequestHead, RetryAccount, backoff_for};
 use crate::request::service_name;
+use crate::response::Failure;
 use crate::scopes::{Scope, ScopeId};
 
 /// Time to the deadline of a call that names no scope and matches no request kind.
@@ -39,7 +39,7 @@
         Self { node, gate }
     }
 
-    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let method = request.method().clone();
         let cancellation = self.node.cancellation_guard(Side::Outbound);
         let result = self.respond(request).await;
@@ -47,7 +47,7 @@
         self.node.finish(Side::Outbound, &method, result)
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<ResponseBody>, Failure> {
         let snapshot = self.node.configuration()?;
         let scope = self.scope(request.headers())?;
         let service = service_name(&request)?;
@@ -74,7 +74,7 @@
         context: CallContext,
         ledger: Arc<Mutex<Ledger>>,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let backoff = backoff_for(snapshot, &context.request_kind);
         let (head, body) = RequestHead::split(request)?;
         let call = OutgoingCall {
--- a/crates/daemon/src/outbound/routes.rs
+++ b/crates/daemon/src/outbound/routes.rs
@@ -17,8 +17,8 @@
 use wharfquay_resources::kinds::Service;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::answer::Failure;
 use crate::control::{EndpointRecord, EndpointTable};
+use crate::response::Failure;
 use crate::sync::lock;
 
 /// Name of the retry budget resource whose ratio limits retries per destination service.
--- a/crates/daemon/src/request.rs
+++ b/crates/daemon/src/request.rs
@@ -5,7 +5,7 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_protocol::headers as names;
 
-use crate::answer::Failure;
+use crate::response::Failure;
 
 /// Bytes of a header line besides name and value: the colon, a space and the line end.
 const HEADER_LINE_OVERHEAD: usize = 4;
--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/response.rs
@@ -6,10 +6,10 @@
 use http::header::{self, HeaderMap, HeaderValue};
 use http::{Response, StatusCode};
 use wharfquay_core::outcome::ResultCode;
-use wharfquay_protocol::answer::WireAnswer;
 use wharfquay_protocol::headers as names;
+use wharfquay_protocol::response::ResponseMetadata;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 
 /// Header with the milliseconds after which a refused caller may retry; more precise than
 /// `Retry-After`, whose unit is seconds.
@@ -45,10 +45,10 @@
 
     /// Converts the failure into a response with its status, headers and a one-line text.
     #[must_use]
-    pub fn into_response(self) -> Response<AnswerBody> {
+    pub fn into_response(self) -> Response<ResponseBody> {
         let status = StatusCode::from_u16(self.code.http_status());
         let text = format!("result={} name={}\n", self.code.number(), self.code.name());
-        let mut response = Response::new(AnswerBody::own(text));
+        let mut response = Response::new(ResponseBody::from_bytes(text));
         *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
         let headers = response.headers_mut();
         headers.insert(
@@ -95,15 +95,15 @@
 }
 
 /// Sets the header with the metadata for the daemon that sent the call.
-pub fn set_metadata(headers: &mut HeaderMap, metadata: &WireAnswer) {
+pub fn set_metadata(headers: &mut HeaderMap, metadata: &ResponseMetadata) {
     if let Ok(value) = HeaderValue::from_str(&metadata.encode()) {
-        headers.insert(names::ANSWER, value);
+        headers.insert(names::RESPONSE_METADATA, value);
     }
 }
 
 /// Removes the metadata header of the daemon that responded and decodes it; `None` if it is missing
 /// or invalid.
-pub fn take_metadata(headers: &mut HeaderMap) -> Option<WireAnswer> {
-    let value = headers.remove(names::ANSWER)?;
-    WireAnswer::decode(value.as_bytes()).ok()
+pub fn take_metadata(headers: &mut HeaderMap) -> Option<ResponseMetadata> {
+    let value = headers.remove(names::RESPONSE_METADATA)?;
+    ResponseMetadata::decode(value.as_bytes()).ok()
 }
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::events::{Event, Quoted, log_event};
 use crate::settings::LimitSettings;
 
@@ -71,7 +71,7 @@
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
-    F: Future<Output = Response<AnswerBody>> + Send + 'static,
+    F: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let service = service_fn(move |request| {
         let response = handle(request);
--- a/crates/daemon/tests/decisions.rs
+++ b/crates/daemon/tests/decisions.rs
@@ -18,7 +18,7 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::AdmissionLevel;
 use wharfquay_daemon::{Daemon, RunningDaemon};
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_protocol::response::ResponseMetadata;
 use wharfquay_resources::decision::{DecisionRecord, replay};
 use wharfquay_resources::kinds::{ClaimGroup, Resource};
 use wharfquay_resources::snapshot::Snapshot;
@@ -52,8 +52,8 @@
 
 fn response_with_strict_level() -> Response<TestBody> {
     let level = AdmissionLevel::new(STRICT_LEVEL);
-    let metadata = WireAnswer {
-        returned: RetryAllowance::NONE,
+    let metadata = ResponseMetadata {
+        unused_retries: RetryAllowance::NONE,
         level,
         folded_level: level,
         in_flight: 1,
--- a/crates/daemon/tests/support/peer.rs
+++ b/crates/daemon/tests/support/peer.rs
@@ -14,8 +14,8 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::AdmissionLevel;
 use wharfquay_core::time::Timestamp;
-use wharfquay_protocol::answer::WireAnswer;
 use wharfquay_protocol::context::WireContext;
+use wharfquay_protocol::response::ResponseMetadata;
 
 use super::body::TestBody;
 use super::deployment::machine;
@@ -106,9 +106,9 @@
             .unwrap()
     }
 
-    fn metadata(&self, returned: RetryAllowance) -> WireAnswer {
-        WireAnswer {
-            returned,
+    fn metadata(&self, unused_retries: RetryAllowance) -> ResponseMetadata {
+        ResponseMetadata {
+            unused_retries,
             level: self.response.level,
             folded_level: self.response.folded_level,
             incarnation: self.response.incarnation,
--- a/crates/emulator/src/backend/body.rs
+++ b/crates/emulator/src/backend/body.rs
@@ -15,20 +15,20 @@
 impl std::error::Error for ConnectionAborted {}
 
 /// Body of every answer.
-pub(super) type AnswerBody = Either<WholeBody, CutBody>;
+pub(super) type ResponseBody = Either<WholeBody, CutBody>;
 
 /// A body that is sent whole.
 pub(super) type WholeBody = http_body_util::combinators::MapErr<Full<Bytes>, NeverToAborted>;
 type NeverToAborted = fn(std::convert::Infallible) -> ConnectionAborted;
 
 /// A body that is sent whole.
-pub(super) fn whole(bytes: Bytes) -> AnswerBody {
+pub(super) fn whole(bytes: Bytes) -> ResponseBody {
     let never: NeverToAborted = |never| match never {};
     Either::Left(http_body_util::BodyExt::map_err(Full::new(bytes), never))
 }
 
 /// A body that declares its full length and breaks off in the middle.
-pub(super) fn cut(bytes: &Bytes) -> AnswerBody {
+pub(super) fn cut(bytes: &Bytes) -> ResponseBody {
     Either::Right(CutBody {
         declared: bytes.len() as u64,
         rest: Some(bytes.slice(..bytes.len() / 2)),
--- a/crates/emulator/src/backend/endpoints.rs
+++ b/crates/emulator/src/backend/endpoints.rs
@@ -5,7 +5,7 @@
 use http::{HeaderValue, Method, Response, StatusCode};
 use serde::Serialize;
 
-use super::body::{AnswerBody, whole};
+use super::body::{ResponseBody, whole};
 use super::faults::Faults;
 use super::state::BackendState;
 
@@ -37,7 +37,7 @@
     method: &Method,
     path: &str,
     body: &Bytes,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     match (method.as_str(), &path[PREFIX.len()..]) {
         ("GET", "health") => health(state),
         ("GET", "load") => json(StatusCode::OK, &state.report().load),
@@ -55,7 +55,7 @@
     }
 }
 
-fn health(state: &BackendState) -> Response<AnswerBody> {
+fn health(state: &BackendState) -> Response<ResponseBody> {
     let health = Health {
         id: &state.settings.id,
         service: &state.settings.service,
@@ -68,7 +68,7 @@
     json(StatusCode::OK, &health)
 }
 
-fn put_faults(state: &BackendState, body: &Bytes) -> Response<AnswerBody> {
+fn put_faults(state: &BackendState, body: &Bytes) -> Response<ResponseBody> {
     match Faults::from_json(body) {
         Ok(faults) => {
             state.set_faults(faults);
@@ -78,19 +78,19 @@
     }
 }
 
-fn set_leaving(state: &BackendState, leaving: bool) -> Response<AnswerBody> {
+fn set_leaving(state: &BackendState, leaving: bool) -> Response<ResponseBody> {
     state.set_leaving(leaving);
     health(state)
 }
 
-fn problem(status: StatusCode, error: &str) -> Response<AnswerBody> {
+fn problem(status: StatusCode, error: &str) -> Response<ResponseBody> {
     let problem = Problem {
         error: error.to_owned(),
     };
     json(status, &problem)
 }
 
-fn json<T: Serialize>(status: StatusCode, message: &T) -> Response<AnswerBody> {
+fn json<T: Serialize>(status: StatusCode, message: &T) -> Response<ResponseBody> {
     let text = serde_json::to_vec(message).unwrap_or_default();
     let mut response = Response::new(whole(text.into()));
     *response.status_mut() = status;
--- a/crates/emulator/src/backend/execution.rs
+++ b/crates/emulator/src/backend/execution.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 use wharfquay_protocol::headers;
 
-use super::body::{AnswerBody, ConnectionAborted, cut, whole};
+use super::body::{ConnectionAborted, ResponseBody, cut, whole};
 use super::calls::CallFailure;
 use super::record::{ExecutionNumber, ExecutionRecord, ExecutionState, Unexecuted};
 use super::request::BackendRequest;
@@ -25,7 +25,7 @@
 /// Time from the begin of a request that ends the back end to that end.
 const TIME_TO_END: Duration = Duration::from_millis(30);
 
-pub(super) type Answer = Result<Response<AnswerBody>, ConnectionAborted>;
+pub(super) type Answer = Result<Response<ResponseBody>, ConnectionAborted>;
 
 /// Serves one request of the scenario.
 pub(super) async fn serve(state: Arc<BackendState>, request: BackendRequest) -> Answer {
@@ -208,7 +208,7 @@
 }
 
 /// Passes the status of a failed deeper call on, with its advice on when to come back.
-fn failure_answer(state: &BackendState, failure: &CallFailure) -> Response<AnswerBody> {
+fn failure_answer(state: &BackendState, failure: &CallFailure) -> Response<ResponseBody> {
     let CallFailure::Answered {
         status,
         retry_after,
@@ -223,14 +223,14 @@
     response
 }
 
-fn plain(state: &BackendState, status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+fn plain(state: &BackendState, status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(whole(text.into()));
     *response.status_mut() = status;
     with_load(state, response)
 }
 
 /// An answer that says that nothing was executed.
-fn refusal(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+fn refusal(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(whole(text.into()));
     *response.status_mut() = status;
     let value = http::HeaderValue::from_static(BEFORE_EXECUTION);
@@ -238,7 +238,7 @@
     response
 }
 
-fn with_load(state: &BackendState, mut response: Response<AnswerBody>) -> Response<AnswerBody> {
+fn with_load(state: &BackendState, mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     let load = state.reported_in_flight();
     response
         .headers_mut()
--- a/crates/protocol/src/headers.rs
+++ b/crates/protocol/src/headers.rs
@@ -13,8 +13,8 @@
 pub const RESULT: HeaderName = HeaderName::from_static("wharfquay-result");
 /// Outcome class, in every response: `not-run`, `unknown` or `run`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("wharfquay-outcome");
-/// Response metadata between daemons: base64url of CBOR, see [`crate::answer::WireAnswer`].
-pub const ANSWER: HeaderName = HeaderName::from_static("wharfquay-answer");
+/// Response metadata between daemons: base64url of CBOR, see [`crate::response::ResponseMetadata`].
+pub const RESPONSE_METADATA: HeaderName = HeaderName::from_static("wharfquay-answer");
 /// Idempotency key set by a caller: a version 7 UUID.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Deadline set by a caller, in milliseconds from now; limited by the deadline of the request kind.
--- a/crates/protocol/src/answer.rs
+++ b/crates/protocol/src/response.rs
@@ -8,10 +8,10 @@
 
 /// Response metadata between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WireAnswer {
+pub struct ResponseMetadata {
     /// Unused retries of the call's allowance, which the caller takes back.
     #[serde(rename = "r")]
-    pub returned: RetryAllowance,
+    pub unused_retries: RetryAllowance,
     /// Admission level of the responding backend.
     #[serde(rename = "l")]
     pub level: AdmissionLevel,
@@ -33,7 +33,7 @@
     pub queued: u32,
 }
 
-impl WireAnswer {
+impl ResponseMetadata {
     /// Returns the metadata encoded as a header value.
     #[must_use]
     pub fn encode(&self) -> String {
--- a/crates/protocol/tests/wire.rs
+++ b/crates/protocol/tests/wire.rs
@@ -10,9 +10,9 @@
 use wharfquay_core::priority::{AdmissionLevel, Priority};
 use wharfquay_core::quarantine::RequestFingerprint;
 use wharfquay_core::time::Timestamp;
-use wharfquay_protocol::answer::WireAnswer;
 use wharfquay_protocol::context::{DecodeError, MAX_ENCODED_LENGTH, WireContext};
 use wharfquay_protocol::envelope;
+use wharfquay_protocol::response::ResponseMetadata;
 
 fn any_context() -> impl Strategy<Value = CallContext> {
     (
@@ -82,8 +82,8 @@
     #[test]
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let _ = WireContext::decode(&bytes);
-        let _ = WireAnswer::decode(&bytes);
-        let _ = envelope::decode::<WireAnswer>(&bytes, envelope::MAX_DATAGRAM);
+        let _ = ResponseMetadata::decode(&bytes);
+        let _ = envelope::decode::<ResponseMetadata>(&bytes, envelope::MAX_DATAGRAM);
     }
 }
 
@@ -127,8 +127,8 @@
 
 #[test]
 fn envelope_rejects_other_versions_and_sizes() {
-    let metadata = WireAnswer {
-        returned: RetryAllowance::new(2),
+    let metadata = ResponseMetadata {
+        unused_retries: RetryAllowance::new(2),
         level: AdmissionLevel::OPEN,
         folded_level: AdmissionLevel::CLOSED,
         incarnation: 1_764_662_400_000,
@@ -138,22 +138,22 @@
     };
     let bytes = envelope::encode(&metadata).expect("CBOR can express the message");
     assert_eq!(
-        envelope::decode::<WireAnswer>(&bytes, envelope::MAX_DATAGRAM),
+        envelope::decode::<ResponseMetadata>(&bytes, envelope::MAX_DATAGRAM),
         Ok(metadata)
     );
 
     let mut other_version = bytes.clone();
     other_version[0] = 99;
     assert_eq!(
-        envelope::decode::<WireAnswer>(&other_version, envelope::MAX_DATAGRAM),
+        envelope::decode::<ResponseMetadata>(&other_version, envelope::MAX_DATAGRAM),
         Err(DecodeError::Version {
             found: 99,
             expected: envelope::VERSION
         })
     );
     assert_eq!(
-        envelope::decode::<WireAnswer>(&bytes, 3),
+        envelope::decode::<ResponseMetadata>(&bytes, 3),
         Err(DecodeError::TooLong(bytes.len()))
     );
-    assert!(envelope::decode::<WireAnswer>(&[], envelope::MAX_DATAGRAM).is_err());
+    assert!(envelope::decode::<ResponseMetadata>(&[], envelope::MAX_DATAGRAM).is_err());
 }
--- a/crates/sidecar/src/body.rs
+++ b/crates/sidecar/src/body.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use tokio::time::Instant;
-use wharfquay_daemon::body::AnswerBody;
+use wharfquay_daemon::body::ResponseBody;
 
 /// Maximum size of a response body that is buffered, in bytes. Longer bodies are streamed.
 const MAX_COLLECTED: u64 = 192 * 1024;
@@ -46,12 +46,12 @@
 
 impl Collected {
     /// Returns the body to relay, which is cut off at `deadline` if it is streamed.
-    pub(crate) fn into_body(self, deadline: Instant) -> AnswerBody {
+    pub(crate) fn into_body(self, deadline: Instant) -> ResponseBody {
         match self {
-            Self::Complete(bytes) => AnswerBody::own(bytes),
+            Self::Complete(bytes) => ResponseBody::from_bytes(bytes),
             Self::Partial(first, rest) => {
-                let rest = AnswerBody::relayed(rest, deadline);
-                AnswerBody::resumed(first, rest)
+                let rest = ResponseBody::streamed(rest, deadline);
+                ResponseBody::with_prefix(first, rest)
             }
         }
     }
--- a/crates/sidecar/src/control/transport.rs
+++ b/crates/sidecar/src/control/transport.rs
@@ -16,7 +16,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use wharfquay_daemon::backend_pool::BackendPool;
-use wharfquay_daemon::body::{AnswerBody, RequestBody};
+use wharfquay_daemon::body::{RequestBody, ResponseBody};
 use wharfquay_protocol::envelope::MAX_STREAM_MESSAGE;
 
 /// Path for gossip and configuration messages.
@@ -61,9 +61,9 @@
     pub(crate) async fn serve(
         &self,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Infallible> {
+    ) -> Result<Response<ResponseBody>, Infallible> {
         let status = self.accept(request).await;
-        let mut response = Response::new(AnswerBody::own(Bytes::new()));
+        let mut response = Response::new(ResponseBody::from_bytes(Bytes::new()));
         *response.status_mut() = status;
         Ok(response)
     }
--- a/crates/sidecar/src/inbound/dispatch.rs
+++ b/crates/sidecar/src/inbound/dispatch.rs
@@ -9,10 +9,10 @@
 use wharfquay_core::call::CallContext;
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::retry::Backoff;
-use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::backend_pool::{BackendError, Lease, SendError};
 use wharfquay_daemon::body::{BodyEnd, BodyObserver, RequestBody};
-use wharfquay_daemon::headers::{remove_hop_by_hop, remove_internal_answer};
+use wharfquay_daemon::headers::{remove_hop_by_hop, remove_internal_response_headers};
+use wharfquay_daemon::response::Failure;
 
 use super::backend::OpenInstance;
 use super::execution::{LocalExecutor, UNAVAILABLE_RETRY_AFTER};
@@ -225,7 +225,7 @@
         }
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
-        remove_internal_answer(&mut parts.headers);
+        remove_internal_response_headers(&mut parts.headers);
         remove_length(&call.head.method, &mut parts.headers);
         let collected = collect(incoming).await;
         let collected = collected.map_err(|_| Failure::new(ResultCode::ConnectionLost))?;
@@ -271,6 +271,6 @@
         BackendError::ConnectionLimit => ResultCode::ConnectionLimit,
         BackendError::ConnectFailed => ResultCode::ConnectFailed,
         BackendError::Lost => ResultCode::ConnectionLost,
-        BackendError::MalformedAnswer => ResultCode::MalformedAnswer,
+        BackendError::MalformedResponse => ResultCode::MalformedAnswer,
     }
 }
--- a/crates/sidecar/src/inbound/execution.rs
+++ b/crates/sidecar/src/inbound/execution.rs
@@ -13,11 +13,11 @@
 use wharfquay_core::call::{CallContext, RetryAllowance};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::AdmissionLevel;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::{AnswerBody, BodyEnd, BodyObserver, RequestBody};
+use wharfquay_daemon::body::{BodyEnd, BodyObserver, RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
 use wharfquay_daemon::inbound::gate::{AdmissionRequest, Permit};
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_daemon::response::Failure;
+use wharfquay_protocol::response::ResponseMetadata;
 
 use super::backend::{LocalBackend, OpenInstance};
 use super::dispatch::{AdmittedCall, BackendResponse};
@@ -45,8 +45,8 @@
 
 /// Outcome of a call and the metadata to return to its sender.
 pub(crate) struct Executed {
-    pub(crate) result: Result<Response<AnswerBody>, Failure>,
-    pub(crate) metadata: WireAnswer,
+    pub(crate) result: Result<Response<ResponseBody>, Failure>,
+    pub(crate) metadata: ResponseMetadata,
 }
 
 /// Executes calls at the local backend.
@@ -124,7 +124,7 @@
         head: &RequestHead,
         body: RequestBody,
         report: &mut CallReport,
-    ) -> (Result<Response<AnswerBody>, Failure>, RetryAllowance) {
+    ) -> (Result<Response<ResponseBody>, Failure>, RetryAllowance) {
         let allowance = context.allowance;
         let turn = match self.quarantine.wait_for_turn(&context).await {
             Ok(turn) => turn,
@@ -169,8 +169,8 @@
         &self,
         instance: Option<&Arc<OpenInstance>>,
         request_kind: &str,
-        returned: RetryAllowance,
-    ) -> WireAnswer {
+        unused_retries: RetryAllowance,
+    ) -> ResponseMetadata {
         let below = self.routing.level_below(request_kind);
         let (level, load) = match instance {
             Some(instance) => {
@@ -179,8 +179,8 @@
             }
             None => (AdmissionLevel::OPEN, Load::default()),
         };
-        WireAnswer {
-            returned,
+        ResponseMetadata {
+            unused_retries,
             level,
             folded_level: level.fold(below),
             incarnation: self.clock.started_at().as_millis(),
@@ -213,7 +213,7 @@
     scope: OpenScope,
     permit: Permit,
     deadline: Instant,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let answered = match result {
         Ok(answered) => answered,
         Err(failure) => {
--- a/crates/sidecar/src/inbound/handler.rs
+++ b/crates/sidecar/src/inbound/handler.rs
@@ -7,8 +7,8 @@
 use hyper::body::Incoming;
 use wharfquay_core::call::CallContext;
 use wharfquay_core::outcome::ResultCode;
-use wharfquay_daemon::answer::{Failure, set_metadata, set_result};
-use wharfquay_daemon::body::AnswerBody;
+use wharfquay_daemon::body::ResponseBody;
+use wharfquay_daemon::response::{Failure, set_metadata, set_result};
 use wharfquay_protocol::context::{Callee, WireContext};
 use wharfquay_protocol::headers as names;
 
@@ -31,7 +31,7 @@
     pub(crate) async fn handle(
         &self,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Infallible> {
+    ) -> Result<Response<ResponseBody>, Infallible> {
         let response = match self.read_context(&request) {
             Ok(context) => self.execute(context, request).await,
             Err(code) => Failure::new(code).into_response(),
@@ -67,7 +67,7 @@
         &self,
         context: CallContext,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let (request, body) = split_body(request);
         let Some((mut head, ())) = RequestHead::split(request) else {
             return Failure::new(ResultCode::MalformedRequest).into_response();
--- a/crates/sidecar/src/inbound/report.rs
+++ b/crates/sidecar/src/inbound/report.rs
@@ -4,10 +4,10 @@
 use wharfquay_core::call::CallContext;
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::AnswerBody;
+use wharfquay_daemon::body::ResponseBody;
 use wharfquay_daemon::clock::Clock;
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_daemon::response::Failure;
+use wharfquay_protocol::response::ResponseMetadata;
 
 use crate::events::{Event, is_sampled};
 use crate::fingerprint::fingerprint_text;
@@ -51,8 +51,8 @@
     pub(super) fn write(
         &self,
         instance: Option<&InstanceId>,
-        result: &Result<Response<AnswerBody>, Failure>,
-        metadata: &WireAnswer,
+        result: &Result<Response<ResponseBody>, Failure>,
+        metadata: &ResponseMetadata,
         metrics: &Metrics,
     ) {
         let (code, status) = match result {
--- a/crates/sidecar/src/listeners.rs
+++ b/crates/sidecar/src/listeners.rs
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
-use wharfquay_daemon::body::{AnswerBody, RequestBody};
+use wharfquay_daemon::body::{RequestBody, ResponseBody};
 use wharfquay_daemon::connect::notice_silence;
 
 use crate::control::StreamInbox;
@@ -32,7 +32,7 @@
 }
 
 impl RequestHandler for CountedHandler {
-    async fn handle(&self, request: Request<RequestBody>) -> Response<AnswerBody> {
+    async fn handle(&self, request: Request<RequestBody>) -> Response<ResponseBody> {
         let _in_flight = crate::inbound::InFlight::begin(&self.in_flight);
         self.handler.handle(request).await
     }
--- a/crates/sidecar/src/outbound/attempt.rs
+++ b/crates/sidecar/src/outbound/attempt.rs
@@ -10,14 +10,14 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::routing::{Observation, ReportedLoad};
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::{self, Failure};
 use wharfquay_daemon::backend_pool::{BackendPool, Lease, SendError};
-use wharfquay_daemon::body::{AnswerBody, BodyEnd, BodyObserver, RequestBody};
+use wharfquay_daemon::body::{BodyEnd, BodyObserver, RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
-use wharfquay_daemon::headers::{remove_hop_by_hop, remove_internal_answer};
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_daemon::headers::{remove_hop_by_hop, remove_internal_response_headers};
+use wharfquay_daemon::response::{self, Failure};
 use wharfquay_protocol::context::{Callee, WireContext};
 use wharfquay_protocol::headers as names;
+use wharfquay_protocol::response::ResponseMetadata;
 
 use crate::body::{Collected, collect, remove_length};
 use crate::message::RequestHead;
@@ -35,9 +35,9 @@
 /// Outcome of an attempt.
 pub(crate) struct AttemptOutcome {
     /// The backend's response, or the failure that replaces it.
-    pub(crate) result: Result<Response<AnswerBody>, Failure>,
+    pub(crate) result: Result<Response<ResponseBody>, Failure>,
     /// Metadata that the responding sidecar attached.
-    pub(crate) metadata: Option<WireAnswer>,
+    pub(crate) metadata: Option<ResponseMetadata>,
     /// Retries of the attempt's allowance that were returned; `None` if the allowance is lost.
     pub(crate) returned: Option<RetryAllowance>,
     /// The body, if none of it was sent.
@@ -131,12 +131,12 @@
     lease: Lease,
     deadline: Instant,
 ) -> AttemptOutcome {
-    let metadata = answer::take_metadata(response.headers_mut());
-    let returned = metadata.map(|metadata| metadata.returned);
-    let result = match answer::result(response.headers()) {
+    let metadata = response::take_metadata(response.headers_mut());
+    let returned = metadata.map(|metadata| metadata.unused_retries);
+    let result = match response::result(response.headers()) {
         Some(ResultCode::Answered) => read_response(method, response, lease, deadline).await,
         Some(code) => {
-            let retry_after = answer::retry_after(response.headers());
+            let retry_after = response::retry_after(response.headers());
             finish_refusal(response, lease).await;
             Err(Failure::with_retry_after(code, retry_after))
         }
@@ -155,10 +155,10 @@
     response: Response<Incoming>,
     lease: Lease,
     deadline: Instant,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let (mut parts, incoming) = response.into_parts();
     remove_hop_by_hop(&mut parts.headers);
-    remove_internal_answer(&mut parts.headers);
+    remove_internal_response_headers(&mut parts.headers);
     remove_length(method, &mut parts.headers);
     let collected = collect(incoming).await;
     let collected = collected.map_err(|_| Failure::new(ResultCode::ConnectionLost))?;
--- a/crates/sidecar/src/outbound/connection.rs
+++ b/crates/sidecar/src/outbound/connection.rs
@@ -20,8 +20,8 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::sync::{mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::{AnswerBody, BodyError, FedBody, MAX_HELD_BODY, RequestBody};
+use wharfquay_daemon::body::{BodyError, ChannelBody, MAX_HELD_BODY, RequestBody, ResponseBody};
+use wharfquay_daemon::response::Failure;
 
 use super::parse::{BodyDecoder, ParseError, ParsedHead, Piece, take_head};
 use super::response::refusal;
@@ -32,8 +32,8 @@
 const MAX_PIPELINED: usize = 64;
 /// Number of bytes read from a connection at a time.
 const READ_SIZE: usize = 8 * 1024;
-/// Number of pieces of a streamed body that may be queued for the backend.
-const MAX_QUEUED_PIECES: usize = 4;
+/// Number of chunks of a streamed body that may be queued for the backend.
+const MAX_QUEUED_CHUNKS: usize = 4;
 /// Timeout for a caller to accept some bytes of a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(12);
 /// Time for which a connection is still read after the last response. Closing it with unread data
@@ -46,7 +46,7 @@
     fn handle(
         &self,
         request: Request<RequestBody>,
-    ) -> impl Future<Output = Response<AnswerBody>> + Send;
+    ) -> impl Future<Output = Response<ResponseBody>> + Send;
 }
 
 /// Settings shared by the connections of one listener.
@@ -60,7 +60,7 @@
 
 /// A pending response, in the order of the requests.
 struct PendingResponse {
-    response: AbortOnDropHandle<Response<AnswerBody>>,
+    response: AbortOnDropHandle<Response<ResponseBody>>,
     method: Method,
     keep_alive: bool,
 }
@@ -264,13 +264,13 @@
         responses: &mpsc::Sender<PendingResponse>,
         timeout: Duration,
     ) -> Result<(), ReadStop> {
-        let (pieces, receiver) = mpsc::channel(MAX_QUEUED_PIECES);
+        let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let length = match head.framing {
             super::parse::Framing::Length(length) => Some(length),
             super::parse::Framing::Chunked => None,
         };
-        let body = RequestBody::Fed(FedBody {
-            pieces: receiver,
+        let body = RequestBody::Channel(ChannelBody {
+            chunks: receiver,
             remaining: length,
             ended: false,
         });
@@ -278,22 +278,22 @@
             .extensions_mut()
             .insert(BodyPrefix(first.clone()));
         self.start(head, body, responses).await?;
-        let mut has_receiver = pieces.send(Ok(first)).await.is_ok();
+        let mut has_receiver = chunks.send(Ok(first)).await.is_ok();
         loop {
             match decoder.next(&mut self.buffer) {
                 Ok(Piece::End) => return Ok(()),
                 Ok(Piece::Data(data)) if has_receiver => {
-                    has_receiver = pieces.send(Ok(data)).await.is_ok();
+                    has_receiver = chunks.send(Ok(data)).await.is_ok();
                 }
                 Ok(Piece::Data(_)) => {}
                 Ok(Piece::NeedMore) => {
                     if let Err(stop) = self.fill_within(timeout).await {
-                        let _ = pieces.send(Err(BodyError::BrokenOff)).await;
+                        let _ = chunks.send(Err(BodyError::Truncated)).await;
                         return Err(stop);
                     }
                 }
                 Err(error) => {
-                    let _ = pieces.send(Err(BodyError::BrokenOff)).await;
+                    let _ = chunks.send(Err(BodyError::Truncated)).await;
                     return Err(error.into());
                 }
             }
@@ -369,7 +369,7 @@
 async fn write_response(
     half: &mut WriteHalf<'_>,
     method: &Method,
-    response: Response<AnswerBody>,
+    response: Response<ResponseBody>,
     keep_alive: bool,
 ) -> io::Result<()> {
     let (parts, mut body) = response.into_parts();
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -15,9 +15,9 @@
 };
 use wharfquay_core::routing::EndpointId;
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::{AnswerBody, RequestBody};
+use wharfquay_daemon::body::{RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 use wharfquay_protocol::context::Callee;
 
@@ -234,7 +234,7 @@
         &self,
         call: &OutgoingCall,
         body: CallBody,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let router = self.routing.service(&call.service).ok_or_else(|| {
             Failure::with_retry_after(ResultCode::NoBackend, NO_SIDECAR_RETRY_AFTER)
         })?;
@@ -267,7 +267,7 @@
         mut body: CallBody,
         router: &Arc<ServiceRouter>,
         admitted_below: AdmissionLevel,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let mut attempts = Attempts::new(admitted_below);
         loop {
             let target = self
@@ -345,7 +345,7 @@
         router: &Arc<ServiceRouter>,
         target: &Target,
         attempts: &Attempts,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let flight = InFlightAttempt::new(router, target, self.clock);
         let started = self.clock.now();
         let sent = body
@@ -390,7 +390,7 @@
         let executed = self.local.execute(context, &call.head, body).await;
         AttemptOutcome {
             result: executed.result,
-            returned: Some(executed.metadata.returned),
+            returned: Some(executed.metadata.unused_retries),
             metadata: Some(executed.metadata),
             unsent: None,
         }
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -11,10 +11,10 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::{AdmissionLevel, Priority};
 use wharfquay_core::retry::Ledger;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::{AnswerBody, RequestBody};
+use wharfquay_daemon::body::{RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
-use wharfquay_daemon::headers::remove_internal_request;
+use wharfquay_daemon::headers::remove_internal_request_headers;
+use wharfquay_daemon::response::Failure;
 
 use super::forward::{CallBody, Forwarder, OutgoingCall, Progress};
 use super::identity::identify_tenant;
@@ -61,7 +61,7 @@
 
 impl OutboundHandler {
     /// Returns the final response to a request.
-    pub(crate) async fn handle(&self, request: Request<RequestBody>) -> Response<AnswerBody> {
+    pub(crate) async fn handle(&self, request: Request<RequestBody>) -> Response<ResponseBody> {
         let request_id = request.headers().get(&self.dialect.request_id).cloned();
         let response = match self.respond(request).await {
             Ok(response) => response,
@@ -73,9 +73,9 @@
     /// Copies the request id into the sidecar's own responses, as backends do in theirs.
     fn set_request_id(
         &self,
-        mut response: Response<AnswerBody>,
+        mut response: Response<ResponseBody>,
         request_id: Option<HeaderValue>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         if let Some(id) = request_id {
             let name = self.dialect.request_id.clone();
             response.headers_mut().entry(name).or_insert(id);
@@ -86,7 +86,7 @@
     async fn respond(
         &self,
         request: Request<RequestBody>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let index = self.configuration.borrow().clone();
         if index.configuration.version == 0 {
             let code = ResultCode::NotReady;
@@ -112,7 +112,7 @@
         &self,
         call: &OutgoingCall,
         body: RequestBody,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let forwarding = self.forwarder.forward(call, CallBody::new(body));
         match self
             .clock
@@ -251,7 +251,7 @@
     /// Sets the headers that identify the sender, replacing values that the sender wrote. API keys
     /// are not forwarded to backends.
     fn set_identity(&self, headers: &mut HeaderMap, index: &RouteIndex, tenant: Option<&Tenant>) {
-        remove_internal_request(headers);
+        remove_internal_request_headers(headers);
         headers.remove(&self.dialect.target_instance);
         let caller = self.dialect.caller_service.clone();
         headers.insert(caller, self.caller_service.clone());
@@ -333,7 +333,7 @@
 }
 
 /// Logs the result of a request.
-fn write_report(report: RequestReport, result: &Result<Response<AnswerBody>, Failure>) {
+fn write_report(report: RequestReport, result: &Result<Response<ResponseBody>, Failure>) {
     match result {
         Ok(response) => report.answered(response.status()),
         Err(failure) => report.failed(*failure, status_of(failure.code)),
--- a/crates/sidecar/src/outbound/identity.rs
+++ b/crates/sidecar/src/outbound/identity.rs
@@ -4,7 +4,7 @@
 
 use http::header::{self, HeaderMap};
 use wharfquay_core::outcome::ResultCode;
-use wharfquay_daemon::answer::Failure;
+use wharfquay_daemon::response::Failure;
 
 use crate::configuration::{Route, RouteIndex};
 use crate::confirmation::Confirmation;
--- a/crates/sidecar/src/outbound/report.rs
+++ b/crates/sidecar/src/outbound/report.rs
@@ -9,8 +9,8 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::routing::EndpointId;
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 
 use super::forward::NoRetry;
--- a/crates/sidecar/src/outbound/response.rs
+++ b/crates/sidecar/src/outbound/response.rs
@@ -6,8 +6,8 @@
 use http::header::{self, HeaderValue};
 use http::{Response, StatusCode};
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::AnswerBody;
+use wharfquay_daemon::body::ResponseBody;
+use wharfquay_daemon::response::Failure;
 use wharfquay_protocol::headers as names;
 
 /// Shortest Retry-After that a caller receives.
@@ -15,14 +15,14 @@
 
 /// Builds the response that replaces a backend's. A status that promises that the request was not
 /// executed is used only where that holds.
-pub(crate) fn refusal(failure: Failure) -> Response<AnswerBody> {
+pub(crate) fn refusal(failure: Failure) -> Response<ResponseBody> {
     let status = status_of(failure.code);
     let text = format!(
         "result={} name={}\n",
         failure.code.number(),
         failure.code.name()
     );
-    let mut response = Response::new(AnswerBody::own(Bytes::from(text)));
+    let mut response = Response::new(ResponseBody::from_bytes(Bytes::from(text)));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(
--- a/crates/sidecar/src/outbound/routing.rs
+++ b/crates/sidecar/src/outbound/routing.rs
@@ -13,12 +13,12 @@
     Zone,
 };
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 use wharfquay_membership::member::{Member, MemberProfile, MemberState};
 use wharfquay_membership::table::MemberTable;
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_protocol::response::ResponseMetadata;
 
 /// Number of concurrent executions assumed for an endpoint that has not reported its limit.
 const ASSUMED_SLOTS: u32 = 16;
@@ -278,7 +278,7 @@
         service: &str,
         request_kind: &str,
         from: &EndpointId,
-        metadata: &WireAnswer,
+        metadata: &ResponseMetadata,
     ) {
         let Some(below) = level_below(metadata.level, metadata.folded_level) else {
             return;
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -22,8 +22,8 @@
     RequestFingerprint, RequestTermination, TerminatedInstance, TerminationLedger,
 };
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 use wharfquay_membership::hash::hash_bytes;
 
--- a/crates/sidecar/src/quota/client.rs
+++ b/crates/sidecar/src/quota/client.rs
@@ -8,8 +8,8 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::quota::{TOKEN_LIFETIME, TokenPool};
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 
 use super::OwnerRing;
--- a/crates/sidecar/src/small_server.rs
+++ b/crates/sidecar/src/small_server.rs
@@ -52,7 +52,7 @@
 
 /// Builds a response with this status and JSON body.
 #[must_use]
-pub fn json_answer(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
+pub fn json_response(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
