--- a/crates/daemon/src/backend_pool/mod.rs
+++ b/crates/daemon/src/backend_pool/mod.rs
@@ -68,12 +68,12 @@
     /// Creates a pool that opens at most `limit` connections to `address`.
     #[must_use]
     pub fn new(address: SocketAddr, limit: usize, connect_timeout: Duration) -> Arc<Self> {
-        Self::with_longest_rest(address, limit, connect_timeout, Duration::MAX, since_boot)
+        Self::with_max_idle_time(address, limit, connect_timeout, Duration::MAX, since_boot)
     }
 
     /// Creates a pool like [`Self::new`] for a backend that closes connections after an idle time.
     #[must_use]
-    pub fn with_longest_rest(
+    pub fn with_max_idle_time(
         address: SocketAddr,
         limit: usize,
         connect_timeout: Duration,
@@ -206,14 +206,14 @@
     }
 
     /// Closes the connections that have been idle for longer than their maximum idle time.
-    pub fn close_rested(&self) {
-        close_rested(&mut lock(&self.idle), self.clock.now());
+    pub fn close_idle(&self) {
+        close_idle(&mut lock(&self.idle), self.clock.now());
     }
 
     fn push_idle(&self, connection: Connection, max_idle_time: Duration) {
         let mut idle = lock(&self.idle);
         let now = self.clock.now();
-        close_rested(&mut idle, now);
+        close_idle(&mut idle, now);
         idle.push(IdleConnection {
             connection,
             since: now,
@@ -252,7 +252,7 @@
 
 /// Closes the connections that have been idle for too long. The connection that became idle last is
 /// reused first, so after a surge the surplus connections stay idle and expire.
-fn close_rested(idle: &mut Vec<IdleConnection>, now: Timestamp) {
+fn close_idle(idle: &mut Vec<IdleConnection>, now: Timestamp) {
     let unusable = idle
         .iter()
         .take_while(|idle_connection| !idle_connection.is_usable(now));
--- a/crates/daemon/src/connect.rs
+++ b/crates/daemon/src/connect.rs
@@ -23,7 +23,7 @@
     let connecting = TcpStream::connect(address);
     let stream = tokio::time::timeout(timeout, connecting).await??;
     stream.set_nodelay(true)?;
-    notice_silence(&stream);
+    set_keepalive_options(&stream);
     Ok(stream)
 }
 
@@ -32,7 +32,7 @@
 ///
 /// Errors are ignored: without these options a socket still works, but detects an unreachable peer
 /// later.
-pub fn notice_silence(socket: &impl AsFd) {
+pub fn set_keepalive_options(socket: &impl AsFd) {
     let keep_alive = TcpKeepalive::new()
         .with_time(KEEP_ALIVE_INTERVAL)
         .with_interval(KEEP_ALIVE_INTERVAL)
--- a/crates/daemon/tests/backend_pool.rs
+++ b/crates/daemon/tests/backend_pool.rs
@@ -55,7 +55,7 @@
 async fn connections_idle_for_too_long_are_closed() {
     let backend = BackendStub::start().await;
     let max_idle_time = Duration::from_millis(40);
-    let pool = BackendPool::with_longest_rest(
+    let pool = BackendPool::with_max_idle_time(
         backend.address,
         8,
         CONNECT_TIMEOUT,
@@ -74,7 +74,7 @@
     while pool.open_connections() > 0 {
         assert!(Instant::now() < end, "{} open", pool.open_connections());
         tokio::time::sleep(Duration::from_millis(5)).await;
-        pool.close_rested();
+        pool.close_idle();
     }
 }
 
@@ -90,7 +90,7 @@
 async fn a_connection_idle_through_a_suspension_is_not_reused() {
     let backend = BackendStub::start().await;
     let max_idle_time = Duration::from_secs(5);
-    let pool = BackendPool::with_longest_rest(
+    let pool = BackendPool::with_max_idle_time(
         backend.address,
         8,
         CONNECT_TIMEOUT,
--- a/crates/sidecar/src/inbound/backend.rs
+++ b/crates/sidecar/src/inbound/backend.rs
@@ -203,7 +203,7 @@
         let timed = Arc::clone(&gate);
         let timer = tokio::spawn(async move { timed.run_timer().await });
         let connections = lock(&self.configured).connections as usize;
-        let pool = BackendPool::with_longest_rest(
+        let pool = BackendPool::with_max_idle_time(
             self.address,
             connections,
             CONNECT_TIMEOUT,
--- a/crates/sidecar/src/listeners.rs
+++ b/crates/sidecar/src/listeners.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use wharfquay_daemon::body::{RequestBody, ResponseBody};
-use wharfquay_daemon::connect::notice_silence;
+use wharfquay_daemon::connect::set_keepalive_options;
 
 use crate::control::StreamInbox;
 use crate::events::Event;
@@ -59,7 +59,7 @@
                 address,
                 error,
             })?;
-            notice_silence(&listener);
+            set_keepalive_options(&listener);
             Ok(listener)
         };
         let datagrams =
--- a/crates/sidecar/src/outbound/peers.rs
+++ b/crates/sidecar/src/outbound/peers.rs
@@ -28,7 +28,7 @@
     pub(crate) fn pool(&self, address: SocketAddr) -> Arc<BackendPool> {
         let mut pools = lock(&self.pools);
         let pool = pools.entry(address).or_insert_with(|| {
-            BackendPool::with_longest_rest(
+            BackendPool::with_max_idle_time(
                 address,
                 CONNECTIONS,
                 CONNECT_TIMEOUT,
@@ -43,7 +43,7 @@
     pub(crate) fn close_idle(&self) {
         let pools: Vec<Arc<BackendPool>> = lock(&self.pools).values().cloned().collect();
         for pool in pools {
-            pool.close_rested();
+            pool.close_idle();
         }
     }
 
