--- a/crates/daemon/src/control/machines.rs
+++ b/crates/daemon/src/control/machines.rs
@@ -197,7 +197,7 @@
     known: u64,
 ) -> Option<MachineList> {
     tokio::time::sleep(wait).await;
-    match client.machines_unless(known).await {
+    match client.machines_if_changed(known).await {
         Ok(list) => {
             platform.record_success();
             list
--- a/crates/daemon/src/control/readers.rs
+++ b/crates/daemon/src/control/readers.rs
@@ -84,13 +84,16 @@
                 log_event!(Event::ConfigurationReadFailed, "error={}", Quoted(error));
                 ReadResult::Unavailable
             }
-            SourceEvent::OlderStore { seen, answered } => {
-                let (seen, answered) = (seen.number(), answered.number());
+            SourceEvent::OlderStore {
+                seen,
+                replied_revision,
+            } => {
+                let (seen, replied_revision) = (seen.number(), replied_revision.number());
                 log_event!(
                     Event::ConfigurationOlderIgnored,
-                    "found={answered} in_force={seen}"
+                    "found={replied_revision} in_force={seen}"
                 );
-                ReadResult::Report(StoreReport::Revision(answered))
+                ReadResult::Report(StoreReport::Revision(replied_revision))
             }
             SourceEvent::DivergedStore { revision } => {
                 log_event!(Event::StoreDiverged, "revision={}", revision.number());
--- a/crates/emulator/src/platform/api.rs
+++ b/crates/emulator/src/platform/api.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use wharfquay_core::time::Timestamp;
 use wharfquay_platform::wire::{
-    ConflictAnswer, DeleteAnswer, FailureAnswer, LeaseAnswer, LeaseBody, Machine, ObjectKey,
+    ConflictReply, DeleteReply, FailureReply, LeaseBody, LeaseReply, Machine, ObjectKey,
     OperationId, PutBody,
 };
 use wharfquay_platform::write::Keyspace as KeyspaceName;
@@ -84,7 +84,7 @@
     }
 
     pub(super) fn failure(status: StatusCode, error: String) -> Self {
-        let body = serde_json::to_vec(&FailureAnswer { error }).unwrap_or_default();
+        let body = serde_json::to_vec(&FailureReply { error }).unwrap_or_default();
         Self { status, body }
     }
 
@@ -94,7 +94,7 @@
 
     fn conflict(conflict: VersionConflict) -> Self {
         let current = conflict.current.map(|object| *object);
-        Self::json(StatusCode::CONFLICT, &ConflictAnswer { current })
+        Self::json(StatusCode::CONFLICT, &ConflictReply { current })
     }
 }
 
@@ -260,12 +260,12 @@
         version.number(),
         request.query.author
     );
-    Ok(ApiAnswer::json(StatusCode::OK, &DeleteAnswer { version }))
+    Ok(ApiAnswer::json(StatusCode::OK, &DeleteReply { version }))
 }
 
-fn lease_answer(now: Timestamp, lease: Lease) -> LeaseAnswer {
+fn lease_answer(now: Timestamp, lease: Lease) -> LeaseReply {
     let left = lease.expires_at.saturating_since(now).as_millis();
-    LeaseAnswer {
+    LeaseReply {
         holder: lease.holder,
         expires_in_ms: u64::try_from(left).unwrap_or(u64::MAX),
     }
--- a/crates/emulator/tests/platform_contract/api.rs
+++ b/crates/emulator/tests/platform_contract/api.rs
@@ -85,7 +85,7 @@
     let PlatformError::Conflict(conflict) = error else {
         panic!("not a conflict: {text}");
     };
-    assert!(!conflict.earlier_attempt_open);
+    assert!(!conflict.earlier_attempt_unresolved);
 }
 
 #[tokio::test]
@@ -193,10 +193,10 @@
     let list = client.machines().await.expect("machines");
     assert_eq!(list.machines, [machine]);
     let known = list.version;
-    let unchanged = client.machines_unless(known).await.expect("machines");
+    let unchanged = client.machines_if_changed(known).await.expect("machines");
     assert_eq!(unchanged, None);
     client.delete_machine("booking-1").await.expect("delete");
-    let changed = client.machines_unless(known).await.expect("machines");
+    let changed = client.machines_if_changed(known).await.expect("machines");
     assert!(changed.is_some_and(|list| list.machines.is_empty()));
 }
 
--- a/crates/emulator/tests/platform_contract/reader_lease.rs
+++ b/crates/emulator/tests/platform_contract/reader_lease.rs
@@ -8,7 +8,7 @@
 use wharfquay_emulator::platform::leases::Leases;
 use wharfquay_platform::client::LeaseOutcome;
 use wharfquay_platform::lease::LeaseRequest;
-use wharfquay_platform::wire::LeaseAnswer;
+use wharfquay_platform::wire::LeaseReply;
 use wharfquay_platform::{ReaderLease, ReaderLeaseSettings};
 
 const SEED: u64 = 7;
@@ -127,7 +127,7 @@
     fn serve(&mut self, number: usize) {
         if let Some(request) = self.candidates[number].advance(self.now) {
             let answer = self.answer(&request);
-            self.candidates[number].answered(self.now, answer.as_ref(), &mut self.random);
+            self.candidates[number].handle_result(self.now, answer.as_ref(), &mut self.random);
         }
     }
 
@@ -144,7 +144,7 @@
         }
         Some(match result {
             Ok(lease) => LeaseOutcome::Granted(lease.expires_at.saturating_since(now)),
-            Err(held) => LeaseOutcome::HeldBy(LeaseAnswer {
+            Err(held) => LeaseOutcome::HeldBy(LeaseReply {
                 expires_in_ms: held.expires_at.saturating_since(now).as_millis() as u64,
                 holder: held.holder,
             }),
@@ -217,7 +217,7 @@
     let mut lease = ReaderLease::new(settings, Timestamp::ZERO, &mut random);
     lease.advance(Timestamp::ZERO).expect("asks at once");
     let late = Timestamp::ZERO + ttl;
-    lease.answered(late, Some(&LeaseOutcome::Granted(ttl)), &mut random);
+    lease.handle_result(late, Some(&LeaseOutcome::Granted(ttl)), &mut random);
     assert!(!lease.may_read(late));
     assert!(lease.advance(late).is_some(), "asks again");
 }
--- a/crates/emulator/tests/platform_contract/source_model.rs
+++ b/crates/emulator/tests/platform_contract/source_model.rs
@@ -260,8 +260,11 @@
                     "seed {seed}: current is not delivered"
                 );
             }
-            SourceEvent::OlderStore { seen, answered } => {
-                assert!(answered < seen, "seed {seed}: not older");
+            SourceEvent::OlderStore {
+                seen,
+                replied_revision,
+            } => {
+                assert!(replied_revision < seen, "seed {seed}: not older");
                 self.older_reports += 1;
             }
             SourceEvent::Unavailable { .. } | SourceEvent::DivergedStore { .. } => {}
@@ -287,7 +290,7 @@
     fn check_recovery(&mut self) {
         const HEALTHY_STEPS: u32 = 1_000;
         self.served = None;
-        while self.store.version() <= self.source.seen() {
+        while self.store.version() <= self.source.highest_seen_revision() {
             self.write();
         }
         let expected = Some((self.store.version(), configuration_of(&self.store)));
--- a/crates/emulator/tests/platform_contract/write_faults.rs
+++ b/crates/emulator/tests/platform_contract/write_faults.rs
@@ -321,12 +321,12 @@
 
 fn outcome(result: &Result<WriteReceipt, PlatformError>) -> Option<Expected> {
     match result {
-        Ok(receipt) if receipt.recognised => Some(Expected::Recognised),
+        Ok(receipt) if receipt.recognised_after_lost_reply => Some(Expected::Recognised),
         Ok(_) => Some(Expected::Answered),
         Err(PlatformError::WriteUnresolved { .. }) => Some(Expected::Unresolved),
         Err(PlatformError::Conflict(conflict)) => {
             let current = conflict.current.as_ref()?;
-            let told = conflict.earlier_attempt_open && current.author == OTHER_AUTHOR;
+            let told = conflict.earlier_attempt_unresolved && current.author == OTHER_AUTHOR;
             told.then_some(Expected::ConflictAfterOpenAttempt)
         }
         Err(_) => None,
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -230,7 +230,7 @@
         if members <= 1 || self.must_poll {
             self.must_poll = false;
             self.knows_other_members = members > 1;
-            self.requested_freshness = self.listing_age();
+            self.requested_freshness = self.listing_freshness();
             return DirectoryStep::List(self.requested_freshness);
         }
         self.review(now, table, members);
@@ -245,13 +245,13 @@
     pub fn on_listing(
         &mut self,
         now: Timestamp,
-        own: EntryState,
+        entry: EntryState,
         others: usize,
         rng: &mut impl Rng,
     ) {
         let is_alone = !self.knows_other_members && (others == 0 || self.has_listed_others);
         self.has_listed_others |= others > 0;
-        match own {
+        match entry {
             EntryState::Current => self.has_entry = true,
             EntryState::Different => self.entry_due = true,
             // The entry may have been written after the stale listing was made.
@@ -299,7 +299,7 @@
 
     /// Returns the freshness to request. Once others are listed, a fresh listing would add little,
     /// since they still have to reply.
-    fn listing_age(&self) -> ListingFreshness {
+    fn listing_freshness(&self) -> ListingFreshness {
         let stale_polls = match self.has_listed_others {
             true => self.settings.stale_polls_after_listing,
             false => self.settings.stale_polls,
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -12,7 +12,7 @@
 use crate::settings::ClientSettings;
 use crate::transport::{Call, Transport};
 use crate::watch::WatchStream;
-use crate::wire::{LeaseAnswer, LeaseBody, Machine, MachineList, Object, ObjectKey, ObjectList};
+use crate::wire::{LeaseBody, LeaseReply, Machine, MachineList, Object, ObjectKey, ObjectList};
 use crate::write::{Keyspace, WriteReceipt, WriteRequest};
 
 /// Maximum length of a name in a path or query, in bytes.
@@ -24,7 +24,7 @@
     /// The requester holds the lease for this duration, counted from when the request was sent.
     Granted(Duration),
     /// Another holder has the lease.
-    HeldBy(LeaseAnswer),
+    HeldBy(LeaseReply),
 }
 
 /// Client of the platform. Calls may run concurrently.
@@ -130,7 +130,10 @@
     }
 
     /// Returns the platform's list of machines, or `None` while its version is still `known`.
-    pub async fn machines_unless(&self, known: u64) -> Result<Option<MachineList>, PlatformError> {
+    pub async fn machines_if_changed(
+        &self,
+        known: u64,
+    ) -> Result<Option<MachineList>, PlatformError> {
         let path = format!("/v1/machines?unless_version={known}");
         let reply = self
             .transport
@@ -175,7 +178,7 @@
         if reply.status == StatusCode::CONFLICT {
             return Ok(LeaseOutcome::HeldBy(reply.json()?));
         }
-        let granted: LeaseAnswer = reply.success()?;
+        let granted: LeaseReply = reply.success()?;
         Ok(LeaseOutcome::Granted(Duration::from_millis(
             granted.expires_in_ms,
         )))
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -54,7 +54,7 @@
         detail: String,
     },
     /// 6007: {target}: malformed reply: {detail}
-    MalformedAnswer {
+    MalformedReply {
         /// Method and address of the request.
         target: String,
         /// Description of what can't be parsed.
@@ -105,7 +105,7 @@
             Self::ConnectionLost { .. } => 6004,
             Self::ServerFailure { .. } => 6005,
             Self::Rejected { .. } => 6006,
-            Self::MalformedAnswer { .. } => 6007,
+            Self::MalformedReply { .. } => 6007,
             Self::Conflict(_) => 6008,
             Self::WatchTooOld { .. } => 6009,
             Self::WriteUnresolved { .. } => 6010,
@@ -123,7 +123,7 @@
                 | Self::Timeout { .. }
                 | Self::ConnectionLost { .. }
                 | Self::ServerFailure { .. }
-                | Self::MalformedAnswer { .. }
+                | Self::MalformedReply { .. }
         )
     }
 
@@ -135,7 +135,7 @@
             Self::Timeout { .. }
                 | Self::ConnectionLost { .. }
                 | Self::ServerFailure { .. }
-                | Self::MalformedAnswer { .. }
+                | Self::MalformedReply { .. }
                 | Self::WriteUnresolved { .. }
         )
     }
@@ -154,7 +154,7 @@
     pub current: Option<Object>,
     /// True if an earlier attempt of the same write got no reply. That attempt may have taken effect
     /// before another write replaced it by `current`.
-    pub earlier_attempt_open: bool,
+    pub earlier_attempt_unresolved: bool,
 }
 
 impl fmt::Display for Conflict {
@@ -173,7 +173,7 @@
                 current.version.number()
             )?,
         }
-        if self.earlier_attempt_open {
+        if self.earlier_attempt_unresolved {
             write!(
                 formatter,
                 "; an earlier attempt got no reply and may have been in force before"
--- a/crates/platform/src/lease.rs
+++ b/crates/platform/src/lease.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// A lease request to send; its result goes to [`ReaderLease::answered`].
+/// A lease request to send; its result goes to [`ReaderLease::handle_result`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRequest {
     /// Name of the lease.
@@ -127,7 +127,7 @@
     }
 
     /// Handles the result of the request in flight; `None` means that there was no reply.
-    pub fn answered(
+    pub fn handle_result(
         &mut self,
         now: Timestamp,
         outcome: Option<&LeaseOutcome>,
--- a/crates/platform/src/source/event.rs
+++ b/crates/platform/src/source/event.rs
@@ -74,7 +74,7 @@
         /// Highest revision in any earlier reply of the store.
         seen: Revision,
         /// Revision of this reply.
-        answered: Revision,
+        replied_revision: Revision,
     },
     /// The store replied with other content for a revision that the consumer already has. Replies are
     /// ignored until the store has a higher revision.
--- a/crates/platform/src/source/state.rs
+++ b/crates/platform/src/source/state.rs
@@ -89,7 +89,7 @@
     settings: SourceSettings,
     phase: Phase,
     /// Highest version in any reply of the store.
-    seen: Revision,
+    highest_seen_revision: Revision,
     delivered: Option<Delivered>,
     /// True if the store replied with an older or diverged state and no consistent list followed yet.
     history_suspect: bool,
@@ -110,7 +110,7 @@
         Self {
             settings,
             phase: Phase::Idle,
-            seen: Revision::ZERO,
+            highest_seen_revision: Revision::ZERO,
             delivered: None,
             history_suspect: false,
             snapshot_requested: false,
@@ -122,8 +122,8 @@
 
     /// Returns the highest revision in any reply of the store.
     #[must_use]
-    pub const fn seen(&self) -> Revision {
-        self.seen
+    pub const fn highest_seen_revision(&self) -> Revision {
+        self.highest_seen_revision
     }
 
     /// Returns the revision that was delivered to the consumer, if any.
@@ -214,10 +214,10 @@
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
         self.record_reply(now);
-        if list.version < self.seen {
+        if list.version < self.highest_seen_revision {
             return self.handle_older_store(now, list.version, random);
         }
-        self.seen = list.version;
+        self.highest_seen_revision = list.version;
         let states = object_states(list);
         let event = match &self.delivered {
             Some(delivered) if delivered.revision == list.version => {
@@ -288,10 +288,10 @@
         version: Revision,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
-        if version < self.seen {
+        if version < self.highest_seen_revision {
             return with_closed_watch(self.handle_older_store(now, version, random));
         }
-        self.seen = version;
+        self.highest_seen_revision = version;
         if self.delivered() != Some(version) {
             return self.handle_gap(now, random);
         }
@@ -315,7 +315,7 @@
         if version <= previous {
             return Vec::new();
         }
-        self.seen = self.seen.max(version);
+        self.highest_seen_revision = self.highest_seen_revision.max(version);
         if version.number() != previous.number() + 1 {
             return self.handle_gap(now, random);
         }
@@ -338,14 +338,14 @@
     fn handle_older_store(
         &mut self,
         now: Timestamp,
-        answered: Revision,
+        replied_revision: Revision,
         random: &mut impl Rng,
     ) -> Vec<SourceEffect> {
         self.history_suspect = true;
         self.schedule_step(now, Step::List, random);
         vec![SourceEffect::Emit(SourceEvent::OlderStore {
-            seen: self.seen,
-            answered,
+            seen: self.highest_seen_revision,
+            replied_revision,
         })]
     }
 
--- a/crates/platform/src/source/task.rs
+++ b/crates/platform/src/source/task.rs
@@ -306,7 +306,7 @@
     let outcome = client
         .acquire_lease(&request.name, &request.holder, request.ttl)
         .await;
-    lease.answered(clock.now(), outcome.as_ref().ok(), &mut rand::rng());
+    lease.handle_result(clock.now(), outcome.as_ref().ok(), &mut rand::rng());
     match outcome {
         Ok(_) => Renewal::Replied,
         Err(error) => Renewal::Failed(error),
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -16,7 +16,7 @@
 
 use crate::error::PlatformError;
 use crate::settings::ClientSettings;
-use crate::wire::FailureAnswer;
+use crate::wire::FailureReply;
 
 /// Time after which an idle connection is closed. Later calls then open a new connection instead of
 /// waiting on one to a stopped platform.
@@ -49,7 +49,7 @@
         path: String,
         body: &T,
     ) -> Result<Self, PlatformError> {
-        let body = serde_json::to_vec(body).map_err(|error| PlatformError::MalformedAnswer {
+        let body = serde_json::to_vec(body).map_err(|error| PlatformError::MalformedReply {
             target: format!("{method} {path}"),
             detail: error.to_string(),
         })?;
@@ -75,7 +75,7 @@
 impl Reply {
     /// Parses the body as JSON.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> Result<T, PlatformError> {
-        serde_json::from_slice(&self.body).map_err(|error| PlatformError::MalformedAnswer {
+        serde_json::from_slice(&self.body).map_err(|error| PlatformError::MalformedReply {
             target: self.target.clone(),
             detail: error.to_string(),
         })
@@ -109,7 +109,7 @@
     }
 
     fn failure_detail(&self) -> String {
-        serde_json::from_slice::<FailureAnswer>(&self.body)
+        serde_json::from_slice::<FailureReply>(&self.body)
             .map_or_else(|_| "no reason specified".to_owned(), |reply| reply.error)
     }
 }
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -122,7 +122,7 @@
     fn decode(&mut self, bytes: &[u8]) -> Result<(), PlatformError> {
         self.decoder
             .push(bytes)
-            .map_err(|detail| PlatformError::MalformedAnswer {
+            .map_err(|detail| PlatformError::MalformedReply {
                 target: self.target.clone(),
                 detail,
             })
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -101,14 +101,14 @@
 
 /// Reply to a deletion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DeleteAnswer {
+pub struct DeleteReply {
     /// Version of the store after the deletion.
     pub version: Revision,
 }
 
 /// Reply to a write whose expected version is not the current one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConflictAnswer {
+pub struct ConflictReply {
     /// Current state of the object, or `None` when it doesn't exist.
     pub current: Option<Object>,
 }
@@ -164,7 +164,7 @@
 
 /// Reply to a request for a lease, whether it was granted or not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseReply {
     /// Id of the process that holds the lease.
     pub holder: String,
     /// Time after which the lease expires unless it is renewed, in milliseconds.
@@ -210,7 +210,7 @@
 
 /// Body of a reply that reports a failure.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FailureAnswer {
+pub struct FailureReply {
     /// Description of the failure for operators.
     pub error: String,
 }
--- a/crates/platform/src/write.rs
+++ b/crates/platform/src/write.rs
@@ -9,7 +9,7 @@
 use crate::client::{Client, object_path};
 use crate::error::{Conflict, PlatformError};
 use crate::transport::{Call, Reply};
-use crate::wire::{ConflictAnswer, DeleteAnswer, Object, ObjectKey, OperationId, PutBody};
+use crate::wire::{ConflictReply, DeleteReply, Object, ObjectKey, OperationId, PutBody};
 
 /// Maximum number of conflicts that [`Client::update_status`] resolves before it fails.
 const MAXIMUM_UPDATE_CONFLICTS: u32 = 16;
@@ -111,7 +111,7 @@
     /// Number of attempts.
     pub attempts: u32,
     /// True if the reply was lost and the write was recognised by the state of the object.
-    pub recognised: bool,
+    pub recognised_after_lost_reply: bool,
 }
 
 impl WriteRequest {
@@ -141,13 +141,13 @@
 pub fn conflict(
     request: &WriteRequest,
     current: Option<Object>,
-    earlier_attempt_open: bool,
+    earlier_attempt_unresolved: bool,
 ) -> PlatformError {
     PlatformError::Conflict(Box::new(Conflict {
         key: request.key.clone(),
         expected_version: request.expected_version,
         current,
-        earlier_attempt_open,
+        earlier_attempt_unresolved,
     }))
 }
 
@@ -164,7 +164,7 @@
             return resolve_conflict(request, &reply);
         }
         if request.action == WriteAction::Delete {
-            let deleted: DeleteAnswer = reply.success()?;
+            let deleted: DeleteReply = reply.success()?;
             return Ok(receipt(None, Some(deleted.version)));
         }
         let object: Object = reply.success()?;
@@ -305,7 +305,7 @@
 
 /// Resolves a conflict of one attempt: it is a success if the object already has the operation id.
 fn resolve_conflict(request: &WriteRequest, reply: &Reply) -> Result<WriteReceipt, PlatformError> {
-    let current = reply.json::<ConflictAnswer>()?.current;
+    let current = reply.json::<ConflictReply>()?.current;
     if request.made(current.as_ref()) {
         return Ok(recognised(current));
     }
@@ -330,7 +330,7 @@
         object,
         version,
         attempts: 1,
-        recognised: false,
+        recognised_after_lost_reply: false,
     }
 }
 
@@ -339,7 +339,7 @@
         version: current.as_ref().map(|object| object.version),
         object: current,
         attempts: 1,
-        recognised: true,
+        recognised_after_lost_reply: true,
     }
 }
 
--- a/crates/sidecar/src/control/directory.rs
+++ b/crates/sidecar/src/control/directory.rs
@@ -50,7 +50,7 @@
                         registration.on_store_restored(self.clock.now(), &mut rand::rng());
                     }
                 },
-                DirectoryStep::List(age) => match self.list(age).await {
+                DirectoryStep::List(freshness) => match self.list(freshness).await {
                     Some(entries) => {
                         self.record_listing(&mut registration, &entries);
                         if self.seeds.send(entries).await.is_err() {
@@ -83,8 +83,8 @@
     }
 
     /// Returns the entries of the directory; `None` if the call fails or times out.
-    async fn list(&self, age: ListingFreshness) -> Option<Vec<DirectoryEntry>> {
-        let freshness = match age {
+    async fn list(&self, freshness: ListingFreshness) -> Option<Vec<DirectoryEntry>> {
+        let freshness = match freshness {
             ListingFreshness::MayBeStale => Freshness::MayBeStale,
             ListingFreshness::Latest => Freshness::Latest,
         };
