--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -6,7 +6,7 @@
 use wharfquay_platform::{Client, PlatformError, WriteRequest};
 use wharfquay_resources::diff::{Change, changed_fields};
 use wharfquay_resources::kinds::{Resource, ResourceId, ResourceKind};
-use wharfquay_resources::parse::parse_over;
+use wharfquay_resources::parse::parse_with_base;
 use wharfquay_resources::snapshot::Revision;
 use wharfquay_resources::spec::to_spec;
 
@@ -106,7 +106,7 @@
     let client = connect(arguments)?;
     block_on(async {
         let view = PlatformView::read(&client).await?;
-        let parsed = parse_over(&read.files, &view.acceptance.snapshot);
+        let parsed = parse_with_base(&read.files, &view.acceptance.snapshot);
         print_error_lines(&parsed.problems);
         if parsed.has_errors() {
             return Ok(ExitStatus::ProblemFound);
--- a/crates/cli/src/explain/mod.rs
+++ b/crates/cli/src/explain/mod.rs
@@ -8,7 +8,7 @@
 use wharfquay_platform::wire::Machine;
 use wharfquay_resources::chain::heaviest_chain;
 use wharfquay_resources::decision::{
-    Circumstances, Decision, RequestFacts, decide, describe_refusal,
+    Decision, DecisionContext, RequestProperties, decide, describe_refusal,
 };
 use wharfquay_resources::kinds::RequestKind;
 use wharfquay_resources::snapshot::Snapshot;
@@ -85,7 +85,7 @@
 /// The explanation, as printed with `--json`.
 #[derive(Serialize)]
 struct Explanation {
-    request: RequestFacts,
+    request: RequestProperties,
     kinds: Vec<KindMatch>,
     decision: Decision,
     retry_budget: Option<String>,
@@ -102,7 +102,7 @@
     let request = read_request(&line, &arguments.texts("header"), rank)?;
     let snapshot = read_configuration(arguments)?;
     let machines = read_machines(arguments)?;
-    let circumstances = Circumstances {
+    let circumstances = DecisionContext {
         level: level.map_or(AdmissionLevel::OPEN, AdmissionLevel::new),
         endpoint: None,
     };
@@ -145,7 +145,7 @@
 }
 
 /// Returns every request kind of the service and why it matches or not.
-fn match_kinds(snapshot: &Snapshot, request: &RequestFacts) -> Vec<KindMatch> {
+fn match_kinds(snapshot: &Snapshot, request: &RequestProperties) -> Vec<KindMatch> {
     let chosen = snapshot.match_request(&request.service, &request.method, &request.path);
     let kinds = snapshot.request_kinds.values();
     kinds
@@ -160,7 +160,7 @@
 fn describe_match(
     kind: &RequestKind,
     chosen: Option<&RequestKind>,
-    request: &RequestFacts,
+    request: &RequestProperties,
 ) -> String {
     let prefix = &kind.path_prefix;
     if let Some(method) = kind
--- a/crates/cli/src/explain/request.rs
+++ b/crates/cli/src/explain/request.rs
@@ -3,7 +3,7 @@
 use uuid::Uuid;
 use wharfquay_core::priority::Rank;
 use wharfquay_protocol::headers;
-use wharfquay_resources::decision::RequestFacts;
+use wharfquay_resources::decision::RequestProperties;
 
 use crate::arguments::parse_value;
 use crate::error::CliError;
@@ -27,7 +27,7 @@
     line: &str,
     headers: &[String],
     rank: Rank,
-) -> Result<RequestFacts, CliError> {
+) -> Result<RequestProperties, CliError> {
     let (method, path) = read_request_line(line)?;
     let headers: Vec<Header> = headers
         .iter()
@@ -37,7 +37,7 @@
     let deadline_ms = deadline
         .map(|value| parse_value(headers::DEADLINE.as_str(), value, ALLOWED_DEADLINE))
         .transpose()?;
-    Ok(RequestFacts {
+    Ok(RequestProperties {
         service: service_of(&headers)?,
         method,
         path,
--- a/crates/cli/src/plan/options.rs
+++ b/crates/cli/src/plan/options.rs
@@ -6,7 +6,7 @@
 use wharfquay_emulator::scenario::{RequestModel, Scenario};
 use wharfquay_resources::fields::DRAIN_TARGETS;
 use wharfquay_resources::kinds::DrainTarget;
-use wharfquay_resources::parse::parse_over;
+use wharfquay_resources::parse::parse_with_base;
 use wharfquay_resources::snapshot::Snapshot;
 
 use crate::arguments::{Arguments, parse_value};
@@ -159,7 +159,7 @@
 ) -> Result<Vec<DrainTarget>, CliError> {
     let paths = arguments.flag_paths(FILE.name);
     let read = read_files(&paths);
-    let mut parsed = parse_over(&read.files, &services_of(scenario));
+    let mut parsed = parse_with_base(&read.files, &services_of(scenario));
     parsed.problems.splice(0..0, read.problems);
     print_error_lines(&parsed.problems);
     if parsed.has_errors() {
--- a/crates/daemon/src/control/claims/group.rs
+++ b/crates/daemon/src/control/claims/group.rs
@@ -5,11 +5,11 @@
 use wharfquay_core::idempotency::claim::group::{Epoch, Group, Predecessor, ReplicaId};
 use wharfquay_core::idempotency::clock::KeyWindow;
 use wharfquay_resources::kinds::ClaimGroup;
-use wharfquay_resources::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
+use wharfquay_resources::snapshot::{CLAIM_GROUP_NAME, Snapshot};
 
 /// Returns the claim group in force, or `None` if none is configured.
 pub(super) fn in_force(snapshot: &Snapshot) -> Option<Group> {
-    snapshot.claim_groups.get(CLAIM_GROUP_IN_USE).map(group)
+    snapshot.claim_groups.get(CLAIM_GROUP_NAME).map(group)
 }
 
 fn group(resource: &ClaimGroup) -> Group {
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -10,7 +10,7 @@
 use wharfquay_core::priority::AdmissionLevel;
 use wharfquay_core::routing::EndpointId;
 use wharfquay_resources::decision::{
-    ChosenEndpoint, Circumstances, Decision, DecisionRecord, RequestFacts, Treatment,
+    ChosenEndpoint, Decision, DecisionContext, DecisionRecord, RequestPolicy, RequestProperties,
 };
 use wharfquay_resources::snapshot::Revision;
 
@@ -59,7 +59,7 @@
         self: &Arc<Self>,
         origin: OriginId,
         revision: Revision,
-        request: impl FnOnce() -> RequestFacts,
+        request: impl FnOnce() -> RequestProperties,
     ) -> DecisionTrace {
         if !self.is_on() {
             return DecisionTrace::OFF;
@@ -70,7 +70,7 @@
             origin: format!("{:032x}", origin.as_u128()),
             revision,
             request: request(),
-            circumstances: Circumstances::default(),
+            circumstances: DecisionContext::default(),
             decision: Decision {
                 treatment: None,
                 refused: None,
@@ -117,7 +117,7 @@
     }
 
     /// Records how the request is treated; `treatment` is only called if the request is recorded.
-    pub(crate) fn record_treatment(&self, treatment: impl FnOnce() -> Treatment) {
+    pub(crate) fn record_treatment(&self, treatment: impl FnOnce() -> RequestPolicy) {
         self.change(|state| state.record.decision.treatment = Some(treatment()));
     }
 
--- a/crates/daemon/src/edge/claimed.rs
+++ b/crates/daemon/src/edge/claimed.rs
@@ -19,7 +19,7 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::time::Timestamp;
 use wharfquay_resources::kinds::RequestKind;
-use wharfquay_resources::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
+use wharfquay_resources::snapshot::{CLAIM_GROUP_NAME, Snapshot};
 
 use crate::body::ResponseBody;
 use crate::control::claims::{ClaimVerdict, ClaimedCall, DispatchPermit};
@@ -42,7 +42,7 @@
     kind: &RequestKind,
     key: Option<IdempotencyKey>,
 ) -> Option<IdempotencyKey> {
-    let has_group = snapshot.claim_groups.contains_key(CLAIM_GROUP_IN_USE);
+    let has_group = snapshot.claim_groups.contains_key(CLAIM_GROUP_NAME);
     let claims = !kind.repeatable && (has_group || kind.idempotency_key_required);
     key.filter(|_| claims)
 }
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -15,7 +15,7 @@
 use wharfquay_core::priority::{AdmissionLevel, Priority, Rank};
 use wharfquay_core::retry::Ledger;
 use wharfquay_protocol::headers as names;
-use wharfquay_resources::decision::{RequestFacts, Treatment};
+use wharfquay_resources::decision::{RequestPolicy, RequestProperties};
 use wharfquay_resources::kinds::RequestKind;
 use wharfquay_resources::snapshot::Snapshot;
 
@@ -160,7 +160,7 @@
         let time_to_deadline_ms = time_to_deadline_ms(kind, headers)?;
         let budget = snapshot.retry_budget_for(kind);
         let retries = budget.map_or(0, |budget| budget.retries_per_request);
-        trace.record_treatment(|| Treatment {
+        trace.record_treatment(|| RequestPolicy {
             request_kind: kind.name.clone(),
             priority: kind.priority,
             deadline_ms: time_to_deadline_ms,
@@ -199,9 +199,9 @@
 }
 
 /// Returns the properties of a request that its decision record contains.
-fn request_facts<B>(service: &str, request: &Request<B>, origin: OriginId) -> RequestFacts {
+fn request_facts<B>(service: &str, request: &Request<B>, origin: OriginId) -> RequestProperties {
     let headers = request.headers();
-    RequestFacts {
+    RequestProperties {
         service: service.to_owned(),
         method: request.method().as_str().to_owned(),
         path: request.uri().path().to_owned(),
--- a/crates/resources/src/acceptance.rs
+++ b/crates/resources/src/acceptance.rs
@@ -10,7 +10,7 @@
 
 use crate::kinds::{DrainTarget, RequestKind, Resource, ResourceId, ResourceKind};
 use crate::problem::{Finding, ProblemCode};
-use crate::snapshot::{CLAIM_GROUP_IN_USE, Revision, Snapshot};
+use crate::snapshot::{CLAIM_GROUP_NAME, Revision, Snapshot};
 use crate::spec::read_object;
 use crate::validate::{KnownResources, ambiguous_match, find_errors};
 
@@ -308,7 +308,7 @@
                 targets.push(ResourceId::new(ResourceKind::RetryBudget, budget));
             }
             if kind.idempotency_key_required && !kind.repeatable {
-                let group = ResourceId::new(ResourceKind::ClaimGroup, CLAIM_GROUP_IN_USE);
+                let group = ResourceId::new(ResourceKind::ClaimGroup, CLAIM_GROUP_NAME);
                 targets.push(group);
             }
             targets
--- a/crates/resources/src/decision.rs
+++ b/crates/resources/src/decision.rs
@@ -13,7 +13,7 @@
 /// The properties of a request that a decision depends on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RequestFacts {
+pub struct RequestProperties {
     /// Service that the request is addressed to.
     pub service: String,
     /// HTTP method.
@@ -43,7 +43,7 @@
 /// The state of the system that a decision depends on, at the arrival of the request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Circumstances {
+pub struct DecisionContext {
     /// Strictest admission level known on the request's path, 0 (closed) to 32768 (open).
     pub level: AdmissionLevel,
     /// Backend that the routing chose; absent when the request was refused before routing.
@@ -54,7 +54,7 @@
 /// The parameters that a request kind assigns to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Treatment {
+pub struct RequestPolicy {
     /// Name of the request kind.
     pub request_kind: String,
     /// Importance: 0 is refused last.
@@ -73,7 +73,7 @@
 pub struct Decision {
     /// Parameters of the matching request kind; absent when no request kind matches.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub treatment: Option<Treatment>,
+    pub treatment: Option<RequestPolicy>,
     /// Number of the result code with which the request is refused; absent when it is admitted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<u16>,
@@ -95,9 +95,9 @@
     /// Revision of the configuration in force.
     pub revision: Revision,
     /// Properties of the request.
-    pub request: RequestFacts,
+    pub request: RequestProperties,
     /// State of the system at the arrival.
-    pub circumstances: Circumstances,
+    pub circumstances: DecisionContext,
     /// The decision.
     pub decision: Decision,
 }
@@ -106,8 +106,8 @@
 #[must_use]
 pub fn decide(
     snapshot: &Snapshot,
-    request: &RequestFacts,
-    circumstances: &Circumstances,
+    request: &RequestProperties,
+    circumstances: &DecisionContext,
 ) -> Decision {
     let kind = snapshot.match_request(&request.service, &request.method, &request.path);
     let Some(kind) = kind else {
@@ -131,10 +131,14 @@
     }
 }
 
-fn treatment_of(snapshot: &Snapshot, kind: &RequestKind, request: &RequestFacts) -> Treatment {
+fn treatment_of(
+    snapshot: &Snapshot,
+    kind: &RequestKind,
+    request: &RequestProperties,
+) -> RequestPolicy {
     let longest = u64::from(kind.deadline_ms);
     let budget = snapshot.retry_budget_for(kind);
-    Treatment {
+    RequestPolicy {
         request_kind: kind.name.clone(),
         priority: kind.priority,
         deadline_ms: request.deadline_ms.unwrap_or(longest).min(longest),
@@ -153,7 +157,7 @@
     Some(drain.name.clone())
 }
 
-fn refused(treatment: Option<Treatment>, code: ResultCode) -> Decision {
+fn refused(treatment: Option<RequestPolicy>, code: ResultCode) -> Decision {
     Decision {
         treatment,
         refused: Some(code.number()),
@@ -197,7 +201,7 @@
 fn describe_parts(decision: &Decision) -> [(&'static str, String); 7] {
     let treatment = decision.treatment.as_ref();
     let part =
-        |value: &dyn Fn(&Treatment) -> String| treatment.map_or_else(|| NONE.to_owned(), value);
+        |value: &dyn Fn(&RequestPolicy) -> String| treatment.map_or_else(|| NONE.to_owned(), value);
     [
         ("request_kind", part(&|found| found.request_kind.clone())),
         ("priority", part(&|found| found.priority.to_string())),
--- a/crates/resources/src/parse.rs
+++ b/crates/resources/src/parse.rs
@@ -53,13 +53,13 @@
 /// Parses and checks files as one complete set: references may name only resources of these files.
 #[must_use]
 pub fn parse(files: &[SourceFile]) -> Parsed {
-    parse_over(files, &Snapshot::default())
+    parse_with_base(files, &Snapshot::default())
 }
 
 /// Parses and checks files as a change to `base`: references may name resources of `base`, and
 /// resources of the files replace those of `base` with the same identity.
 #[must_use]
-pub fn parse_over(files: &[SourceFile], base: &Snapshot) -> Parsed {
+pub fn parse_with_base(files: &[SourceFile], base: &Snapshot) -> Parsed {
     let mut parser = Parser::new(files);
     for index in 0..files.len() {
         parser.read_file(index);
--- a/crates/resources/src/snapshot.rs
+++ b/crates/resources/src/snapshot.rs
@@ -9,7 +9,7 @@
 };
 
 /// Name of the claim group that is used.
-pub const CLAIM_GROUP_IN_USE: &str = "default";
+pub const CLAIM_GROUP_NAME: &str = "default";
 /// Name of the retry budget that applies to request kinds without `retry_budget`.
 pub const DEFAULT_RETRY_BUDGET: &str = "default";
 
--- a/crates/resources/src/validate/references.rs
+++ b/crates/resources/src/validate/references.rs
@@ -3,7 +3,7 @@
 use crate::kinds::{DrainTarget, RequestKind, ResourceId, ResourceKind};
 use crate::nearest::suggestion;
 use crate::problem::{Finding, ProblemCode};
-use crate::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
+use crate::snapshot::{CLAIM_GROUP_NAME, Snapshot};
 use crate::validate::KnownResources;
 
 /// Returns every error between the resources of a snapshot.
@@ -55,11 +55,11 @@
     kind: &RequestKind,
 ) -> Option<Finding> {
     let needs_group = kind.idempotency_key_required && !kind.repeatable;
-    if !needs_group || known.contains(ResourceKind::ClaimGroup, CLAIM_GROUP_IN_USE) {
+    if !needs_group || known.contains(ResourceKind::ClaimGroup, CLAIM_GROUP_NAME) {
         return None;
     }
-    let message = format!("true, and there is no claim group \"{CLAIM_GROUP_IN_USE}\"");
-    let allowed = format!("false, or true with a claim_group named \"{CLAIM_GROUP_IN_USE}\"");
+    let message = format!("true, and there is no claim group \"{CLAIM_GROUP_NAME}\"");
+    let allowed = format!("false, or true with a claim_group named \"{CLAIM_GROUP_NAME}\"");
     let finding = Finding::new(
         ProblemCode::ClaimGroupMissing,
         "idempotency_key_required",
--- a/crates/resources/src/validate/risks.rs
+++ b/crates/resources/src/validate/risks.rs
@@ -3,7 +3,7 @@
 use crate::chain::{find_cycles, heaviest_chain};
 use crate::kinds::{ClaimGroup, DrainTarget, RequestKind, ResourceId, ResourceKind, RetryBudget};
 use crate::problem::{Finding, ProblemCode};
-use crate::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
+use crate::snapshot::{CLAIM_GROUP_NAME, Snapshot};
 
 /// Returns every warning about the resources of a snapshot.
 pub(super) fn find_warnings(snapshot: &Snapshot) -> Vec<Finding> {
@@ -113,18 +113,18 @@
 }
 
 fn warn_of_unrecognised_repeats(snapshot: &Snapshot, kind: &RequestKind) -> Option<Finding> {
-    let has_group = snapshot.claim_groups.contains_key(CLAIM_GROUP_IN_USE);
+    let has_group = snapshot.claim_groups.contains_key(CLAIM_GROUP_NAME);
     if kind.repeatable || kind.idempotency_key_required || has_group {
         return None;
     }
     let message = format!(
-        "false, and without claim group \"{CLAIM_GROUP_IN_USE}\" a repeat by the caller is not recognised"
+        "false, and without claim group \"{CLAIM_GROUP_NAME}\" a repeat by the caller is not recognised"
     );
     Some(Finding::new(
         ProblemCode::RepeatsNotRecognised,
         "repeatable",
         message,
-        format!("false with a claim_group named \"{CLAIM_GROUP_IN_USE}\""),
+        format!("false with a claim_group named \"{CLAIM_GROUP_NAME}\""),
     ))
 }
 
@@ -200,12 +200,12 @@
 fn warn_of_claim_group(snapshot: &Snapshot, group: &ClaimGroup) -> Vec<Finding> {
     let owner = ResourceId::new(ResourceKind::ClaimGroup, &group.name);
     let mut findings = Vec::new();
-    if group.name != CLAIM_GROUP_IN_USE {
+    if group.name != CLAIM_GROUP_NAME {
         findings.push(Finding::new(
             ProblemCode::ClaimGroupUnused,
             "name",
             format!("\"{}\" is not in use", group.name),
-            CLAIM_GROUP_IN_USE,
+            CLAIM_GROUP_NAME,
         ));
     }
     findings.extend(warn_of_lost_majority(snapshot, group));
--- a/crates/resources/tests/decision.rs
+++ b/crates/resources/tests/decision.rs
@@ -3,7 +3,7 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::{AdmissionLevel, Rank};
 use wharfquay_resources::decision::{
-    ChosenEndpoint, Circumstances, Decision, DecisionRecord, RequestFacts, decide, replay,
+    ChosenEndpoint, Decision, DecisionContext, DecisionRecord, RequestProperties, decide, replay,
 };
 use wharfquay_resources::parse::{SourceFile, parse};
 use wharfquay_resources::snapshot::{Revision, Snapshot};
@@ -49,8 +49,8 @@
     parsed.snapshot()
 }
 
-fn request(method: &str, path: &str) -> RequestFacts {
-    RequestFacts {
+fn request(method: &str, path: &str) -> RequestProperties {
+    RequestProperties {
         service: "front".to_owned(),
         method: method.to_owned(),
         path: path.to_owned(),
@@ -60,8 +60,8 @@
     }
 }
 
-fn circumstances(level: u16) -> Circumstances {
-    Circumstances {
+fn circumstances(level: u16) -> DecisionContext {
+    DecisionContext {
         level: AdmissionLevel::new(level),
         endpoint: Some(ChosenEndpoint {
             id: "front-1".to_owned(),
@@ -133,7 +133,7 @@
     }
 }
 
-fn record(snapshot: &Snapshot, request: RequestFacts, level: u16) -> DecisionRecord {
+fn record(snapshot: &Snapshot, request: RequestProperties, level: u16) -> DecisionRecord {
     let circumstances = circumstances(level);
     DecisionRecord {
         at_unix_ms: 1,
--- a/crates/resources/tests/parse_errors.rs
+++ b/crates/resources/tests/parse_errors.rs
@@ -2,7 +2,7 @@
 
 use wharfquay_resources::fields::{FieldDefault, fields_of};
 use wharfquay_resources::kinds::ResourceKind;
-use wharfquay_resources::parse::{Parsed, SourceFile, parse, parse_over};
+use wharfquay_resources::parse::{Parsed, SourceFile, parse, parse_with_base};
 use wharfquay_resources::spec::{read_spec, to_spec};
 
 const VALID: &str = r#"
@@ -357,7 +357,7 @@
     };
     let base = parse(&[group(3, "'a', 'b', 'c'", "")]).snapshot();
     for (epoch, replicas, previous, expected) in FOLLOWING_GROUPS {
-        let parsed = parse_over(&[group(*epoch, replicas, previous)], &base);
+        let parsed = parse_with_base(&[group(*epoch, replicas, previous)], &base);
         let expected: Vec<String> = expected.iter().map(|&text| text.to_owned()).collect();
         assert_eq!(messages(&parsed), expected);
     }
