--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -203,7 +203,9 @@
         let uptime_ms = u64::try_from(uptime.as_millis()).unwrap_or(u64::MAX);
         let request = ExchangeRequest::Departed {
             name: instance.name().to_owned(),
-            started_at_ms: instance.born().map(|born| born.as_millis()),
+            started_at_ms: instance
+                .started_at()
+                .map(|started_at| started_at.as_millis()),
             uptime_ms,
             read_records,
         };
@@ -247,7 +249,9 @@
         for reader in self.all_readers() {
             let notice = Notice::Departed {
                 name: instance.name().to_owned(),
-                started_at_ms: instance.born().map(|born| born.as_millis()),
+                started_at_ms: instance
+                    .started_at()
+                    .map(|started_at| started_at.as_millis()),
             };
             self.exchange.notify(&reader, notice);
         }
--- a/crates/sidecar/src/instance/mod.rs
+++ b/crates/sidecar/src/instance/mod.rs
@@ -23,15 +23,15 @@
 pub struct InstanceId {
     name: Arc<str>,
     /// Start time by the backend's own clock; `None` if it is not known.
-    born: Option<UnixMillis>,
+    started_at: Option<UnixMillis>,
 }
 
 impl InstanceId {
     /// Creates the identity of the instance with this name and start time.
     #[must_use]
-    pub fn new(name: &str, born: Option<UnixMillis>) -> Self {
+    pub fn new(name: &str, started_at: Option<UnixMillis>) -> Self {
         let name = Arc::from(name);
-        Self { name, born }
+        Self { name, started_at }
     }
 
     /// Creates the identity of an instance that reports its start time in milliseconds since the
@@ -39,13 +39,17 @@
     ///
     /// # Errors
     /// The reason why the start time is rejected: it is in the future.
-    pub fn of_start(name: &str, born: Option<u64>, now: UnixMillis) -> Result<Self, String> {
-        let born = born.map(UnixMillis::new);
-        match born {
-            Some(born) if born > now.plus(MAX_CLOCK_SKEW) => {
+    pub fn from_start_time(
+        name: &str,
+        started_at: Option<u64>,
+        now: UnixMillis,
+    ) -> Result<Self, String> {
+        let started_at = started_at.map(UnixMillis::new);
+        match started_at {
+            Some(started_at) if started_at > now.plus(MAX_CLOCK_SKEW) => {
                 Err("its start time is in the future".to_owned())
             }
-            _ => Ok(Self::new(name, born)),
+            _ => Ok(Self::new(name, started_at)),
         }
     }
 
@@ -57,16 +61,16 @@
 
     /// Returns the start time; `None` if it is not known.
     #[must_use]
-    pub const fn born(&self) -> Option<UnixMillis> {
-        self.born
+    pub const fn started_at(&self) -> Option<UnixMillis> {
+        self.started_at
     }
 
     /// True if this instance terminated before `other` started. This is known only if both have a
     /// start time.
     #[must_use]
     pub fn is_before(&self, other: &Self) -> bool {
-        self.born
-            .zip(other.born)
+        self.started_at
+            .zip(other.started_at)
             .is_some_and(|(own, other)| own < other)
     }
 
@@ -74,8 +78,8 @@
     #[must_use]
     pub fn may_be(&self, other: &Self) -> bool {
         let differs = self
-            .born
-            .zip(other.born)
+            .started_at
+            .zip(other.started_at)
             .is_some_and(|(own, other)| own != other);
         self.name == other.name && !differs
     }
@@ -90,8 +94,8 @@
 impl fmt::Display for InstanceId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.name)?;
-        match self.born {
-            Some(born) => write!(formatter, "@{}", born.as_millis()),
+        match self.started_at {
+            Some(started_at) => write!(formatter, "@{}", started_at.as_millis()),
             None => Ok(()),
         }
     }
@@ -118,5 +122,5 @@
     /// Number of requests that the instance executes concurrently.
     pub slots: u32,
     /// Remaining time for which the instance is slow after its start.
-    pub cold_left: Duration,
+    pub warm_up_left: Duration,
 }
--- a/crates/sidecar/src/instance/registry.rs
+++ b/crates/sidecar/src/instance/registry.rs
@@ -43,9 +43,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acknowledgement {
     /// The message is acknowledged and takes effect now.
-    Given,
+    Acknowledged,
     /// The message is not acknowledged; the instance should send it again.
-    Refused,
+    NotAcknowledged,
 }
 
 /// Keeps the local backend's gate consistent with the messages of its instances.
@@ -91,14 +91,14 @@
             TrackerDecision::Acknowledge => {
                 self.backend
                     .update_slots(&heartbeat.instance, heartbeat.slots);
-                Acknowledgement::Given
+                Acknowledgement::Acknowledged
             }
             TrackerDecision::Verify => {
                 self.spawn_verification(heartbeat.instance.clone());
-                Acknowledgement::Given
+                Acknowledgement::Acknowledged
             }
             TrackerDecision::RecordDeparture => self.record_departure(&heartbeat.instance).await,
-            TrackerDecision::Refuse => Acknowledgement::Refused,
+            TrackerDecision::Refuse => Acknowledgement::NotAcknowledged,
         }
     }
 
@@ -121,7 +121,7 @@
         let decision = lock(&self.tracker).departure(now, instance);
         match decision {
             TrackerDecision::RecordDeparture => self.record_departure(instance).await,
-            _ => Acknowledgement::Given,
+            _ => Acknowledgement::Acknowledged,
         }
     }
 
@@ -157,21 +157,21 @@
         match recorded {
             Ok(Ok(())) => {
                 log_event!(Event::DepartureAcknowledged, "instance={instance}");
-                Acknowledgement::Given
+                Acknowledgement::Acknowledged
             }
             Ok(Err(error)) => {
                 log_event!(
                     Event::DepartureNotDurable,
                     "instance={instance} error=\"{error}\""
                 );
-                Acknowledgement::Refused
+                Acknowledgement::NotAcknowledged
             }
             Err(_) => {
                 log_event!(
                     Event::DepartureNotDurable,
                     "instance={instance} error=\"timeout\""
                 );
-                Acknowledgement::Refused
+                Acknowledgement::NotAcknowledged
             }
         }
     }
--- a/crates/sidecar/src/instance/tracker.rs
+++ b/crates/sidecar/src/instance/tracker.rs
@@ -97,7 +97,8 @@
     pub fn replace_earlier(&mut self, now: Timestamp, instance: &InstanceId) -> Option<InstanceId> {
         let tracked = self.instances.get_mut(instance.name())?;
         let has_sent_messages = tracked.last_sequence.is_some() || tracked.is_departure_recorded;
-        let reports_start_now = tracked.instance.born().is_none() && instance.born().is_some();
+        let reports_start_now =
+            tracked.instance.started_at().is_none() && instance.started_at().is_some();
         if tracked.instance.is_before(instance) || (reports_start_now && has_sent_messages) {
             let earlier =
                 std::mem::replace(tracked, TrackedInstance::new(instance.clone(), now)).instance;
@@ -136,7 +137,7 @@
         }
         tracked.last_sequence = Some(heartbeat.sequence);
         tracked.slots = Some(heartbeat.slots);
-        tracked.warm_up_until = now + heartbeat.cold_left;
+        tracked.warm_up_until = now + heartbeat.warm_up_left;
         tracked.confirm(now);
         if is_current && tracked.status == InstanceStatus::Serving {
             TrackerDecision::Acknowledge
@@ -260,8 +261,8 @@
     #[must_use]
     pub fn lacks_start_time(&self, instance: &InstanceId) -> bool {
         let tracked = self.instances.get(instance.name());
-        instance.born().is_none()
-            && tracked.is_some_and(|tracked| tracked.instance.born().is_some())
+        instance.started_at().is_none()
+            && tracked.is_some_and(|tracked| tracked.instance.started_at().is_some())
     }
 
     fn get(&self, instance: &InstanceId) -> Option<&TrackedInstance> {
--- a/crates/sidecar/src/platform.rs
+++ b/crates/sidecar/src/platform.rs
@@ -83,7 +83,7 @@
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Time at which it was quarantined.
-    pub found_at: UnixMillis,
+    pub quarantined_at: UnixMillis,
 }
 
 /// Operations that a sidecar needs from its platform. Implementations translate calls and hold no
--- a/crates/sidecar/src/quarantine/record_store.rs
+++ b/crates/sidecar/src/quarantine/record_store.rs
@@ -56,7 +56,7 @@
         let now = wall_clock().as_millis();
         let mut reports = Vec::new();
         for record in records {
-            let age_ms = now.saturating_sub(record.found_at.as_millis());
+            let age_ms = now.saturating_sub(record.quarantined_at.as_millis());
             if Duration::from_millis(age_ms) >= RECORD_LIFETIME {
                 tokio::spawn(Arc::clone(&self).remove(record.fingerprint));
                 continue;
@@ -74,10 +74,10 @@
     /// Writes the record of a request that was quarantined `age` ago.
     pub(super) async fn write(self: Arc<Self>, fingerprint: RequestFingerprint, age: Duration) {
         let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        let found_at = wall_clock().as_millis().saturating_sub(age_ms);
+        let quarantined_at = wall_clock().as_millis().saturating_sub(age_ms);
         let record = QuarantineRecord {
             fingerprint,
-            found_at: UnixMillis::new(found_at),
+            quarantined_at: UnixMillis::new(quarantined_at),
         };
         let mut pause = INITIAL_BACKOFF;
         for _ in 0..MAX_WRITE_ATTEMPTS {
--- a/crates/sidecar/tests/addressed_calls.rs
+++ b/crates/sidecar/tests/addressed_calls.rs
@@ -126,7 +126,7 @@
     })
     .await;
     let acknowledgement = successor.send_heartbeat(ReportedState::Ready).await;
-    assert_eq!(acknowledgement, Acknowledgement::Given);
+    assert_eq!(acknowledgement, Acknowledgement::Acknowledged);
     for number in 0..40 {
         let id = format!("after-{number}");
         let response = call(caller.outbound, &request("POST", "/desk/2", &id, "")).await;
--- a/crates/sidecar/tests/call_path.rs
+++ b/crates/sidecar/tests/call_path.rs
@@ -302,7 +302,7 @@
         .collect();
     tokio::time::sleep(slow / 3).await;
     let acknowledgement = first.send_heartbeat(ReportedState::Draining).await;
-    assert_eq!(acknowledgement, Acknowledgement::Given);
+    assert_eq!(acknowledgement, Acknowledgement::Acknowledged);
     for call in running {
         assert_eq!(call.await.unwrap(), 200);
     }
@@ -328,14 +328,14 @@
     platform.set_down(true);
     assert_eq!(
         machine.send_heartbeat(ReportedState::Draining).await,
-        Acknowledgement::Refused
+        Acknowledgement::NotAcknowledged
     );
     let response = call(machine.outbound, &request("GET", "/reads/1", "r", "")).await;
     assert_eq!(response.status, 503, "the instance receives no new calls");
     platform.set_down(false);
     assert_eq!(
         machine.send_heartbeat(ReportedState::Draining).await,
-        Acknowledgement::Given
+        Acknowledgement::Acknowledged
     );
 }
 
@@ -369,7 +369,7 @@
     assert_eq!(machine.backend.executed().len(), before);
     let instance = InstanceId::from("machine-a-1");
     let departed = machine.sidecar.departure(&instance).await;
-    assert_eq!(departed, Acknowledgement::Given);
+    assert_eq!(departed, Acknowledgement::Acknowledged);
 }
 
 #[tokio::test]
--- a/crates/sidecar/tests/departure_readers.rs
+++ b/crates/sidecar/tests/departure_readers.rs
@@ -65,7 +65,7 @@
     eventually("both are listed", || first_platform.listed() == both).await;
     let backup = first_platform.backup();
     let acknowledged = first.send_heartbeat(ReportedState::Draining).await;
-    assert_eq!(acknowledged, Acknowledgement::Given);
+    assert_eq!(acknowledged, Acknowledgement::Acknowledged);
     // No process can write the record again, as if all that could had terminated.
     first_platform.set_down(true);
     second_platform.set_down(true);
--- a/crates/sidecar/tests/instance_restarts.rs
+++ b/crates/sidecar/tests/instance_restarts.rs
@@ -28,7 +28,7 @@
         state,
         sequence,
         slots: 4,
-        cold_left: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     }
 }
 
@@ -153,12 +153,15 @@
     }
     machine.ready().await;
     let leaving = heartbeat(&id(1_000), ReportedState::Draining, 4);
-    assert_eq!(sidecar.heartbeat(&leaving).await, Acknowledgement::Given);
+    assert_eq!(
+        sidecar.heartbeat(&leaving).await,
+        Acknowledgement::Acknowledged
+    );
     let refused = call(machine.outbound, &request("GET", "/reads/1", "id-1", "")).await;
     assert_eq!(refused.status, 503);
 
     let acknowledgement = sidecar.heartbeat(&ready(&id(2_000), 1)).await;
-    assert_eq!(acknowledgement, Acknowledgement::Given);
+    assert_eq!(acknowledgement, Acknowledgement::Acknowledged);
     let end = std::time::Instant::now() + support::MAX_WAIT;
     let mut number = 1;
     loop {
--- a/crates/sidecar/tests/instance_tracker.rs
+++ b/crates/sidecar/tests/instance_tracker.rs
@@ -87,7 +87,7 @@
             state,
             sequence,
             slots: 4,
-            cold_left: Duration::ZERO,
+            warm_up_left: Duration::ZERO,
         };
         let decision = self.tracker.heartbeat(self.now, &heartbeat);
         self.apply_decision(instance, decision, state == ReportedState::Draining);
@@ -253,7 +253,7 @@
         state: ReportedState::Ready,
         sequence: 1,
         slots: 4,
-        cold_left: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     };
     let asked = tracker.heartbeat(Timestamp::ZERO, &heartbeat);
     assert_eq!(asked, TrackerDecision::Verify);
--- a/crates/sidecar/tests/restored_store.rs
+++ b/crates/sidecar/tests/restored_store.rs
@@ -63,7 +63,7 @@
     machine.ready().await;
     let backup = platform.backup();
     let acknowledged = machine.send_heartbeat(ReportedState::Draining).await;
-    assert_eq!(acknowledged, Acknowledgement::Given);
+    assert_eq!(acknowledged, Acknowledgement::Acknowledged);
     assert_eq!(platform.departure_records(), ["machine-a-1"]);
     for _ in 0..2 {
         platform.restore(backup.clone());
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -128,7 +128,7 @@
         state,
         sequence,
         slots: 4,
-        cold_left: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     }
 }
 
@@ -147,7 +147,7 @@
     pub async fn start(platform: &Arc<EmulatedPlatform>, name: &str, service: &str) -> Self {
         let mut machine = Self::start_without_heartbeat(platform, name, service).await;
         let acknowledgement = machine.send_heartbeat(ReportedState::Ready).await;
-        assert_eq!(acknowledgement, Acknowledgement::Given);
+        assert_eq!(acknowledgement, Acknowledgement::Acknowledged);
         machine
     }
 
