--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -6,6 +6,7 @@
 //! `wharfquay_core`, `wharfquay_membership` and [`instance`] make all decisions (admission,
 //! routing, retries, drains, adoption of configurations).
 
+pub mod admin_server;
 pub mod configuration;
 pub mod control;
 pub mod dialect;
@@ -20,7 +21,6 @@
 pub mod shared_records;
 pub mod sidecar;
 pub mod signals;
-pub mod small_server;
 pub mod store_era;
 pub mod tenant;
 
--- a/crates/sidecar/src/shared_records.rs
+++ b/crates/sidecar/src/shared_records.rs
@@ -12,7 +12,7 @@
 
 /// Returns a body as text, with invalid UTF-8 replaced.
 #[must_use]
-pub fn text_of(body: &[u8]) -> std::borrow::Cow<'_, str> {
+pub fn lossy_text(body: &[u8]) -> std::borrow::Cow<'_, str> {
     String::from_utf8_lossy(body)
 }
 
@@ -21,14 +21,14 @@
 pub fn decode_each<T: DeserializeOwned>(kind: &str, parts: &[Box<RawValue>]) -> Vec<T> {
     let decoded = parts.iter().filter_map(|part| {
         let part = serde_json::from_str(part.get());
-        part.map_err(|error| ignored(kind, "", &error.to_string()))
+        part.map_err(|error| log_ignored_record(kind, "", &error.to_string()))
             .ok()
     });
     decoded.collect()
 }
 
 /// Logs that a record of another writer is ignored.
-pub fn ignored(kind: &str, name: &str, reason: &str) {
+pub fn log_ignored_record(kind: &str, name: &str, reason: &str) {
     let name: String = name.chars().take(MAX_LOGGED_NAME).collect();
     log_event!(
         Event::RecordIgnored,
--- a/crates/sidecar/src/store_era.rs
+++ b/crates/sidecar/src/store_era.rs
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// [`EarlierEra`] if the reply does not reflect the current state of the store.
-    pub fn answered(&self, reported: Option<u64>) -> Result<StoreEra, EarlierEra> {
+    pub fn observe_reply(&self, reported: Option<u64>) -> Result<StoreEra, EarlierEra> {
         let newest = self.newest();
         match (newest.number, reported) {
             (known, reported) if known == reported => {
--- a/crates/sidecar/tests/restored_store.rs
+++ b/crates/sidecar/tests/restored_store.rs
@@ -147,26 +147,26 @@
 #[test]
 fn replies_of_an_earlier_era_are_ignored_until_only_they_arrive() {
     let eras = StoreEras::new(Clock::from_source(manual_time));
-    let first = eras.answered(Some(4)).unwrap();
+    let first = eras.observe_reply(Some(4)).unwrap();
     assert_eq!((first.number, first.changes), (Some(4), 0));
-    let second = eras.answered(Some(5)).unwrap();
+    let second = eras.observe_reply(Some(5)).unwrap();
     assert_eq!((second.number, second.changes), (Some(5), 1));
-    assert_eq!(eras.answered(Some(4)), Err(EarlierEra), "a late reply");
-    assert_eq!(eras.answered(Some(5)).unwrap(), second);
+    assert_eq!(eras.observe_reply(Some(4)), Err(EarlierEra), "a late reply");
+    assert_eq!(eras.observe_reply(Some(5)).unwrap(), second);
     MANUAL_TIME_MS.fetch_add(60_000, Ordering::Relaxed);
     assert_eq!(
-        eras.answered(Some(4)),
+        eras.observe_reply(Some(4)),
         Err(EarlierEra),
         "a late reply again"
     );
     MANUAL_TIME_MS.fetch_add(3_000, Ordering::Relaxed);
-    let decreased = eras.answered(Some(4)).unwrap();
+    let decreased = eras.observe_reply(Some(4)).unwrap();
     assert_eq!(
         (decreased.number, decreased.changes),
         (Some(4), 2),
         "the era number decreased"
     );
-    let jumped = eras.answered(Some(40)).unwrap();
+    let jumped = eras.observe_reply(Some(40)).unwrap();
     assert_eq!((jumped.number, jumped.changes), (Some(40), 3));
 }
 
@@ -174,13 +174,13 @@
 fn a_reply_without_an_era_counts_as_a_restore_at_most_once_per_interval() {
     let eras = StoreEras::new(Clock::start());
     assert_eq!(
-        eras.answered(None).unwrap().changes,
+        eras.observe_reply(None).unwrap().changes,
         0,
         "no era was ever reported"
     );
-    assert_eq!(eras.answered(Some(7)).unwrap().changes, 0);
-    assert_eq!(eras.answered(None).unwrap().changes, 1);
-    assert_eq!(eras.answered(None).unwrap().changes, 1);
-    let reported = eras.answered(Some(7)).unwrap();
+    assert_eq!(eras.observe_reply(Some(7)).unwrap().changes, 0);
+    assert_eq!(eras.observe_reply(None).unwrap().changes, 1);
+    assert_eq!(eras.observe_reply(None).unwrap().changes, 1);
+    let reported = eras.observe_reply(Some(7)).unwrap();
     assert_eq!((reported.number, reported.changes), (Some(7), 1));
 }
--- a/crates/sidecar/tests/support/platform.rs
+++ b/crates/sidecar/tests/support/platform.rs
@@ -171,7 +171,7 @@
             return Err(PlatformError::Refused(503));
         }
         let era = self.era.load(Ordering::Relaxed);
-        Ok(self.eras.answered(Some(era))?)
+        Ok(self.eras.observe_reply(Some(era))?)
     }
 
     fn revision(configuration: Option<&Configuration>) -> u64 {
