--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wharfquay_emulator::demo::time_scale::{slow_resources, slow_scenario, suitable_factor};
-use wharfquay_emulator::demo::{self, DemoReport, DemoSettings, DeploymentError, Moment};
+use wharfquay_emulator::demo::time_scale::{default_time_factor, scale_resources, scale_scenario};
+use wharfquay_emulator::demo::{self, DemoReport, DemoSettings, DeploymentError, ProgressSample};
 use wharfquay_emulator::scenario::Scenario;
 
 use crate::arguments::Arguments;
@@ -87,7 +87,7 @@
     let demonstration = demo::run(settings, show_progress);
     let result = runtime.block_on(async { tokio::time::timeout(RUN_TIMEOUT, demonstration).await });
     runtime.shutdown_background();
-    let report = result.unwrap_or(Err(DeploymentError::TooLong(RUN_TIMEOUT)))?;
+    let report = result.unwrap_or(Err(DeploymentError::TimedOut(RUN_TIMEOUT)))?;
     if arguments.has(JSON.name) {
         output.write_json(&report)?;
     } else {
@@ -111,8 +111,8 @@
     let time_factor = time_factor(arguments)?;
     let seed = arguments.value("seed", "0 to 18446744073709551615")?;
     Ok(DemoSettings {
-        resources: slow_resources(demo::resources::builtin(&name), time_factor),
-        scenario: Arc::new(slow_scenario(Scenario::builtin(&name)?, time_factor)),
+        resources: scale_resources(demo::resources::builtin(&name), time_factor),
+        scenario: Arc::new(scale_scenario(Scenario::builtin(&name)?, time_factor)),
         length: Duration::from_secs_f64(seconds),
         surge_factor: number(arguments, "factor", DEFAULT_FACTOR, 1.0, 20.0)?,
         rate_factor: number(arguments, "rate-factor", DEFAULT_RATE_FACTOR, 0.001, 10.0)?,
@@ -123,7 +123,7 @@
 /// Returns the factor by which work and deadlines are lengthened and rates lowered: the flag's
 /// value or, without the flag, a value that suits the number of processors.
 fn time_factor(arguments: &Arguments) -> Result<u32, CliError> {
-    let suitable = f64::from(suitable_factor().min(MAXIMUM_TIME_FACTOR));
+    let suitable = f64::from(default_time_factor().min(MAXIMUM_TIME_FACTOR));
     let largest = f64::from(MAXIMUM_TIME_FACTOR);
     let factor = number(arguments, "time-factor", suitable, 1.0, largest)? as u32;
     if factor > 1 {
@@ -155,14 +155,14 @@
     })
 }
 
-fn show_progress(sample: Moment) {
-    let (now, before) = (sample.progress, sample.before);
+fn show_progress(sample: ProgressSample) {
+    let (now, before) = (sample.progress, sample.previous);
     progress(&format!(
         "{:>5.1} s {:<6} sent {:>6}/s  complete in time {:>6}/s  refused {:>6}/s  other {:>5}/s",
         sample.elapsed.as_secs_f64(),
         if sample.surge { "surge" } else { "" },
         now.sent - before.sent,
-        now.whole - before.whole,
+        now.complete - before.complete,
         now.refused - before.refused,
         now.other - before.other,
     ));
--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -22,7 +22,7 @@
 pub(crate) fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let mut arguments = arguments.into_iter();
     let name = arguments.next().unwrap_or_default();
-    let control_experiment = name.to_str().and_then(ControlExperiment::named);
+    let control_experiment = name.to_str().and_then(ControlExperiment::from_name);
     if let Some(experiment) = control_experiment {
         return control_command::run(experiment, arguments);
     }
--- a/crates/emulator/src/demo/deployment.rs
+++ b/crates/emulator/src/demo/deployment.rs
@@ -36,7 +36,7 @@
     /// {0}
     NotReady(NotReady),
     /// not finished within {0:?}
-    TooLong(Duration),
+    TimedOut(Duration),
     /// daemon {0}: no address for {1}
     NoAddress(String, &'static str),
 }
--- a/crates/emulator/src/demo/mod.rs
+++ b/crates/emulator/src/demo/mod.rs
@@ -9,4 +9,4 @@
 
 pub use deployment::{Deployment, DeploymentError};
 pub use report::DemoReport;
-pub use run::{DemoSettings, Moment, run};
+pub use run::{DemoSettings, ProgressSample, run};
--- a/crates/emulator/src/demo/run.rs
+++ b/crates/emulator/src/demo/run.rs
@@ -52,7 +52,7 @@
 
 /// The state of a demonstration at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moment {
+pub struct ProgressSample {
     /// Since the start of the load.
     pub elapsed: Duration,
     /// Whether the surge lasts.
@@ -60,7 +60,7 @@
     /// Counts so far.
     pub progress: Progress,
     /// Counts at the moment before.
-    pub before: Progress,
+    pub previous: Progress,
 }
 
 /// Starts the deployment, sends the load, tells `observe` of the progress once a second, stops
@@ -70,7 +70,7 @@
 /// [`DeploymentError`] names the part that can't start.
 pub async fn run(
     settings: DemoSettings,
-    observe: impl FnMut(Moment),
+    observe: impl FnMut(ProgressSample),
 ) -> Result<DemoReport, DeploymentError> {
     let resources = settings.resources.clone();
     let deployment = Deployment::start(&settings.scenario, resources, settings.seed).await?;
@@ -95,7 +95,7 @@
     })
 }
 
-async fn watch(load: &RunningLoad, surge: Surge, mut observe: impl FnMut(Moment)) {
+async fn watch(load: &RunningLoad, surge: Surge, mut observe: impl FnMut(ProgressSample)) {
     let started = Instant::now();
     let mut before = Progress::default();
     let mut interval = tokio::time::interval(PROGRESS_INTERVAL);
@@ -104,11 +104,11 @@
         interval.tick().await;
         let elapsed = started.elapsed();
         let progress = load.progress();
-        observe(Moment {
+        observe(ProgressSample {
             elapsed,
             surge: surge.covers(elapsed),
             progress,
-            before,
+            previous: before,
         });
         before = progress;
     }
--- a/crates/emulator/src/demo/time_scale.rs
+++ b/crates/emulator/src/demo/time_scale.rs
@@ -15,7 +15,7 @@
 
 /// The factor that suits the processors of this machine: 1 on eight and more.
 #[must_use]
-pub fn suitable_factor() -> u32 {
+pub fn default_time_factor() -> u32 {
     let processors = thread::available_parallelism().map_or(1, NonZero::get);
     let processors = u32::try_from(processors).unwrap_or(u32::MAX);
     WANTED_PROCESSORS.div_ceil(processors)
@@ -23,7 +23,7 @@
 
 /// The scenario, slower by `factor`.
 #[must_use]
-pub fn slow_scenario(mut scenario: Scenario, factor: u32) -> Scenario {
+pub fn scale_scenario(mut scenario: Scenario, factor: u32) -> Scenario {
     for request in &mut scenario.requests {
         request.rate /= f64::from(factor);
         request.deadline_ms *= u64::from(factor);
@@ -37,7 +37,7 @@
 
 /// The configuration of a scenario that is slower by `factor`.
 #[must_use]
-pub fn slow_resources(mut resources: Vec<Resource>, factor: u32) -> Vec<Resource> {
+pub fn scale_resources(mut resources: Vec<Resource>, factor: u32) -> Vec<Resource> {
     for resource in &mut resources {
         match resource {
             Resource::Service(service) => service.queue_wait_ms *= factor,
--- a/crates/emulator/src/experiment/control_command.rs
+++ b/crates/emulator/src/experiment/control_command.rs
@@ -41,7 +41,7 @@
 impl ControlExperiment {
     /// The experiment with this name.
     #[must_use]
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "propagation" => Some(Self::Propagation),
             "drain" => Some(Self::Drain),
--- a/crates/emulator/src/load/run.rs
+++ b/crates/emulator/src/load/run.rs
@@ -47,7 +47,7 @@
     /// Originating requests sent.
     pub sent: u64,
     /// Whole in time.
-    pub whole: u64,
+    pub complete: u64,
     /// Not run.
     pub refused: u64,
     /// Late, unknown or failed.
@@ -131,7 +131,7 @@
         for tally in &self.state.tallies {
             let tally = lock(tally);
             progress.sent += tally.sent;
-            progress.whole += tally.whole;
+            progress.complete += tally.whole;
             progress.refused += tally.refused;
             progress.other += tally.late + tally.unknown + tally.failed;
         }
--- a/crates/emulator/tests/control_experiments.rs
+++ b/crates/emulator/tests/control_experiments.rs
@@ -30,7 +30,7 @@
         report
     };
     for name in ["propagation", "drain", "churn"] {
-        let experiment = ControlExperiment::named(name).expect("a known experiment");
+        let experiment = ControlExperiment::from_name(name).expect("a known experiment");
         assert_eq!(run(experiment), run(experiment), "{name}");
     }
 }
