--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -156,14 +156,14 @@
 }
 
 fn show_progress(sample: ProgressSample) {
-    let (now, before) = (sample.progress, sample.previous);
+    let (now, previous) = (sample.progress, sample.previous);
     progress(&format!(
         "{:>5.1} s {:<6} sent {:>6}/s  complete in time {:>6}/s  refused {:>6}/s  other {:>5}/s",
         sample.elapsed.as_secs_f64(),
         if sample.surge { "surge" } else { "" },
-        now.sent - before.sent,
-        now.complete - before.complete,
-        now.refused - before.refused,
-        now.other - before.other,
+        now.sent - previous.sent,
+        now.complete - previous.complete,
+        now.refused - previous.refused,
+        now.other - previous.other,
     ));
 }
--- a/crates/cli/src/explain/mod.rs
+++ b/crates/cli/src/explain/mod.rs
@@ -102,11 +102,11 @@
     let request = read_request(&line, &arguments.texts("header"), rank)?;
     let snapshot = read_configuration(arguments)?;
     let machines = read_machines(arguments)?;
-    let circumstances = DecisionContext {
+    let context = DecisionContext {
         level: level.map_or(AdmissionLevel::OPEN, AdmissionLevel::new),
         endpoint: None,
     };
-    let decision = decide(&snapshot, &request, &circumstances);
+    let decision = decide(&snapshot, &request, &context);
     let candidates = machines.map(|machines| {
         let zone = arguments.text("zone");
         list_candidates(&snapshot, &request.service, zone.as_deref(), &machines)
@@ -187,8 +187,8 @@
 
 /// Returns the name of the retry budget that applies to the request.
 fn retry_budget_name(snapshot: &Snapshot, decision: &Decision) -> Option<String> {
-    let treatment = decision.treatment.as_ref()?;
-    let kind = snapshot.request_kinds.get(&treatment.request_kind)?;
+    let policy = decision.treatment.as_ref()?;
+    let kind = snapshot.request_kinds.get(&policy.request_kind)?;
     let budget = snapshot.retry_budget_for(kind)?;
     Some(budget.name.clone())
 }
@@ -201,7 +201,7 @@
     if explanation.kinds.is_empty() {
         text.push_str("request kind: this service has none\n");
     }
-    text.push_str(&render_treatment(explanation));
+    text.push_str(&render_policy(explanation));
     let refused = explanation.decision.refused;
     let decision = match refused {
         None => "admitted".to_owned(),
@@ -215,15 +215,15 @@
     text
 }
 
-fn render_treatment(explanation: &Explanation) -> String {
-    let Some(treatment) = &explanation.decision.treatment else {
+fn render_policy(explanation: &Explanation) -> String {
+    let Some(policy) = &explanation.decision.treatment else {
         return String::new();
     };
     let budget = match &explanation.retry_budget {
         Some(name) => format!("retry budget {name}"),
         None => "no retry budget".to_owned(),
     };
-    let repeat = if treatment.repeatable {
+    let repeat = if policy.repeatable {
         "may be executed again"
     } else {
         "at most once"
@@ -234,7 +234,7 @@
     };
     format!(
         "priority: {}\ndeadline: {} ms\nretries: {} in the whole chain ({budget})\nexecution: {repeat}\nlongest chain: {chain}\n",
-        treatment.priority, treatment.deadline_ms, treatment.retries
+        policy.priority, policy.deadline_ms, policy.retries
     )
 }
 
--- a/crates/core/examples/retry_splits.rs
+++ b/crates/core/examples/retry_splits.rs
@@ -207,7 +207,7 @@
 
     fn may_retry(&mut self, caller: usize, code: ResultCode) -> bool {
         let ledger = &mut self.calls[caller].ledger;
-        let question = RetryInput {
+        let input = RetryInput {
             now: Timestamp::ZERO,
             deadline: Timestamp::from_millis(1),
             code,
@@ -219,7 +219,7 @@
             backoff: Duration::ZERO,
             expected_latency: Duration::ZERO,
         };
-        matches!(decide(&question), RetryDecision::Retry { .. }) && ledger.try_spend_retry()
+        matches!(decide(&input), RetryDecision::Retry { .. }) && ledger.try_spend_retry()
     }
 
     /// Starts the next children, or responds if nothing is left to do.
--- a/crates/core/src/idempotency/claim/coordinator.rs
+++ b/crates/core/src/idempotency/claim/coordinator.rs
@@ -234,9 +234,9 @@
         effects.push(match record.outcome {
             _ if !same_request => self.refuse(ResultCode::IdempotencyKeyReused),
             RecordedOutcome::Lost => self.refuse(ResultCode::ClaimUncertain),
-            RecordedOutcome::Responded(answer) => {
+            RecordedOutcome::Responded(response) => {
                 self.phase = Phase::Concluded;
-                CoordinatorEffect::Replay(answer)
+                CoordinatorEffect::Replay(response)
             }
         });
         effects
@@ -398,7 +398,7 @@
         let outcome = match outcome {
             ExecutionOutcome::NotRun => return self.withdraw(now),
             ExecutionOutcome::Unknown => RecordedOutcome::Lost,
-            ExecutionOutcome::Run(answer) => RecordedOutcome::Responded(answer),
+            ExecutionOutcome::Run(response) => RecordedOutcome::Responded(response),
         };
         let store = ReplicaRequest::Store(Store {
             key: self.request.key,
--- a/crates/core/src/idempotency/claim/records.rs
+++ b/crates/core/src/idempotency/claim/records.rs
@@ -76,8 +76,8 @@
     /// Returns the size of the recorded response content in bytes.
     fn content_length(&self) -> usize {
         match self.outcome.as_ref().map(|record| &record.outcome) {
-            Some(RecordedOutcome::Responded(answer)) => {
-                answer.content.as_ref().map_or(0, |content| content.len())
+            Some(RecordedOutcome::Responded(response)) => {
+                response.content.as_ref().map_or(0, |content| content.len())
             }
             Some(RecordedOutcome::Lost) | None => 0,
         }
@@ -86,9 +86,9 @@
     /// Drops the content of the recorded response; its status stays.
     fn drop_content(&mut self) {
         if let Some(record) = &mut self.outcome
-            && let RecordedOutcome::Responded(answer) = &mut record.outcome
+            && let RecordedOutcome::Responded(response) = &mut record.outcome
         {
-            answer.content = None;
+            response.content = None;
         }
     }
 }
--- a/crates/core/src/retry/decide.rs
+++ b/crates/core/src/retry/decide.rs
@@ -92,8 +92,8 @@
 /// An offer after a refusal is paid from the allowance only, because the refusal caused no work at
 /// the destination. A retry after an unknown outcome is paid from the allowance and the budget.
 #[must_use]
-pub fn decide(question: &RetryInput) -> RetryDecision {
-    match evaluate(question) {
+pub fn decide(input: &RetryInput) -> RetryDecision {
+    match evaluate(input) {
         Ok(after) => RetryDecision::Retry { after },
         Err(reason) => RetryDecision::GiveUp(reason),
     }
@@ -107,32 +107,32 @@
     }
 }
 
-fn evaluate(question: &RetryInput) -> Result<Duration, GiveUpReason> {
-    let kind = classify(question)?;
-    if question.location == FailureLocation::Below {
+fn evaluate(input: &RetryInput) -> Result<Duration, GiveUpReason> {
+    let kind = classify(input)?;
+    if input.location == FailureLocation::Below {
         return Err(GiveUpReason::NotNearestHop);
     }
-    if kind == RetryKind::Offer && !question.sibling_available {
+    if kind == RetryKind::Offer && !input.sibling_available {
         return Err(GiveUpReason::NoSibling);
     }
     let after = match kind {
         RetryKind::Offer => Duration::ZERO,
-        RetryKind::Reexecute => question.backoff,
+        RetryKind::Reexecute => input.backoff,
     };
-    if question.now + after + question.expected_latency >= question.deadline {
+    if input.now + after + input.expected_latency >= input.deadline {
         return Err(GiveUpReason::Deadline);
     }
-    if question.allowance == RetryAllowance::NONE {
+    if input.allowance == RetryAllowance::NONE {
         return Err(GiveUpReason::AllowanceSpent);
     }
-    if question.needs_budget() && !question.budget_available {
+    if input.needs_budget() && !input.budget_available {
         return Err(GiveUpReason::BudgetSpent);
     }
     Ok(after)
 }
 
-fn classify(question: &RetryInput) -> Result<RetryKind, GiveUpReason> {
-    match question.code {
+fn classify(input: &RetryInput) -> Result<RetryKind, GiveUpReason> {
+    match input.code {
         ResultCode::Answered | ResultCode::AnsweredEarlier => Err(GiveUpReason::Answered),
         ResultCode::MalformedRequest
         | ResultCode::RequestTooLarge
@@ -167,7 +167,7 @@
         | ResultCode::QuotaUnavailable => Ok(RetryKind::Offer),
         ResultCode::DeadlineAfterDispatch => Err(GiveUpReason::Deadline),
         ResultCode::ConnectionLost | ResultCode::MalformedAnswer | ResultCode::BackendEnded => {
-            reexecute(question)
+            reexecute(input)
         }
         ResultCode::ClaimUncertain | ResultCode::ClaimUndetermined => {
             Err(GiveUpReason::NotRepeatable)
@@ -175,8 +175,8 @@
     }
 }
 
-fn reexecute(question: &RetryInput) -> Result<RetryKind, GiveUpReason> {
-    match question.repeatability {
+fn reexecute(input: &RetryInput) -> Result<RetryKind, GiveUpReason> {
+    match input.repeatability {
         Repeatability::Repeatable => Ok(RetryKind::Reexecute),
         Repeatability::AtMostOnce => Err(GiveUpReason::NotRepeatable),
     }
--- a/crates/core/tests/idempotency_cases.rs
+++ b/crates/core/tests/idempotency_cases.rs
@@ -681,12 +681,12 @@
 
 #[test]
 fn a_majority_dispatches_once_and_delivers_the_outcome() {
-    let answer = RecordedResponse {
+    let response = RecordedResponse {
         status: 200,
         content: None,
     };
     let cases = [
-        ("run", ExecutionOutcome::Run(answer), "store"),
+        ("run", ExecutionOutcome::Run(response), "store"),
         ("unknown", ExecutionOutcome::Unknown, "store"),
         ("not run", ExecutionOutcome::NotRun, "abandon"),
     ];
--- a/crates/core/tests/idempotency_support/mod.rs
+++ b/crates/core/tests/idempotency_support/mod.rs
@@ -143,7 +143,7 @@
     call: usize,
     at: u64,
     proved_not_run: bool,
-    answer: Option<RecordedResponse>,
+    response: Option<RecordedResponse>,
 }
 
 /// The deployment, its faults and the record of every dispatch.
@@ -358,7 +358,7 @@
                     self.messages.push(Message::ToReplica { to, call, request });
                 }
                 CoordinatorEffect::Dispatch => self.dispatch(call),
-                CoordinatorEffect::Replay(answer) => self.check_replay(call, answer),
+                CoordinatorEffect::Replay(response) => self.check_replay(call, response),
                 CoordinatorEffect::Refuse { code, .. } => self.check_refusal(call, code),
             }
         }
@@ -370,7 +370,7 @@
             call,
             at: self.step,
             proved_not_run: false,
-            answer: None,
+            response: None,
         });
     }
 
@@ -408,19 +408,19 @@
         );
     }
 
-    fn check_replay(&mut self, call: usize, answer: RecordedResponse) {
+    fn check_replay(&mut self, call: usize, response: RecordedResponse) {
         let checked = &self.calls[call];
         let recorded = self.effects_of(checked.key).any(|one| {
             let same_request = self.calls[one.call].variant == checked.variant;
-            let status = one.answer.as_ref().map(|kept| kept.status);
-            same_request && status == Some(answer.status)
+            let status = one.response.as_ref().map(|kept| kept.status);
+            same_request && status == Some(response.status)
         });
         assert!(
             recorded,
             "key {} got the response of another request",
             checked.key
         );
-        self.calls[call].state = CallState::Replayed(answer);
+        self.calls[call].state = CallState::Replayed(response);
     }
 
     fn complete(&mut self, dispatch: usize, outcome: u8) {
@@ -431,18 +431,18 @@
             return;
         }
         let index = open[dispatch % open.len()];
-        let answer = RecordedResponse {
+        let response = RecordedResponse {
             status: u16::try_from(index).expect("few dispatches"),
             content: Some(vec![0; 10].into()),
         };
         let outcome = match outcome {
             0 => ExecutionOutcome::NotRun,
             1 => ExecutionOutcome::Unknown,
-            _ => ExecutionOutcome::Run(answer.clone()),
+            _ => ExecutionOutcome::Run(response.clone()),
         };
         let one = &mut self.dispatches[index];
         one.proved_not_run = outcome == ExecutionOutcome::NotRun;
-        one.answer = matches!(outcome, ExecutionOutcome::Run(_)).then_some(answer);
+        one.response = matches!(outcome, ExecutionOutcome::Run(_)).then_some(response);
         let call = one.call;
         let now = self.now();
         let effects = self.calls[call].coordinator.complete(now, outcome);
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -166,7 +166,7 @@
     assert_eq!(first.digest(at(1)), second.digest(at(500)));
 }
 
-fn any_standing() -> impl Strategy<Value = ReportedQuarantineState> {
+fn any_state() -> impl Strategy<Value = ReportedQuarantineState> {
     prop_oneof![
         Just(ReportedQuarantineState::Cleared),
         Just(ReportedQuarantineState::Suspect),
@@ -179,7 +179,7 @@
     /// request.
     #[test]
     fn reports_in_any_order_lead_to_the_same_refusal(
-        found in prop::collection::vec(any_standing(), 1..8),
+        found in prop::collection::vec(any_state(), 1..8),
         order in Just((0..8_usize).collect::<Vec<_>>()).prop_shuffle(),
     ) {
         const NOW: u64 = 1_000;
--- a/crates/core/tests/retry_decide.rs
+++ b/crates/core/tests/retry_decide.rs
@@ -13,7 +13,7 @@
 const BACKOFF: Duration = Duration::from_millis(7);
 
 /// Returns an input that allows a retry unless the result code excludes it.
-fn question(code: ResultCode) -> RetryInput {
+fn input(code: ResultCode) -> RetryInput {
     RetryInput {
         now: Timestamp::from_millis(100),
         deadline: Timestamp::from_millis(600),
@@ -124,10 +124,10 @@
     assert_eq!(covered, Code::ALL);
     for (codes, repeatable, at_most_once) in cases {
         for code in codes {
-            assert_eq!(decide(&question(*code)), repeatable, "{code:?}, repeatable");
+            assert_eq!(decide(&input(*code)), repeatable, "{code:?}, repeatable");
             let once = RetryInput {
                 repeatability: Repeatability::AtMostOnce,
-                ..question(*code)
+                ..input(*code)
             };
             assert_eq!(decide(&once), at_most_once, "{code:?}, at most once");
         }
@@ -142,21 +142,21 @@
     // reexecution.
     #[rustfmt::skip]
     let cases: [(&str, Change, RetryDecision, RetryDecision); 8] = [
-        ("below", |question| question.location = FailureLocation::Below, give_up(NotNearestHop), give_up(NotNearestHop)),
-        ("no sibling", |question| question.sibling_available = false, give_up(NoSibling), retry(BACKOFF)),
-        ("no allowance", |question| question.allowance = RetryAllowance::NONE, give_up(AllowanceSpent), give_up(AllowanceSpent)),
-        ("no budget", |question| question.budget_available = false, retry(Duration::ZERO), give_up(BudgetSpent)),
-        ("too late for both", |question| question.deadline = Timestamp::from_millis(120), give_up(Deadline), give_up(Deadline)),
-        ("too late to wait", |question| question.deadline = Timestamp::from_millis(127), retry(Duration::ZERO), give_up(Deadline)),
-        ("just in time", |question| question.deadline = Timestamp::from_millis(128), retry(Duration::ZERO), retry(BACKOFF)),
-        ("deadline passed", |question| question.deadline = Timestamp::from_millis(50), give_up(Deadline), give_up(Deadline)),
+        ("below", |input| input.location = FailureLocation::Below, give_up(NotNearestHop), give_up(NotNearestHop)),
+        ("no sibling", |input| input.sibling_available = false, give_up(NoSibling), retry(BACKOFF)),
+        ("no allowance", |input| input.allowance = RetryAllowance::NONE, give_up(AllowanceSpent), give_up(AllowanceSpent)),
+        ("no budget", |input| input.budget_available = false, retry(Duration::ZERO), give_up(BudgetSpent)),
+        ("too late for both", |input| input.deadline = Timestamp::from_millis(120), give_up(Deadline), give_up(Deadline)),
+        ("too late to wait", |input| input.deadline = Timestamp::from_millis(127), retry(Duration::ZERO), give_up(Deadline)),
+        ("just in time", |input| input.deadline = Timestamp::from_millis(128), retry(Duration::ZERO), retry(BACKOFF)),
+        ("deadline passed", |input| input.deadline = Timestamp::from_millis(50), give_up(Deadline), give_up(Deadline)),
     ];
     for (name, change, offer, repeat) in cases {
         let codes = [ResultCode::RefusedQueueFull, ResultCode::ConnectionLost];
         for (code, expected) in codes.into_iter().zip([offer, repeat]) {
-            let mut question = question(code);
-            change(&mut question);
-            assert_eq!(decide(&question), expected, "{name}, {code:?}");
+            let mut input = input(code);
+            change(&mut input);
+            assert_eq!(decide(&input), expected, "{name}, {code:?}");
         }
     }
 }
@@ -171,9 +171,9 @@
     };
     let mut ledger = Ledger::new(RetryAllowance::new(3));
     let mut budget = DestinationBudget::with_settings(settings, now);
-    let repeat = question(ResultCode::ConnectionLost);
-    let offer = question(ResultCode::RefusedByLevel);
-    let answered = question(ResultCode::Answered);
+    let repeat = input(ResultCode::ConnectionLost);
+    let offer = input(ResultCode::RefusedByLevel);
+    let answered = input(ResultCode::Answered);
     assert_eq!(
         authorize(&answered, &mut ledger, &mut budget),
         give_up(GiveUpReason::Answered)
@@ -199,6 +199,6 @@
 fn only_unknown_outcomes_draw_on_the_budget() {
     for code in ResultCode::ALL {
         let expected = code.outcome() == OutcomeClass::Unknown;
-        assert_eq!(question(*code).needs_budget(), expected, "{code:?}");
+        assert_eq!(input(*code).needs_budget(), expected, "{code:?}");
     }
 }
--- a/crates/core/tests/retry_support/call_tree.rs
+++ b/crates/core/tests/retry_support/call_tree.rs
@@ -246,7 +246,7 @@
     }
 
     fn consider_retry(&mut self, caller: usize, code: ResultCode) {
-        let question = RetryInput {
+        let input = RetryInput {
             now: Timestamp::ZERO,
             deadline: Timestamp::from_millis(1_000_000),
             code,
@@ -259,7 +259,7 @@
             expected_latency: Duration::ZERO,
         };
         let ledger = &mut self.calls[caller].ledger;
-        if let RetryDecision::Retry { .. } = authorize(&question, ledger, &mut self.budget) {
+        if let RetryDecision::Retry { .. } = authorize(&input, ledger, &mut self.budget) {
             self.report.retries += 1;
             self.attempt_child(caller);
         }
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -116,9 +116,9 @@
         self.0.is_some()
     }
 
-    /// Records how the request is treated; `treatment` is only called if the request is recorded.
-    pub(crate) fn record_treatment(&self, treatment: impl FnOnce() -> RequestPolicy) {
-        self.change(|state| state.record.decision.treatment = Some(treatment()));
+    /// Records how the request is treated; `policy` is only called if the request is recorded.
+    pub(crate) fn record_policy(&self, policy: impl FnOnce() -> RequestPolicy) {
+        self.change(|state| state.record.decision.treatment = Some(policy()));
     }
 
     /// Records a refusal that follows from the configuration alone.
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -160,7 +160,7 @@
         let time_to_deadline_ms = time_to_deadline_ms(kind, headers)?;
         let budget = snapshot.retry_budget_for(kind);
         let retries = budget.map_or(0, |budget| budget.retries_per_request);
-        trace.record_treatment(|| RequestPolicy {
+        trace.record_policy(|| RequestPolicy {
             request_kind: kind.name.clone(),
             priority: kind.priority,
             deadline_ms: time_to_deadline_ms,
--- a/crates/daemon/src/inbound/gate.rs
+++ b/crates/daemon/src/inbound/gate.rs
@@ -71,7 +71,7 @@
 }
 
 impl AdmissionRequest {
-    /// Creates an entry for a call about whose originating request nothing else is known.
+    /// Creates a request for a call about whose originating request nothing else is known.
     #[must_use]
     pub const fn new(key: AdmissionKey, deadline: Timestamp) -> Self {
         Self {
@@ -125,7 +125,10 @@
     ///
     /// # Errors
     /// The refusal; the call was not run.
-    pub async fn enter_with(self: &Arc<Self>, entry: AdmissionRequest) -> Result<Permit, Failure> {
+    pub async fn enter_with(
+        self: &Arc<Self>,
+        request: AdmissionRequest,
+    ) -> Result<Permit, Failure> {
         let ticket = CallTicket(self.next_ticket.fetch_add(1, Ordering::Relaxed));
         let (sender, verdict) = oneshot::channel();
         let mut permit = Permit {
@@ -137,12 +140,12 @@
             state.waiting.insert(ticket, sender);
             let call = OfferedCall {
                 ticket,
-                key: entry.key,
-                deadline: entry.deadline,
-                progress: entry.progress,
-                admitted_below: entry.admitted_below,
+                key: request.key,
+                deadline: request.deadline,
+                progress: request.progress,
+                admitted_below: request.admitted_below,
             };
-            match entry.max_queue_wait {
+            match request.max_queue_wait {
                 Some(max_queue_wait) => state.controller.offer_within(now, call, max_queue_wait),
                 None => state.controller.offer(now, call),
             }
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -295,7 +295,7 @@
         let key = call.context.admission_key();
         let mut ledger = lock(&call.account.ledger);
         let backoff = &call.account.backoff;
-        let question = RetryInput {
+        let input = RetryInput {
             now,
             deadline: call.context.deadline,
             code: failure.code,
@@ -307,7 +307,7 @@
             backoff: backoff.delay(attempts.retries, &mut rand::rng()),
             expected_latency: std::time::Duration::ZERO,
         };
-        route.authorize(&question, &mut ledger)
+        route.authorize(&input, &mut ledger)
     }
 }
 
--- a/crates/daemon/src/outbound/routes.rs
+++ b/crates/daemon/src/outbound/routes.rs
@@ -198,8 +198,8 @@
     }
 
     /// Decides whether to retry and, if so, charges the ledger and the destination budget.
-    pub(crate) fn authorize(&self, question: &RetryInput, ledger: &mut Ledger) -> RetryDecision {
-        authorize(question, ledger, &mut lock(&self.state).budget)
+    pub(crate) fn authorize(&self, input: &RetryInput, ledger: &mut Ledger) -> RetryDecision {
+        authorize(input, ledger, &mut lock(&self.state).budget)
     }
 
     /// Applies a new configuration; does nothing if it equals the one already applied.
--- a/crates/protocol/examples/claim_costs.rs
+++ b/crates/protocol/examples/claim_costs.rs
@@ -25,7 +25,7 @@
 const NOW: UnixMillis = UnixMillis::new(START + 10_000);
 const KEYS: u64 = 200_000;
 const PAGE_BYTES: usize = 4_096;
-const ANSWER_BYTES: usize = 256;
+const RESPONSE_BYTES: usize = 256;
 
 fn main() -> Result<(), Box<dyn Error>> {
     println!("replicas outcome messages bytes");
@@ -38,19 +38,19 @@
             println!("{replicas} {name} {messages} {bytes}");
         }
     }
-    println!("keys answer_bytes bytes_per_key nanoseconds_per_claim");
-    for answer in [None, Some(ANSWER_BYTES)] {
-        let (bytes, nanoseconds) = memory_per_key(answer)?;
-        println!("{KEYS} {} {bytes} {nanoseconds}", answer.unwrap_or(0));
+    println!("keys response_bytes bytes_per_key nanoseconds_per_claim");
+    for response in [None, Some(RESPONSE_BYTES)] {
+        let (bytes, nanoseconds) = memory_per_key(response)?;
+        println!("{KEYS} {} {bytes} {nanoseconds}", response.unwrap_or(0));
     }
     Ok(())
 }
 
 fn run_outcome() -> ExecutionOutcome {
-    ExecutionOutcome::Run(answer(ANSWER_BYTES))
+    ExecutionOutcome::Run(response(RESPONSE_BYTES))
 }
 
-fn answer(bytes: usize) -> RecordedResponse {
+fn response(bytes: usize) -> RecordedResponse {
     RecordedResponse {
         status: 201,
         content: Some(vec![7; bytes].into()),
@@ -122,7 +122,7 @@
 
 /// Returns the resident memory of a full replica per key in bytes, and the time for one claim in
 /// nanoseconds.
-fn memory_per_key(answer_bytes: Option<usize>) -> Result<(u64, u64), Box<dyn Error>> {
+fn memory_per_key(response_bytes: Option<usize>) -> Result<(u64, u64), Box<dyn Error>> {
     let mut replica = replica(0, &group(1));
     let before = resident_bytes()?;
     let started = Instant::now();
@@ -130,7 +130,7 @@
         replica.handle(NOW, ReplicaRequest::Claim(claim(number)));
     }
     let elapsed = started.elapsed().as_nanos() / u128::from(KEYS);
-    if let Some(bytes) = answer_bytes {
+    if let Some(bytes) = response_bytes {
         for number in 0..KEYS {
             replica.handle(NOW, ReplicaRequest::Store(store(number, bytes)));
         }
@@ -158,7 +158,7 @@
         claim: ClaimId::from_u128(number.into()),
         record: OutcomeRecord {
             fingerprint: Fingerprint::from_u128(1),
-            outcome: RecordedOutcome::Responded(answer(bytes)),
+            outcome: RecordedOutcome::Responded(response(bytes)),
         },
     }
 }
--- a/crates/resources/src/decision.rs
+++ b/crates/resources/src/decision.rs
@@ -107,31 +107,31 @@
 pub fn decide(
     snapshot: &Snapshot,
     request: &RequestProperties,
-    circumstances: &DecisionContext,
+    context: &DecisionContext,
 ) -> Decision {
     let kind = snapshot.match_request(&request.service, &request.method, &request.path);
     let Some(kind) = kind else {
         return refused(None, ResultCode::UnknownService);
     };
-    let treatment = treatment_of(snapshot, kind, request);
+    let policy = policy_of(snapshot, kind, request);
     if kind.idempotency_key_required && !kind.repeatable && !request.has_idempotency_key {
-        return refused(Some(treatment), ResultCode::MissingIdempotencyKey);
+        return refused(Some(policy), ResultCode::MissingIdempotencyKey);
     }
     let priority = Priority::new(kind.priority).unwrap_or(Priority::LOWEST);
     let key = AdmissionKey::new(priority, request.rank);
-    if !circumstances.level.admits(key) {
-        return refused(Some(treatment), ResultCode::RefusedByLevel);
+    if !context.level.admits(key) {
+        return refused(Some(policy), ResultCode::RefusedByLevel);
     }
-    let endpoint = circumstances.endpoint.as_ref();
+    let endpoint = context.endpoint.as_ref();
     let drain = endpoint.and_then(|endpoint| drain_of(snapshot, &request.service, endpoint));
     Decision {
-        treatment: Some(treatment),
+        treatment: Some(policy),
         refused: None,
         drain,
     }
 }
 
-fn treatment_of(
+fn policy_of(
     snapshot: &Snapshot,
     kind: &RequestKind,
     request: &RequestProperties,
@@ -157,9 +157,9 @@
     Some(drain.name.clone())
 }
 
-fn refused(treatment: Option<RequestPolicy>, code: ResultCode) -> Decision {
+fn refused(policy: Option<RequestPolicy>, code: ResultCode) -> Decision {
     Decision {
-        treatment,
+        treatment: policy,
         refused: Some(code.number()),
         drain: None,
     }
@@ -199,9 +199,9 @@
 
 /// Returns the name and the value as text of every part of a decision.
 fn describe_parts(decision: &Decision) -> [(&'static str, String); 7] {
-    let treatment = decision.treatment.as_ref();
+    let policy = decision.treatment.as_ref();
     let part =
-        |value: &dyn Fn(&RequestPolicy) -> String| treatment.map_or_else(|| NONE.to_owned(), value);
+        |value: &dyn Fn(&RequestPolicy) -> String| policy.map_or_else(|| NONE.to_owned(), value);
     [
         ("request_kind", part(&|found| found.request_kind.clone())),
         ("priority", part(&|found| found.priority.to_string())),
--- a/crates/resources/tests/decision.rs
+++ b/crates/resources/tests/decision.rs
@@ -71,8 +71,8 @@
 }
 
 fn kind_of(decision: &Decision) -> Option<&str> {
-    let treatment = decision.treatment.as_ref();
-    treatment.map(|treatment| treatment.request_kind.as_str())
+    let policy = decision.treatment.as_ref();
+    policy.map(|policy| policy.request_kind.as_str())
 }
 
 #[test]
@@ -128,8 +128,8 @@
         let mut request = request("GET", "/items");
         request.deadline_ms = requested;
         let decision = decide(&snapshot, &request, &circumstances(32_768));
-        let treatment = decision.treatment.expect("a match");
-        assert_eq!(treatment.deadline_ms, expected);
+        let policy = decision.treatment.expect("a match");
+        assert_eq!(policy.deadline_ms, expected);
     }
 }
 
--- a/crates/sidecar/src/admin_server.rs
+++ b/crates/sidecar/src/admin_server.rs
@@ -36,8 +36,8 @@
             let _ = stream.set_nodelay(true);
             let handle = handle.clone();
             let service = service_fn(move |request| {
-                let answer = handle(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handle(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             tokio::spawn(async move {
                 let connection =
--- a/crates/sidecar/src/inbound/dispatch.rs
+++ b/crates/sidecar/src/inbound/dispatch.rs
@@ -124,7 +124,7 @@
         match &sent {
             // A server error does not clear a suspect: it may precede the termination that the
             // request causes.
-            Ok(answered) if !answered.parts.status.is_server_error() => {
+            Ok(backend_response) if !backend_response.parts.status.is_server_error() => {
                 self.quarantine.record_response(call.context);
             }
             Err(failure)
--- a/crates/sidecar/src/inbound/execution.rs
+++ b/crates/sidecar/src/inbound/execution.rs
@@ -130,7 +130,7 @@
             Ok(turn) => turn,
             Err(failure) => return (Err(failure), allowance),
         };
-        let entering = instance.gate.enter_with(entry(&context));
+        let entering = instance.gate.enter_with(admission_request(&context));
         let permit = match entering.await {
             Ok(permit) => permit,
             Err(failure) => return (Err(failure), allowance),
@@ -192,7 +192,7 @@
 }
 
 /// Returns the admission parameters of a call.
-fn entry(context: &CallContext) -> AdmissionRequest {
+fn admission_request(context: &CallContext) -> AdmissionRequest {
     let progress = if context.depth > CLIENT_REQUEST_DEPTH {
         RequestProgress::InProgress
     } else {
@@ -214,16 +214,16 @@
     permit: Permit,
     deadline: Instant,
 ) -> Result<Response<ResponseBody>, Failure> {
-    let answered = match result {
-        Ok(answered) => answered,
+    let backend_response = match result {
+        Ok(backend_response) => backend_response,
         Err(failure) => {
             permit.complete(completion_for(failure.code));
             return Err(failure);
         }
     };
-    let is_complete = matches!(answered.collected, Collected::Complete(_));
-    let mut body = answered.collected.into_body(deadline);
-    let lease: Box<dyn BodyObserver> = Box::new(answered.lease);
+    let is_complete = matches!(backend_response.collected, Collected::Complete(_));
+    let mut body = backend_response.collected.into_body(deadline);
+    let lease: Box<dyn BodyObserver> = Box::new(backend_response.lease);
     if is_complete {
         lease.ended(BodyEnd::Complete);
         permit.complete(Completion::Succeeded);
@@ -234,7 +234,7 @@
             permit,
         }));
     }
-    Ok(Response::from_parts(answered.parts, body))
+    Ok(Response::from_parts(backend_response.parts, body))
 }
 
 const fn completion_for(code: ResultCode) -> Completion {
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -426,7 +426,7 @@
             return Err(NoRetry::AttemptsSpent);
         }
         let mut ledger = lock(&call.ledger);
-        let question = RetryInput {
+        let input = RetryInput {
             now,
             deadline: call.context.deadline,
             code: failure.code,
@@ -439,7 +439,7 @@
             backoff: Backoff::default().delay(attempts.arrivals, &mut rand::rng()),
             expected_latency: Duration::ZERO,
         };
-        match decide(&question) {
+        match decide(&input) {
             RetryDecision::Retry { after } if ledger.try_spend_retry() => Ok(after),
             RetryDecision::Retry { .. } => Err(NoRetry::GivenUp(GiveUpReason::AllowanceSpent)),
             RetryDecision::GiveUp(reason) => Err(NoRetry::GivenUp(reason)),
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -335,7 +335,7 @@
 /// Logs the result of a request.
 fn write_report(report: RequestReport, result: &Result<Response<ResponseBody>, Failure>) {
     match result {
-        Ok(response) => report.answered(response.status()),
+        Ok(response) => report.responded(response.status()),
         Err(failure) => report.failed(*failure, status_of(failure.code)),
     }
 }
--- a/crates/sidecar/src/outbound/report.rs
+++ b/crates/sidecar/src/outbound/report.rs
@@ -100,7 +100,7 @@
 
     /// Logs a request that received a response of a backend. Responses without a server error are
     /// logged only if sampled.
-    pub(crate) fn answered(mut self, status: StatusCode) {
+    pub(crate) fn responded(mut self, status: StatusCode) {
         self.is_reported = true;
         if !status.is_server_error() && !is_sampled(self.context.origin) {
             return;
