--- a/crates/cli/src/drain/follow.rs
+++ b/crates/cli/src/drain/follow.rs
@@ -31,7 +31,7 @@
     /// Client of the platform, which holds the drain's status.
     pub(super) client: &'a Client,
     pub(super) drain: &'a Drain,
-    /// Version under which the drain was written; an older observed version says nothing about it.
+    /// Version under which the drain was written; an older observed version does not cover it.
     pub(super) version: Revision,
     /// Admin addresses of `--daemon`; empty to follow only the resource's status.
     pub(super) daemons: Vec<SocketAddr>,
--- a/crates/cli/tests/check.rs
+++ b/crates/cli/tests/check.rs
@@ -39,7 +39,7 @@
         ),
         format!("{second}:3: drain.d.target.service: unknown service \"b\" (allowed: a) [5102]"),
         format!(
-            "{second}:3: drain.d.target: warning: no back end of \"b\" is left (allowed: a drain of some back ends or of a zone) [5203]"
+            "{second}:3: drain.d.target: warning: no backend of \"b\" is left (allowed: a drain of some backends or of a zone) [5203]"
         ),
         "3 files, 1 resources: 4 errors, 1 warnings".to_owned(),
     ];
--- a/crates/core/src/idempotency/claim/replica.rs
+++ b/crates/core/src/idempotency/claim/replica.rs
@@ -26,7 +26,7 @@
     pub maximum_content_bytes: usize,
     /// Records in one page of a handover.
     pub page_records: usize,
-    /// Time after which an unanswered handover request is sent again.
+    /// Time after which a handover request without a reply is sent again.
     pub retransmit_after: Duration,
 }
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -4,8 +4,8 @@
 //! ids and at other machines. When a backend terminates, every request that it executed is a
 //! candidate, and almost all of them are harmless. Therefore:
 //!
-//! - [`TerminationLedger`] counts, for each request, the instances that terminated under it. The second
-//!   termination makes the request a suspect. The third quarantines it, provided that it was
+//! - [`TerminationLedger`] counts, for each request, the instances that terminated under it. The
+//!   second termination makes the request a suspect. The third quarantines it, provided that it was
 //!   isolated at one of its terminations; no backend gets a quarantined request.
 //! - A suspect is isolated: a backend executes one at a time. If the backend then terminates, the
 //!   suspect is responsible rather than a request that only ran concurrently with it.
--- a/crates/core/tests/idempotency_protocol.rs
+++ b/crates/core/tests/idempotency_protocol.rs
@@ -114,7 +114,7 @@
     #![proptest_config(config(200))]
 
     /// After any history, once faults have ended, a new key is dispatched and its repeat is
-    /// answered from the record.
+    /// replayed from the record.
     #[test]
     fn serves_a_fresh_key_after_any_history(seed in any::<u64>(), actions in schedule(false)) {
         let mut deployment = Deployment::new(seed, 3);
--- a/crates/daemon/src/connect.rs
+++ b/crates/daemon/src/connect.rs
@@ -12,7 +12,7 @@
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(2);
 /// Idle time before the first keep-alive probe, and the time between two probes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of unanswered probes after which a connection counts as broken.
+/// Number of probes without a reply after which a connection counts as broken.
 const KEEP_ALIVE_PROBES: u32 = 2;
 
 /// Opens a connection with `TCP_NODELAY` and detection of an unreachable peer.
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -131,9 +131,11 @@
     /// List the directory and pass the result to [`DirectoryRegistration::on_listing`] or
     /// [`DirectoryRegistration::on_listing_failed`].
     List(ListingFreshness),
-    /// Write this member's entry and pass the result to [`DirectoryRegistration::on_registration_result`].
+    /// Write this member's entry and pass the result to
+    /// [`DirectoryRegistration::on_registration_result`].
     Register,
-    /// Call [`DirectoryRegistration::next`] again at this time, or when the store has been restored.
+    /// Call [`DirectoryRegistration::next`] again at this time, or when the store has been
+    /// restored.
     WaitUntil(Timestamp),
 }
 
--- a/crates/membership/src/relay/mod.rs
+++ b/crates/membership/src/relay/mod.rs
@@ -24,7 +24,7 @@
 use readiness::Readiness;
 use reports::Reports;
 
-/// Time to wait for the reply to a pull before another peer is asked.
+/// Time to wait for the reply to a pull before another peer is queried.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time to wait for the reply to a pull that has to return a snapshot.
 const SNAPSHOT_PULL_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -11,7 +11,7 @@
     pub probe_interval: Duration,
     /// Time to wait for a direct acknowledgement before indirect probes are sent.
     pub probe_timeout: Duration,
-    /// Number of members asked for an indirect probe.
+    /// Number of members requested to send an indirect probe.
     pub indirect_probes: usize,
     /// Time that a suspect has for refuting before it is declared dead.
     pub suspicion_timeout: Duration,
--- a/crates/resources/src/decision.rs
+++ b/crates/resources/src/decision.rs
@@ -176,7 +176,7 @@
     pub replayed: String,
 }
 
-/// Decides on a recorded request under another configuration and the recorded circumstances;
+/// Decides on a recorded request under another configuration and the recorded context;
 /// returns the parts of the decision that differ.
 #[must_use]
 pub fn replay(snapshot: &Snapshot, record: &DecisionRecord) -> Vec<DecisionDifference> {
--- a/crates/resources/src/validate/risks.rs
+++ b/crates/resources/src/validate/risks.rs
@@ -170,10 +170,10 @@
             ProblemCode::DrainLeavesNoCapacity,
             "target",
             format!(
-                "no back end of \"{service}\" is left{}",
+                "no backend of \"{service}\" is left{}",
                 dependents_of(snapshot, service)
             ),
-            "a drain of some back ends or of a zone",
+            "a drain of some backends or of a zone",
         );
         findings.push(finding.about(&ResourceId::new(ResourceKind::Drain, &drain.name)));
     }
--- a/crates/resources/tests/parse_errors.rs
+++ b/crates/resources/tests/parse_errors.rs
@@ -184,7 +184,7 @@
     },
     Case {
         text: "[[drain]]\nname = \"d\"\ntarget = { service = \"back\" }\n",
-        message: "f:24: drain.d.target: warning: no back end of \"back\" is left, which front need (allowed: a drain of some back ends or of a zone) [5203]",
+        message: "f:24: drain.d.target: warning: no backend of \"back\" is left, which front need (allowed: a drain of some backends or of a zone) [5203]",
     },
     Case {
         text: "[[request_kind]]\nname = \"pay\"\nservice = \"front\"\npriority = 0\ndeadline_ms = 900\nrepeatable = false\n",
--- a/crates/sidecar/src/confirmation.rs
+++ b/crates/sidecar/src/confirmation.rs
@@ -28,7 +28,7 @@
 const LEASE_SHARE: f64 = 0.9;
 /// Share of the revocation time up to which a key that the configuration lacks is rejected as
 /// unknown. That response is final for a caller, although the key may just have been added. Beyond
-/// it, the caller is asked to retry.
+/// it, the response requests a retry.
 const UNKNOWN_KEY_SHARE: f64 = 0.4;
 /// Share of the revocation time after which a reader's watch ends and a new one confirms the
 /// configuration: 700 ms of 5 s. It trades one platform call per 0.7 s and reader against requests
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -73,7 +73,7 @@
         #[serde(rename = "d")]
         digest: u64,
     },
-    /// Asks whether the departure of an instance was acknowledged before the sender's process
+    /// Query whether the departure of an instance was acknowledged before the sender's process
     /// started.
     #[serde(rename = "d")]
     Departed {
--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -3,8 +3,8 @@
 //! A restarted sidecar sends its backend no work until it knows that no earlier process
 //! acknowledged its departure. After all sidecars of a large deployment terminated together, one
 //! store lookup each would cause as many calls as there are sidecars. A few sidecars, the first by
-//! rendezvous score, therefore read all departure records on behalf of those that ask. In a small
-//! deployment they do so for sidecars that the store refuses. A sidecar that acknowledges a
+//! rendezvous score, therefore read all departure records on behalf of those that query them. In a
+//! small deployment they do so for sidecars that the store refuses. A sidecar that acknowledges a
 //! departure also announces it to these readers, which makes it known even if a restored store
 //! lacks its record.
 
@@ -28,7 +28,7 @@
 
 /// Number of sidecars that read the departure records for all others.
 const READER_COUNT: usize = 8;
-/// Number of requests to one reader before the next one is asked. The reader may have to read the
+/// Number of requests to one reader before the next one is queried. The reader may have to read the
 /// records first, and another one would read them as well.
 pub(super) const REQUESTS_PER_READER: usize = 4;
 /// Rendezvous key by which the readers are chosen.
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Returns the reply to a sidecar with this uptime that asks whether an earlier process
+    /// Returns the reply to the query of a sidecar with this uptime whether an earlier process
     /// acknowledged the departure of an instance. Only a listing that was requested after that
     /// process terminated can prove that none did. If there is none yet and `read_records` is true,
     /// one is requested.
@@ -190,9 +190,9 @@
 }
 
 impl DepartureReaders {
-    /// Asks a reader whether the departure of an instance was acknowledged; `None` if it does not
-    /// know yet. `requests_sent` is the number of earlier requests; `read_records` asks the reader
-    /// to list the departure records for this sidecar.
+    /// Queries a reader for whether the departure of an instance was acknowledged; `None` if it
+    /// does not know yet. `requests_sent` is the number of earlier requests; `read_records`
+    /// requests the reader to list the departure records for this sidecar.
     pub(crate) async fn query(
         &self,
         instance: &InstanceId,
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Index of the first reader that this sidecar asks. It differs between sidecars, which
+    /// Index of the first reader that this sidecar queries. It differs between sidecars, which
     /// distributes the requests evenly.
     fn first_reader_index(&self) -> usize {
         let own_id = MemberId::from(self.exchange.own_id());
--- a/crates/sidecar/src/instance/registry.rs
+++ b/crates/sidecar/src/instance/registry.rs
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Asks the readers a few more times for a departure that has no record at the platform. A
+    /// Queries the readers a few more times for a departure that has no record at the platform. A
     /// sidecar that has just started may not know the readers yet.
     async fn request_after_lookup(&self, instance: &InstanceId) {
         for requests in 0..READER_REQUESTS_AFTER_LOOKUP {
@@ -305,8 +305,9 @@
         }
     }
 
-    /// Looks up the departure record of an instance, and concurrently asks a reader that may know
-    /// its departure. After failures of the platform the reader lists the records for this sidecar.
+    /// Looks up the departure record of an instance, and concurrently queries a reader that may
+    /// know its departure. After failures of the platform the reader lists the records for this
+    /// sidecar.
     async fn look_up(&self, instance: &InstanceId, failures: usize) -> Option<bool> {
         let query = self.readers.query(instance, failures, failures > 0);
         let lookup = self.platform.has_departed(instance);
--- a/crates/sidecar/src/outbound/connection.rs
+++ b/crates/sidecar/src/outbound/connection.rs
@@ -1,4 +1,5 @@
-//! Connections of callers: requests are read ahead, executed concurrently and answered in order.
+//! Connections of callers: requests are read ahead, executed concurrently, and responses are sent
+//! in order.
 //!
 //! The HTTP library serves a pipelined connection one request at a time. Callers on this platform
 //! abandon a request that is not read within a second, which is why this module reads connections
--- a/crates/sidecar/src/outbound/response.rs
+++ b/crates/sidecar/src/outbound/response.rs
@@ -39,7 +39,7 @@
     response
 }
 
-/// Returns the HTTP status that tells a caller of this platform whether its request may have been
+/// Returns the HTTP status that shows a caller of this platform whether its request may have been
 /// executed.
 pub(crate) fn status_of(code: ResultCode) -> StatusCode {
     match code {
--- a/crates/sidecar/src/quota/mod.rs
+++ b/crates/sidecar/src/quota/mod.rs
@@ -1,8 +1,8 @@
 //! Rate limits of tenants, enforced over all sidecars together.
 //!
 //! Each tenant has a few owners among the sidecars, chosen by rendezvous hashing. A sidecar that is
-//! about to serve a request asks one of them for a token. [`wharfquay_core::quota`] explains why no
-//! sequence of partitions, kills and restarts admits more requests than the limit.
+//! about to serve a request takes a token from one of them. [`wharfquay_core::quota`] explains
+//! why no sequence of partitions, kills and restarts admits more requests than the limit.
 
 mod client;
 mod owner;
@@ -15,6 +15,6 @@
 pub(crate) use ring::OwnerRing;
 
 /// Number of owners of a tenant. Losing one removes a quarter of the limit, which does not affect a
-/// tenant below six tenths of its limit. With more owners, more sidecars would have to be asked
+/// tenant below six tenths of its limit. With more owners, more sidecars would have to be queried
 /// before a request is refused.
 const OWNERS: usize = 4;
