--- a/crates/core/src/admission/estimate.rs
+++ b/crates/core/src/admission/estimate.rs
@@ -9,7 +9,7 @@
 }
 
 impl MeanDuration {
-    /// Adds a sample with the given weight, 0 to 1.
+    /// Adds a sample with the specified weight, 0 to 1.
     pub(crate) fn observe(&mut self, sample: Duration, weight: f64) {
         let value = sample.as_secs_f64() * 1e6;
         self.micros = Some(match self.micros {
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Records the end of an attempt that gives no information on the endpoint, such as one that
+    /// Records the end of an attempt that provides no information on the endpoint, such as one that
     /// the caller cancelled. Pairs with one call of [`Router::dispatched`].
     pub fn discard_attempt(&mut self, endpoint: &EndpointId) {
         if let Some(entry) = self.entry_mut(endpoint) {
--- a/crates/core/tests/admission_decisions.rs
+++ b/crates/core/tests/admission_decisions.rs
@@ -157,9 +157,9 @@
     }
 }
 
-/// Offers calls of two priorities at the given rates for one second of simulated time. Each call
-/// runs for ten milliseconds in one of four slots, which gives a capacity of 400 calls. Returns the
-/// number of refused calls of each priority.
+/// Offers calls of two priorities at the specified rates for one second of simulated time. Each
+/// call runs for ten milliseconds in one of four slots, which gives a capacity of 400 calls.
+/// Returns the number of refused calls of each priority.
 fn overload(calls_per_second: [u64; 2]) -> ([u64; 2], AdmissionController) {
     let mut controller = controller(4, 64);
     let mut refused = [0; 2];
--- a/crates/core/tests/routing_learning.rs
+++ b/crates/core/tests/routing_learning.rs
@@ -193,7 +193,7 @@
     }
 }
 
-/// Creates four endpoints in the router's zone, the first of which has the given behaviour.
+/// Creates four endpoints in the router's zone, the first of which has the specified behaviour.
 fn four_endpoints(first: Behaviour) -> Harness {
     Harness::new(&[
         ("slot-0", "ikeja", first),
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -70,8 +70,8 @@
         let service = service_name(&request)?;
         let origin = OriginId::from_u128(Uuid::now_v7().as_u128());
         let decisions = &self.node.decisions;
-        let facts = || request_facts(&service, &request, origin);
-        let trace = decisions.trace(origin, snapshot.revision, facts);
+        let properties = || request_properties(&service, &request, origin);
+        let trace = decisions.trace(origin, snapshot.revision, properties);
         let kind = snapshot
             .match_request(&service, request.method().as_str(), request.uri().path())
             .ok_or_else(|| refuse(&trace, ResultCode::UnknownService))?;
@@ -199,7 +199,11 @@
 }
 
 /// Returns the properties of a request that its decision record contains.
-fn request_facts<B>(service: &str, request: &Request<B>, origin: OriginId) -> RequestProperties {
+fn request_properties<B>(
+    service: &str,
+    request: &Request<B>,
+    origin: OriginId,
+) -> RequestProperties {
     let headers = request.headers();
     RequestProperties {
         service: service.to_owned(),
--- a/crates/daemon/src/metrics/render.rs
+++ b/crates/daemon/src/metrics/render.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Renders the metrics in the given order, each with help text, type and samples.
+/// Renders the metrics in the specified order, each with help text, type and samples.
 #[must_use]
 pub fn render(metrics: impl Iterator<Item = Metric>, samples: &[Sample]) -> String {
     let mut text = String::with_capacity(8_192);
--- a/crates/daemon/tests/support/body.rs
+++ b/crates/daemon/tests/support/body.rs
@@ -24,7 +24,7 @@
         (sender, Self { chunks })
     }
 
-    /// Creates a body from given chunks.
+    /// Creates a body from chunks.
     pub fn from_chunks(chunks: impl IntoIterator<Item = Result<Bytes, io::Error>>) -> Self {
         let (sender, body) = Self::channel();
         for chunk in chunks {
--- a/crates/sidecar/src/inbound/dispatch.rs
+++ b/crates/sidecar/src/inbound/dispatch.rs
@@ -147,9 +147,10 @@
             ProbeResult::Terminated => true,
             ProbeResult::NewlyTerminated(running) => {
                 instance.connect_failed(self.clock.now());
-                self.metrics.instance_ended();
+                self.metrics.record_instance_termination();
                 log_termination(instance, &running);
-                self.quarantine.instance_ended(&instance.id, &running);
+                self.quarantine
+                    .record_instance_termination(&instance.id, &running);
                 true
             }
         }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -154,7 +154,7 @@
     tenant_requests: IntCounterVec,
     named_tenants: Mutex<HashSet<String>>,
     confirmed_age: IntGauge,
-    instances_ended: IntCounter,
+    instances_terminated: IntCounter,
     quarantine: IntGaugeVec,
 }
 
@@ -244,14 +244,14 @@
                 .counters("wharfquay_tenant_requests_total", &["tenant", "result"])?,
             named_tenants: Mutex::default(),
             confirmed_age: registrar.gauge("wharfquay_configuration_confirmed_age_seconds")?,
-            instances_ended: registrar.counter("wharfquay_instances_ended_total")?,
+            instances_terminated: registrar.counter("wharfquay_instances_ended_total")?,
             quarantine: registrar.gauges("wharfquay_quarantine_requests", &["standing"])?,
             registry: registrar.0,
         })
     }
 
     /// Counts a request that received its final response.
-    pub fn request_ended(&self, route: &str, result: ResultCode, took: Duration) {
+    pub fn request_completed(&self, route: &str, result: ResultCode, took: Duration) {
         self.requests
             .with_label_values(&[route, result.name()])
             .inc();
@@ -260,7 +260,7 @@
     }
 
     /// Counts a request of a tenant that received its final response.
-    pub fn tenant_request_ended(&self, tenant: &str, result: ResultCode) {
+    pub fn tenant_request_completed(&self, tenant: &str, result: ResultCode) {
         let mut named = lock(&self.named_tenants);
         let is_named = named.contains(tenant)
             || (named.len() < MAX_NAMED_TENANTS && named.insert(tenant.to_owned()));
@@ -271,7 +271,7 @@
     }
 
     /// Counts a completed attempt.
-    pub fn attempt_ended(&self, target: &str, result: ResultCode) {
+    pub fn attempt_completed(&self, target: &str, result: ResultCode) {
         self.attempts
             .with_label_values(&[target, result.name()])
             .inc();
@@ -295,8 +295,8 @@
     }
 
     /// Counts an instance of the local backend that terminated without announcing it.
-    pub fn instance_ended(&self) {
-        self.instances_ended.inc();
+    pub fn record_instance_termination(&self) {
+        self.instances_terminated.inc();
     }
 
     /// Counts a call to the platform.
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -374,7 +374,7 @@
         let code = outcome.result.as_ref().err().map(|failure| failure.code);
         let code = code.unwrap_or(ResultCode::Answered);
         call.report.attempted(&target.id, started, code);
-        self.metrics.attempt_ended(target.id.as_str(), code);
+        self.metrics.attempt_completed(target.id.as_str(), code);
         if let Some(unsent) = outcome.unsent {
             body.restore(unsent);
         }
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -99,9 +99,9 @@
         let code = code.unwrap_or(ResultCode::Answered);
         let report = prepared.call.report;
         let metrics = &self.forwarder.metrics;
-        metrics.request_ended(report.route(), code, report.elapsed());
+        metrics.request_completed(report.route(), code, report.elapsed());
         if let Some(tenant) = report.tenant() {
-            metrics.tenant_request_ended(tenant, code);
+            metrics.tenant_request_completed(tenant, code);
         }
         write_report(report, &result);
         result
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -152,7 +152,11 @@
     }
 
     /// Reports that an instance of the local backend terminated while it executed these requests.
-    pub(crate) fn instance_ended(&self, instance: &InstanceId, running: &[ExecutingRequest]) {
+    pub(crate) fn record_instance_termination(
+        &self,
+        instance: &InstanceId,
+        running: &[ExecutingRequest],
+    ) {
         let instance = TerminatedInstance::new(hash_bytes(instance.to_string().as_bytes()));
         let terminations = running.iter().map(|request| RequestTermination {
             fingerprint: request.fingerprint,
--- a/crates/sidecar/tests/instance_tracker.rs
+++ b/crates/sidecar/tests/instance_tracker.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// The instance sends a heartbeat with its current state.
-    Beat(usize),
+    Heartbeat(usize),
     /// A heartbeat that was sent earlier arrives now.
-    LateBeat(usize),
+    LateHeartbeat(usize),
     /// The instance begins to depart. It announces that with a heartbeat or, if `abruptly`, with a
     /// departure message.
     Leave { instance: usize, abruptly: bool },
@@ -32,8 +32,8 @@
 
 fn steps() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..INSTANCES).prop_map(Step::Beat),
-        3 => (0..INSTANCES).prop_map(Step::LateBeat),
+        4 => (0..INSTANCES).prop_map(Step::Heartbeat),
+        3 => (0..INSTANCES).prop_map(Step::LateHeartbeat),
         2 => (0..INSTANCES, any::<bool>())
             .prop_map(|(instance, abruptly)| Step::Leave { instance, abruptly }),
         2 => Just(Step::Restart),
@@ -143,7 +143,7 @@
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Beat(instance) => {
+            Step::Heartbeat(instance) => {
                 self.present = self.present.max(instance);
                 let backend = &mut self.backends[instance];
                 backend.sequence += 1;
@@ -155,7 +155,7 @@
                     self.heartbeat(instance, ReportedState::Ready, sequence);
                 }
             }
-            Step::LateBeat(instance) => {
+            Step::LateHeartbeat(instance) => {
                 let sequence = self.backends[instance].last_ready;
                 self.heartbeat(instance, ReportedState::Ready, sequence);
             }
@@ -218,14 +218,14 @@
 #[test]
 fn a_late_heartbeat_changes_nothing() {
     let mut simulation = Simulation::new();
-    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Heartbeat(0));
     simulation.step(&Step::Wait(10));
     assert_eq!(simulation.serving_instance(), Some(0));
     simulation.step(&Step::Leave {
         instance: 0,
         abruptly: false,
     });
-    simulation.step(&Step::LateBeat(0));
+    simulation.step(&Step::LateHeartbeat(0));
     simulation.step(&Step::Wait(10));
     assert_eq!(simulation.serving_instance(), None);
     assert!(simulation.acknowledged.contains(&0));
@@ -235,10 +235,10 @@
 fn without_the_store_an_instance_needs_two_heartbeats_and_health() {
     let mut simulation = Simulation::new();
     simulation.step(&Step::Store { up: false });
-    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Heartbeat(0));
     simulation.step(&Step::Wait(1_500));
     assert_eq!(simulation.serving_instance(), None);
-    simulation.step(&Step::Beat(0));
+    simulation.step(&Step::Heartbeat(0));
     simulation.step(&Step::Wait(10));
     assert_eq!(simulation.serving_instance(), Some(0));
 }
@@ -255,8 +255,8 @@
         slots: 4,
         warm_up_left: Duration::ZERO,
     };
-    let asked = tracker.heartbeat(Timestamp::ZERO, &heartbeat);
-    assert_eq!(asked, TrackerDecision::Verify);
+    let decision = tracker.heartbeat(Timestamp::ZERO, &heartbeat);
+    assert_eq!(decision, TrackerDecision::Verify);
     let left = tracker.departure(Timestamp::ZERO, &id(0));
     assert_eq!(left, TrackerDecision::RecordDeparture);
     assert!(!tracker.mark_verified(Timestamp::ZERO, &id(0)));
--- a/crates/sidecar/tests/store_calls.rs
+++ b/crates/sidecar/tests/store_calls.rs
@@ -67,7 +67,7 @@
 
 #[tokio::test]
 async fn a_first_start_looks_up_no_departures() {
-    for (is_first_start, is_asked) in [(true, false), (false, true)] {
+    for (is_first_start, is_queried) in [(true, false), (false, true)] {
         let platform = Arc::new(platform());
         let adjust = |settings: &mut wharfquay_sidecar::settings::Settings| {
             settings.is_first_start = is_first_start;
@@ -78,7 +78,7 @@
         machine.ready().await;
         let request = request("GET", "/reads/x", "id-1", "");
         while call(machine.outbound, &request).await.status != 200 {}
-        assert_eq!(platform.lookups() > 0, is_asked, "{is_first_start}");
+        assert_eq!(platform.lookups() > 0, is_queried, "{is_first_start}");
     }
 }
 
