--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -15,7 +15,7 @@
     Timestamp::from_millis(seconds * 1_000)
 }
 
-fn end(instance: u64, was_isolated: bool) -> RequestTermination {
+fn termination(instance: u64, was_isolated: bool) -> RequestTermination {
     RequestTermination {
         fingerprint: REQUEST,
         instance: TerminatedInstance::new(instance),
@@ -35,12 +35,15 @@
 fn the_third_termination_quarantines_a_request_isolated_at_one() {
     let mut ledger = TerminationLedger::default();
     assert_eq!(
-        ledger.record(at(0), end(1, false)),
+        ledger.record(at(0), termination(1, false)),
         QuarantineState::Unsuspected
     );
-    assert_eq!(ledger.record(at(1), end(2, true)), QuarantineState::Suspect);
     assert_eq!(
-        ledger.record(at(2), end(3, false)),
+        ledger.record(at(1), termination(2, true)),
+        QuarantineState::Suspect
+    );
+    assert_eq!(
+        ledger.record(at(2), termination(3, false)),
         QuarantineState::Quarantined
     );
 }
@@ -49,14 +52,14 @@
 fn a_request_that_only_ran_concurrently_is_isolated_and_not_refused() {
     let mut ledger = TerminationLedger::default();
     for instance in 0..9 {
-        ledger.record(at(instance), end(instance, false));
+        ledger.record(at(instance), termination(instance, false));
     }
     assert_eq!(
-        ledger.record(at(9), end(9, false)),
+        ledger.record(at(9), termination(9, false)),
         QuarantineState::Suspect
     );
     assert_eq!(
-        ledger.record(at(9), end(10, true)),
+        ledger.record(at(9), termination(10, true)),
         QuarantineState::Quarantined
     );
 }
@@ -66,22 +69,28 @@
     let mut ledger = TerminationLedger::default();
     for _ in 0..5 {
         assert_eq!(
-            ledger.record(at(0), end(1, true)),
+            ledger.record(at(0), termination(1, true)),
             QuarantineState::Unsuspected
         );
     }
-    assert_eq!(ledger.record(at(0), end(2, true)), QuarantineState::Suspect);
-    assert_eq!(ledger.record(at(0), end(1, true)), QuarantineState::Suspect);
+    assert_eq!(
+        ledger.record(at(0), termination(2, true)),
+        QuarantineState::Suspect
+    );
+    assert_eq!(
+        ledger.record(at(0), termination(1, true)),
+        QuarantineState::Suspect
+    );
 }
 
 #[test]
 fn a_response_clears_the_count() {
     let mut ledger = TerminationLedger::default();
-    ledger.record(at(0), end(1, true));
-    ledger.record(at(0), end(2, true));
+    ledger.record(at(0), termination(1, true));
+    ledger.record(at(0), termination(2, true));
     ledger.clear(REQUEST);
     assert_eq!(
-        ledger.record(at(1), end(3, true)),
+        ledger.record(at(1), termination(3, true)),
         QuarantineState::Unsuspected
     );
 }
@@ -91,7 +100,7 @@
     let mut ledger = TerminationLedger::default();
     let mut table = QuarantineTable::default();
     for instance in 0..3 {
-        ledger.record(at(0), end(instance, true));
+        ledger.record(at(0), termination(instance, true));
     }
     assert!(table.merge(at(0), report(ReportedQuarantineState::Quarantined)));
     let last = Timestamp::ZERO + QUARANTINE_TIME;
@@ -101,7 +110,7 @@
     );
     assert_eq!(table.state(last, REQUEST), QuarantineState::Suspect);
     assert_eq!(
-        ledger.record(last, end(3, true)),
+        ledger.record(last, termination(3, true)),
         QuarantineState::Quarantined
     );
     assert!(table.merge(last, report(ReportedQuarantineState::Quarantined)));
@@ -128,14 +137,14 @@
     let mut ledger = TerminationLedger::default();
     let mut table = QuarantineTable::default();
     for instance in 0..3 {
-        ledger.record(at(0), end(instance, true));
+        ledger.record(at(0), termination(instance, true));
     }
     table.merge(at(0), report(ReportedQuarantineState::Quarantined));
     for number in 100..100_100 {
         let fingerprint = RequestFingerprint::new(number);
         let flooding = RequestTermination {
             fingerprint,
-            ..end(number, false)
+            ..termination(number, false)
         };
         ledger.record(at(1), flooding);
         let suspect = QuarantineReport {
@@ -148,7 +157,7 @@
     assert!(table.len() <= MOST_KNOWN, "{}", table.len());
     assert_eq!(table.state(at(2), REQUEST), QuarantineState::Quarantined);
     assert_eq!(
-        ledger.record(at(2), end(9, false)),
+        ledger.record(at(2), termination(9, false)),
         QuarantineState::Quarantined
     );
 }
--- a/crates/sidecar/tests/support/backend.rs
+++ b/crates/sidecar/tests/support/backend.rs
@@ -90,7 +90,7 @@
 pub struct EmulatedBackend {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
-    end: Arc<Notify>,
+    termination: Arc<Notify>,
 }
 
 impl EmulatedBackend {
@@ -105,7 +105,7 @@
         let backend = Self {
             address,
             state,
-            end: Arc::default(),
+            termination: Arc::default(),
         };
         tokio::spawn(backend.clone().run(listener));
         backend
@@ -118,13 +118,14 @@
             let mut connections = JoinSet::new();
             let serving = async {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let (state, end) = (Arc::clone(&self.state), Arc::clone(&self.end));
-                    connections.spawn(serve(stream, state, end));
+                    let (state, termination) =
+                        (Arc::clone(&self.state), Arc::clone(&self.termination));
+                    connections.spawn(serve(stream, state, termination));
                 }
             };
             tokio::select! {
                 () = serving => return,
-                () = self.end.notified() => {}
+                () = self.termination.notified() => {}
             }
             drop(listener);
             connections.shutdown().await;
@@ -145,7 +146,7 @@
 
     /// Terminates the backend, including the requests in execution.
     pub fn kill(&self) {
-        self.end.notify_one();
+        self.termination.notify_one();
     }
 
     /// Makes requests whose target contains `text` terminate the backend.
@@ -200,7 +201,7 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, state: Arc<Mutex<State>>, end: Arc<Notify>) {
+async fn serve(mut stream: TcpStream, state: Arc<Mutex<State>>, termination: Arc<Notify>) {
     let mut buffer = Vec::new();
     while let Some(executed) = read_request(&mut stream, &mut buffer).await {
         let (response, close) = {
@@ -209,7 +210,7 @@
         };
         if response.terminations {
             tokio::time::sleep(TERMINATION_DELAY).await;
-            end.notify_one();
+            termination.notify_one();
             return std::future::pending().await;
         }
         if let Some(wait) = response.wait {
