--- a/crates/emulator/src/arguments.rs
+++ b/crates/emulator/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What the command lines of the emulator's programs have in common.
+//! Parsing of command lines, shared by the emulator's commands.
 
 use std::fmt::Display as DisplayTrait;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 
 use crate::scenario::{Scenario, ScenarioError};
 
-/// Exit status of a program that was called with arguments it can't use.
+/// Exit status of a program whose arguments are invalid.
 pub const BAD_USE: u8 = 2;
 
-/// Why a command line can't be used.
+/// An error in a command line.
 #[derive(Debug, Display)]
 pub enum ArgumentError {
     /// {0}
@@ -22,11 +22,11 @@
     Value {
         /// The option without its dashes.
         option: &'static str,
-        /// What was given.
+        /// The specified value.
         given: String,
-        /// Why it can't be used.
+        /// Reason why it is invalid.
         problem: String,
-        /// What may be given.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
     /// --{0} is missing
@@ -49,7 +49,7 @@
     }
 }
 
-/// What a command line asks for.
+/// Action that a command line requests.
 #[derive(Debug)]
 pub enum Command<T> {
     /// Run with these settings.
@@ -59,29 +59,30 @@
 }
 
 impl<T> Command<T> {
-    /// Makes the settings to run with from what was given.
+    /// Converts the raw arguments into settings.
     ///
     /// # Errors
-    /// What `settings` returns.
+    /// The error of `settings`.
     pub fn try_map<U>(
         self,
         settings: impl FnOnce(T) -> Result<U, ArgumentError>,
     ) -> Result<Command<U>, ArgumentError> {
         match self {
-            Self::Run(given) => settings(given).map(Command::Run),
+            Self::Run(raw) => settings(raw).map(Command::Run),
             Self::Help => Ok(Command::Help),
         }
     }
 }
 
-/// Reads a command line of long options into `given`. `read_option` gets the name of each option
-/// without its dashes and reads its value, if it takes one.
+/// Parses a command line of long options into `raw`, which initially holds the defaults.
+/// `read_option` is called with the name of each option, without its dashes, and reads the value if
+/// the option takes one.
 ///
 /// # Errors
-/// What `read_option` returns, and [`ArgumentError::Syntax`] for anything but a long option.
+/// The error of `read_option`, and [`ArgumentError::Syntax`] for anything but a long option.
 pub fn read<T>(
     mut parser: lexopt::Parser,
-    mut given: T,
+    mut raw: T,
     read_option: impl Fn(&mut lexopt::Parser, &str, &mut T) -> Result<(), ArgumentError>,
 ) -> Result<Command<T>, ArgumentError> {
     while let Some(argument) = parser.next()? {
@@ -89,39 +90,39 @@
             Arg::Long("help") | Arg::Short('h') => return Ok(Command::Help),
             Arg::Long(name) => {
                 let name = name.to_owned();
-                read_option(&mut parser, &name, &mut given)?;
+                read_option(&mut parser, &name, &mut raw)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok(Command::Run(given))
+    Ok(Command::Run(raw))
 }
 
-/// The error about a value of `option` that can't be used.
+/// Returns the error for an invalid value of `option`.
 pub fn invalid(
     option: &'static str,
-    given: impl Into<String>,
+    specified: impl Into<String>,
     problem: impl Into<String>,
     allowed: &'static str,
 ) -> ArgumentError {
     ArgumentError::Value {
         option,
-        given: given.into(),
+        given: specified.into(),
         problem: problem.into(),
         allowed,
     }
 }
 
-/// The error about an option, named without its dashes, that the program doesn't have.
+/// Returns the error for an unknown option, specified without its dashes.
 #[must_use]
 pub fn unknown_option(name: &str) -> ArgumentError {
     Arg::Long(name).unexpected().into()
 }
 
-/// Reads the value of `option`.
+/// Reads and parses the value of `option`.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or can't be parsed.
+/// [`ArgumentError`] if the value is absent or can't be parsed.
 pub fn value<T>(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -131,14 +132,14 @@
     T: FromStr,
     T::Err: DisplayTrait,
 {
-    let given = text(parser)?;
-    parse(option, &given, allowed)
+    let value_text = text(parser)?;
+    parse(option, &value_text, allowed)
 }
 
 /// Reads the value of an option as text.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or not Unicode.
+/// [`ArgumentError`] if the value is absent or not Unicode.
 pub fn text(parser: &mut lexopt::Parser) -> Result<String, ArgumentError> {
     let value = parser.value()?;
     value
@@ -146,28 +147,28 @@
         .map_err(|raw| ArgumentError::Syntax(lexopt::Error::NonUnicodeValue(raw)))
 }
 
-/// Parses what was given for `option`.
+/// Parses the specified value of `option`.
 ///
 /// # Errors
-/// [`ArgumentError::Value`] when it can't be parsed.
+/// [`ArgumentError::Value`] if it can't be parsed.
 pub fn parse<T>(
     option: &'static str,
-    given: &str,
+    value_text: &str,
     allowed: &'static str,
 ) -> Result<T, ArgumentError>
 where
     T: FromStr,
     T::Err: DisplayTrait,
 {
-    given
+    value_text
         .parse()
-        .map_err(|error: T::Err| invalid(option, given, error.to_string(), allowed))
+        .map_err(|error: T::Err| invalid(option, value_text, error.to_string(), allowed))
 }
 
-/// Reads a list of values with commas in between; at least one.
+/// Reads a comma-separated list of one or more values.
 ///
 /// # Errors
-/// [`ArgumentError`] when the list is absent or one of the values can't be parsed.
+/// [`ArgumentError`] if the list is absent or one of the values can't be parsed.
 pub fn list<T>(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -177,35 +178,35 @@
     T: FromStr,
     T::Err: DisplayTrait,
 {
-    let given = text(parser)?;
-    let parts = given.split(',');
+    let value_text = text(parser)?;
+    let parts = value_text.split(',');
     parts
         .map(|part| parse(option, part.trim(), allowed))
         .collect()
 }
 
-/// Reads a number that must lie in a range.
+/// Reads a number and checks that it is in `range`.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent, not a number or out of range.
+/// [`ArgumentError`] if the value is absent, not a number or out of range.
 pub fn number_in(
     parser: &mut lexopt::Parser,
     option: &'static str,
     range: std::ops::RangeInclusive<f64>,
     allowed: &'static str,
 ) -> Result<f64, ArgumentError> {
-    let given = text(parser)?;
-    let number: f64 = parse(option, &given, allowed)?;
+    let value_text = text(parser)?;
+    let number: f64 = parse(option, &value_text, allowed)?;
     if range.contains(&number) {
         return Ok(number);
     }
-    Err(invalid(option, given, "out of range", allowed))
+    Err(invalid(option, value_text, "out of range", allowed))
 }
 
-/// Reads the seed of what is random in a run.
+/// Reads the seed of a run's random numbers.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or not a whole number of 64 bits.
+/// [`ArgumentError`] if the value is absent or not an unsigned 64-bit integer.
 pub fn seed(parser: &mut lexopt::Parser) -> Result<u64, ArgumentError> {
     value(parser, "seed", "0 to 2^64-1")
 }
@@ -213,7 +214,7 @@
 /// Reads a socket address.
 ///
 /// # Errors
-/// [`ArgumentError`] when the value is absent or can't be parsed.
+/// [`ArgumentError`] if the value is absent or can't be parsed.
 pub fn address(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -221,10 +222,10 @@
     value(parser, option, "ip:port")
 }
 
-/// Reads a list of socket addresses with commas in between; at least one.
+/// Reads a comma-separated list of one or more socket addresses.
 ///
 /// # Errors
-/// [`ArgumentError`] when the list is absent or one of them can't be parsed.
+/// [`ArgumentError`] if the list is absent or one of them can't be parsed.
 pub fn address_list(
     parser: &mut lexopt::Parser,
     option: &'static str,
@@ -232,14 +233,14 @@
     list(parser, option, "ip:port,ip:port,…")
 }
 
-/// Loads a scenario by the name of one that ships with the program, or from a file.
+/// Loads a scenario: from a file if the text contains `/` or `.`, otherwise a built-in one by name.
 ///
 /// # Errors
-/// [`ScenarioError`] when there is no such scenario or its file can't be used.
-pub fn scenario(given: &str) -> Result<Scenario, ScenarioError> {
-    let names_a_file = given.contains('/') || given.contains('.');
-    if names_a_file {
-        return Scenario::load(Path::new(given));
+/// [`ScenarioError`] if there is no such scenario or its file is unreadable or invalid.
+pub fn scenario(name_or_path: &str) -> Result<Scenario, ScenarioError> {
+    let is_path = name_or_path.contains('/') || name_or_path.contains('.');
+    if is_path {
+        return Scenario::load(Path::new(name_or_path));
     }
-    Scenario::builtin(given)
+    Scenario::builtin(name_or_path)
 }
--- a/crates/emulator/src/backend/endpoints.rs
+++ b/crates/emulator/src/backend/endpoints.rs
@@ -1,18 +1,18 @@
-//! The endpoints beside the service itself: health, load, records, faults and drain.
+//! Control endpoints of a backend: health, load, execution log, faults and drain.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Method, Response, StatusCode};
 use serde::Serialize;
 
-use super::body::{ResponseBody, whole};
+use super::body::{ResponseBody, complete};
 use super::faults::Faults;
 use super::state::BackendState;
 
 const PREFIX: &str = "/wharfquay/";
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// What the health endpoint says.
+/// Body of the health endpoint's response.
 #[derive(Clone, Debug, Serialize)]
 struct Health<'a> {
     id: &'a str,
@@ -20,18 +20,18 @@
     state: &'static str,
 }
 
-/// Answer to a request that can't be served.
+/// Body of an error response.
 #[derive(Clone, Debug, Serialize)]
-struct Problem {
+struct ErrorBody {
     error: String,
 }
 
-/// Whether the path belongs to one of these endpoints.
-pub(super) fn owns(path: &str) -> bool {
+/// Returns true if the path belongs to a control endpoint.
+pub(super) fn handles(path: &str) -> bool {
     path.starts_with(PREFIX)
 }
 
-/// Serves one of these endpoints.
+/// Serves a control endpoint; an unknown one gets 404.
 pub(super) fn serve(
     state: &BackendState,
     method: &Method,
@@ -51,7 +51,7 @@
         ("PUT", "faults") => put_faults(state, body),
         ("POST", "drain") => set_leaving(state, true),
         ("DELETE", "drain") => set_leaving(state, false),
-        _ => problem(StatusCode::NOT_FOUND, "no such endpoint"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such endpoint"),
     }
 }
 
@@ -74,7 +74,7 @@
             state.set_faults(faults);
             json(StatusCode::OK, &faults)
         }
-        Err(error) => problem(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
@@ -83,16 +83,16 @@
     health(state)
 }
 
-fn problem(status: StatusCode, error: &str) -> Response<ResponseBody> {
-    let problem = Problem {
+fn error_response(status: StatusCode, error: &str) -> Response<ResponseBody> {
+    let body = ErrorBody {
         error: error.to_owned(),
     };
-    json(status, &problem)
+    json(status, &body)
 }
 
 fn json<T: Serialize>(status: StatusCode, message: &T) -> Response<ResponseBody> {
     let text = serde_json::to_vec(message).unwrap_or_default();
-    let mut response = Response::new(whole(text.into()));
+    let mut response = Response::new(complete(text.into()));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, JSON);
     response
