--- a/crates/protocol/examples/claim_costs.rs
+++ b/crates/protocol/examples/claim_costs.rs
@@ -38,7 +38,7 @@
             println!("{replicas} {name} {messages} {bytes}");
         }
     }
-    println!("keys response_bytes bytes_per_key nanoseconds_per_claim");
+    println!("keys answer_bytes bytes_per_key nanoseconds_per_claim");
     for response in [None, Some(RESPONSE_BYTES)] {
         let (bytes, nanoseconds) = memory_per_key(response)?;
         println!("{KEYS} {} {bytes} {nanoseconds}", response.unwrap_or(0));
