--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -31,7 +31,7 @@
     pub key: AdmissionKey,
     /// Time after which its response is of no use to the caller.
     pub deadline: Timestamp,
-    /// Progress of its originating request.
+    /// Whether work was already done for the originating request, which a refusal would waste.
     pub progress: RequestProgress,
     /// Admission level that the originating request passed at its edge.
     pub admitted_below: AdmissionLevel,
--- a/crates/core/src/admission/level.rs
+++ b/crates/core/src/admission/level.rs
@@ -15,22 +15,24 @@
 
 /// Weight of past intervals in the moving averages of rates and shares.
 const DECAY: f64 = 0.7;
-/// Weight of past intervals in the rate of a priority of which almost no calls are admitted.
+/// Factor by which the estimated arrival rate of a priority decays in an interval in which no call
+/// of it arrived and the level admits less than [`MIN_ADMITTED_SHARE`] of it. Callers then refuse
+/// most of its calls early, so a count of zero says little about the offered rate.
 const UNSEEN_DECAY: f64 = 0.95;
 /// Admitted share of a priority below which its rate can't be estimated.
-const SMALLEST_ADMITTED_SHARE: f64 = 0.05;
+const MIN_ADMITTED_SHARE: f64 = 0.05;
 /// Target queue length, as a share of the concurrency limit.
 const QUEUE_SHARE: f64 = 1.5;
 /// Number of intervals over which the queue is brought to its target length.
 const CORRECTION_INTERVALS: f64 = 4.0;
 /// Share by which the capacity is overestimated, in order to discover free slots.
 const PROBE_SHARE: f64 = 0.05;
-/// Largest rise of the level per interval without headroom, in keys.
-const SMALLEST_STEP: f64 = 256.0;
-/// Largest rise of the level per interval with the limit entirely unused, in keys.
-const LARGEST_STEP: f64 = 8_192.0;
+/// Maximum rise of the level per interval when the limit is entirely used, in keys.
+const MAX_RISE_WITHOUT_HEADROOM: f64 = 256.0;
+/// Maximum rise of the level per interval when the limit is entirely unused, in keys.
+const MAX_RISE_WHEN_UNUSED: f64 = 8_192.0;
 /// Lower bound on the used share when the capacity is extrapolated from it.
-const SMALLEST_UTILISATION: f64 = 0.05;
+const MIN_UTILISATION: f64 = 0.05;
 
 /// Sets the admission level from arrivals, dispatches, queue lengths and the use of the limit.
 #[derive(Clone, Debug)]
@@ -93,7 +95,7 @@
             RequestProgress::InProgress => call.admitted_below,
         };
         let share = admitted_below.admitted_share(priority);
-        self.arrived[priority.index()] += 1.0 / share.max(SMALLEST_ADMITTED_SHARE);
+        self.arrived[priority.index()] += 1.0 / share.max(MIN_ADMITTED_SHARE);
     }
 
     /// Counts a dispatched call.
@@ -127,7 +129,8 @@
         self.estimate_offered();
         let target = self.target_level();
         let headroom = 1.0 - self.mean_utilisation();
-        let step = SMALLEST_STEP + (LARGEST_STEP - SMALLEST_STEP) * headroom * headroom;
+        let step = MAX_RISE_WITHOUT_HEADROOM
+            + (MAX_RISE_WHEN_UNUSED - MAX_RISE_WITHOUT_HEADROOM) * headroom * headroom;
         self.level = target.min(self.level + step);
         self.apply_decay();
     }
@@ -139,7 +142,7 @@
         for ((offered, &arrived), priority) in
             self.offered.iter_mut().zip(&self.arrived).zip(priorities)
         {
-            let is_refused = level.admitted_share(priority) < SMALLEST_ADMITTED_SHARE;
+            let is_refused = level.admitted_share(priority) < MIN_ADMITTED_SHARE;
             if is_refused && arrived == 0.0 {
                 *offered *= UNSEEN_DECAY;
             } else {
@@ -151,7 +154,7 @@
     /// Returns the calls per interval that the backend can take.
     fn capacity(&self) -> f64 {
         let dispatched = self.dispatched * (1.0 - DECAY);
-        let used = self.mean_utilisation().max(SMALLEST_UTILISATION);
+        let used = self.mean_utilisation().max(MIN_UTILISATION);
         dispatched / used * (1.0 + PROBE_SHARE)
     }
 
--- a/crates/core/src/admission/limit/gradient.rs
+++ b/crates/core/src/admission/limit/gradient.rs
@@ -5,7 +5,7 @@
 /// Latency up to this multiple of the base latency is treated as noise.
 const TOLERANCE: f64 = 1.5;
 /// Lower bound on the latency ratio in one step.
-const SMALLEST_RATIO: f64 = 0.5;
+const MIN_RATIO: f64 = 0.5;
 /// Weight of the target in one step towards it.
 const SMOOTHING: f64 = 0.2;
 /// Fraction of the distance to a higher window by which the base latency rises.
@@ -21,7 +21,7 @@
     /// Returns the limit that follows a window of samples.
     pub(super) fn next(&mut self, limit: f64, window: &WindowSummary) -> f64 {
         let base = self.base.observe(window.mean_latency, BASE_RISE);
-        let ratio = (base * TOLERANCE / window.mean_latency).clamp(SMALLEST_RATIO, 1.0);
+        let ratio = (base * TOLERANCE / window.mean_latency).clamp(MIN_RATIO, 1.0);
         let headroom = limit.sqrt();
         let target = limit * ratio + headroom;
         if !window.in_use && target > limit {
--- a/crates/core/src/admission/limit/mod.rs
+++ b/crates/core/src/admission/limit/mod.rs
@@ -43,9 +43,9 @@
 pub struct LimitBounds {
     /// Initial limit.
     pub initial: u32,
-    /// Smallest limit.
+    /// Minimum limit.
     pub minimum: u32,
-    /// Largest limit.
+    /// Maximum limit.
     pub maximum: u32,
 }
 
--- a/crates/core/src/admission/limit/window.rs
+++ b/crates/core/src/admission/limit/window.rs
@@ -5,12 +5,12 @@
 use crate::admission::limit::LimitSample;
 use crate::time::Timestamp;
 
-/// Smallest number of samples in a window, per call of the limit.
+/// Minimum number of samples in a window, per call of the limit.
 const SAMPLES_PER_LIMIT: u32 = 4;
-/// Smallest number of samples in a window, independent of the limit.
-const MINIMUM_SAMPLES: u32 = 32;
+/// Minimum number of samples in a window, independent of the limit.
+const MIN_SAMPLES: u32 = 32;
 /// Shortest duration of a window.
-const MINIMUM_LENGTH: Duration = Duration::from_millis(50);
+const MIN_WINDOW_LENGTH: Duration = Duration::from_millis(50);
 /// Share of the limit that the calls in execution must reach for the limit to count as in use.
 const IN_USE_SHARE: f64 = 0.9;
 
@@ -57,8 +57,8 @@
         self.failed += u32::from(sample.failed);
         self.total_micros += sample.latency.as_secs_f64() * 1e6;
         self.peak_in_flight = self.peak_in_flight.max(sample.in_flight);
-        let required = limit.saturating_mul(SAMPLES_PER_LIMIT).max(MINIMUM_SAMPLES);
-        if self.count < required || now.saturating_since(self.started) < MINIMUM_LENGTH {
+        let required = limit.saturating_mul(SAMPLES_PER_LIMIT).max(MIN_SAMPLES);
+        if self.count < required || now.saturating_since(self.started) < MIN_WINDOW_LENGTH {
             return None;
         }
         let summary = WindowSummary {
--- a/crates/core/src/admission/path.rs
+++ b/crates/core/src/admission/path.rs
@@ -8,7 +8,7 @@
 use crate::time::Timestamp;
 
 /// Shortest Retry-After of an early refusal.
-const MINIMUM_RETRY_AFTER: Duration = Duration::from_millis(200);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Returns the level of the path below a backend, without the backend's own level.
 ///
@@ -184,7 +184,7 @@
         let jitter = unit_hash(now.as_micros() ^ (u64::from(key.number()) << 40));
         let spread = self.timing.reopened_after.mul_f64(jitter);
         Err(Refusal {
-            retry_after: MINIMUM_RETRY_AFTER + spread,
+            retry_after: MIN_RETRY_AFTER + spread,
         })
     }
 }
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -12,13 +12,13 @@
     pub algorithm: LimitAlgorithm,
     /// Initial concurrency limit, in calls; usually the number of slots that the service declares.
     pub initial_limit: u32,
-    /// Smallest concurrency limit, in calls; at least 1.
+    /// Minimum concurrency limit, in calls; at least 1.
     pub minimum_limit: u32,
-    /// Largest concurrency limit, in calls.
+    /// Maximum concurrency limit, in calls.
     pub maximum_limit: u32,
     /// Number of calls that may wait.
     pub queue_capacity: usize,
-    /// Longest time that a call may wait in the queue.
+    /// Maximum time that a call may wait in the queue.
     pub maximum_queue_wait: Duration,
     /// Order in which waiting calls are served.
     pub discipline: QueueDiscipline,
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -10,7 +10,8 @@
 /// Latest confirmations of the configuration's version that one process has received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
-    /// Latest time at which nothing newer than the version in force existed.
+    /// Latest time at which the version in force was confirmed to be the newest; `None` if it has
+    /// never been confirmed.
     confirmed: Option<Timestamp>,
     /// Version and time of the latest confirmation of a version that is not in force yet.
     ahead: Option<(u64, Timestamp)>,
@@ -28,8 +29,8 @@
         }
     }
 
-    /// Returns the latest time at which nothing newer than `in_force`, the version in force,
-    /// existed; `None` before the first such confirmation.
+    /// Returns the latest time at which `in_force`, the version in force, was confirmed to be the
+    /// newest; `None` if it has never been confirmed.
     pub fn confirmed_at(&mut self, in_force: u64) -> Option<Timestamp> {
         self.promote(in_force);
         self.confirmed
--- a/crates/core/src/idempotency/claim/handover.rs
+++ b/crates/core/src/idempotency/claim/handover.rs
@@ -179,12 +179,14 @@
             .filter(|(id, _)| self.takes_over(id))
             .map(|(_, report)| *report);
         let reports: Vec<&HandoverReport> = members.chain(own).collect();
-        merge(&reports, self.predecessors.len())
+        merge_reports(&reports, self.predecessors.len())
     }
 }
 
-/// Merges the reports of a sealed majority of a group with `members` members.
-fn merge(reports: &[&HandoverReport], members: usize) -> Option<InheritedState> {
+/// Merges the handover reports of a group with `members` members. Returns `None` unless the reports
+/// come from a majority of the group and at least one is of a replica that voted in the group and
+/// has stopped voting there (sealed).
+fn merge_reports(reports: &[&HandoverReport], members: usize) -> Option<InheritedState> {
     let majority = majority(members);
     let has_voted = |report: &&HandoverReport| report.status == HandoverStatus::Sealed;
     if reports.len() < majority || !reports.iter().any(has_voted) {
--- a/crates/core/src/idempotency/claim/message.rs
+++ b/crates/core/src/idempotency/claim/message.rs
@@ -60,7 +60,7 @@
 /// A recorded outcome with the request that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeRecord {
-    /// Digest of the request that was dispatched.
+    /// Fingerprint of the request that was dispatched.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
     /// Outcome of that request.
@@ -80,7 +80,7 @@
     /// Identity of the claim.
     #[serde(rename = "i")]
     pub claim: ClaimId,
-    /// Digest of the request.
+    /// Fingerprint of the request for which the claim is made.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
 }
@@ -222,18 +222,19 @@
     Unready,
 }
 
-/// One record of a page.
+/// One key and its record in a [`Page`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageEntry {
-    /// The key.
+    /// Idempotency key of the record.
     #[serde(rename = "k")]
     pub key: IdempotencyKey,
-    /// Its record.
+    /// State of the key at the replying replica.
     #[serde(rename = "r")]
     pub record: Record,
 }
 
-/// Reply to a [`Fetch`].
+/// One page of a replica's records, which a replica that joins an epoch requests with a [`Fetch`]
+/// before it votes there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// Epoch that the requesting replica is joining.
@@ -265,7 +266,7 @@
     /// Reply to an [`Abandon`] or a [`Store`] of this claim.
     #[serde(rename = "d")]
     Acknowledged(ClaimId),
-    /// Reply to a [`Fetch`].
+    /// Reply to a [`Fetch`]: one page of the replica's records.
     #[serde(rename = "p")]
     Page(Page),
 }
--- a/crates/core/src/idempotency/claim/records.rs
+++ b/crates/core/src/idempotency/claim/records.rs
@@ -8,9 +8,9 @@
 use crate::call::IdempotencyKey;
 use crate::idempotency::claim::message::{ClaimId, Fingerprint, OutcomeRecord, RecordedOutcome};
 
-/// Abandoned claims that are kept per key. A claim dropped from this list can at worst take a vote
+/// Maximum number of abandoned claims that are kept per key. A claim dropped from this list can at worst take a vote
 /// again, which blocks the key but never dispatches a request.
-const MAXIMUM_ABANDONED: usize = 8;
+const MAX_ABANDONED_CLAIMS: usize = 8;
 
 /// A vote that a replica has cast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     /// The claim that holds the vote.
     #[serde(rename = "i")]
     pub claim: ClaimId,
-    /// Digest of its request.
+    /// Fingerprint of the request for which the claim was made.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
 }
@@ -61,7 +61,7 @@
         if self.abandoned.contains(&claim) {
             return;
         }
-        if self.abandoned.len() >= MAXIMUM_ABANDONED {
+        if self.abandoned.len() >= MAX_ABANDONED_CLAIMS {
             self.abandoned.remove(0);
         }
         self.abandoned.push(claim);
--- a/crates/core/src/idempotency/claim/replica.rs
+++ b/crates/core/src/idempotency/claim/replica.rs
@@ -19,7 +19,7 @@
 /// Limits and timing of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
-    /// Largest number of keys that are stored; claims on further keys are refused.
+    /// Maximum number of keys that are stored; claims on further keys are refused.
     pub maximum_records: usize,
     /// Bytes of response content that are kept for replay; later responses are stored without
     /// content.
@@ -212,7 +212,7 @@
                 self.store_outcome(wall, store);
                 ReplicaReply::Acknowledged(claim)
             }
-            ReplicaRequest::Fetch(fetch) => ReplicaReply::Page(self.page(fetch)),
+            ReplicaRequest::Fetch(fetch) => ReplicaReply::Page(self.seal_and_read_page(fetch)),
         }
     }
 
@@ -300,8 +300,9 @@
         })
     }
 
-    /// Replies to a member of a later group; stops voting in the earlier groups.
-    fn page(&mut self, fetch: Fetch) -> Page {
+    /// Stops voting in all epochs before the requested one (seals them), and returns the page of
+    /// records that a replica of a later group requested for its handover.
+    fn seal_and_read_page(&mut self, fetch: Fetch) -> Page {
         self.seal_below(fetch.target);
         let status = self.handover_status(fetch.target);
         let provides_records = matches!(status, HandoverStatus::Current | HandoverStatus::Sealed);
--- a/crates/core/src/idempotency/clock.rs
+++ b/crates/core/src/idempotency/clock.rs
@@ -46,7 +46,7 @@
 /// about the clock of the caller that created the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyWindow {
-    /// Largest difference between the clocks of two machines of the system.
+    /// Maximum difference between the clocks of two machines of the system.
     pub clock_skew: Duration,
     /// Time after its creation during which a key may be repeated.
     pub retention: Duration,
--- a/crates/core/src/priority.rs
+++ b/crates/core/src/priority.rs
@@ -190,7 +190,8 @@
         Self::new(u16::try_from(mean).unwrap_or(u16::MAX))
     }
 
-    /// Returns the stricter of two levels, which is what a path through both admits.
+    /// Returns the stricter of two levels. A call that passes through both is admitted by both only
+    /// if its key is below it.
     #[must_use]
     pub fn fold(self, other: Self) -> Self {
         self.min(other)
--- a/crates/core/src/quarantine/ledger.rs
+++ b/crates/core/src/quarantine/ledger.rs
@@ -11,11 +11,11 @@
 };
 use crate::time::Timestamp;
 
-/// Largest number of requests counted, at about 100 bytes each. Beyond it, the requests with the
+/// Maximum number of requests counted, at about 100 bytes each. Beyond it, the requests with the
 /// fewest terminations are dropped, and among those the ones with the oldest latest termination.
 const CAPACITY: usize = 8_192;
-/// Reciprocal of the share of requests dropped together when the ledger is full. Dropping many at a
-/// time costs a flood one sort per that many requests.
+/// One in this many of the counted requests is dropped when the ledger is full. Dropping them in
+/// batches means that a flood of new requests causes one sort per batch, not one per request.
 const EVICTION_DIVISOR: usize = 8;
 
 /// A terminated instance, identified by a hash of its identity.
@@ -38,7 +38,8 @@
     pub fingerprint: RequestFingerprint,
     /// The instance that terminated.
     pub instance: TerminatedInstance,
-    /// True if the instance executed no other suspect request at the time.
+    /// True if the instance executed no other suspect request when it terminated; false if it
+    /// executed others, which may have caused the termination.
     pub was_isolated: bool,
 }
 
@@ -47,6 +48,7 @@
 struct Terminations {
     /// Distinct instances; only the last ones that a decision needs.
     instances: Vec<TerminatedInstance>,
+    /// True if at least one of the instances executed no other suspect request when it terminated.
     was_isolated: bool,
     latest: Timestamp,
 }
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Clears a request that received a response: the instances that terminated under it did so for
-    /// another reason.
+    /// Clears a request that received a response: the instances that terminated while executing it
+    /// did so for another reason.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) {
         self.requests.remove(&fingerprint);
     }
--- a/crates/core/src/quarantine/table.rs
+++ b/crates/core/src/quarantine/table.rs
@@ -8,10 +8,11 @@
 use super::{QUARANTINE_TIME, QuarantineState, RequestFingerprint, SUSPECT_TIME};
 use crate::time::Timestamp;
 
-/// Largest number of requests stored, at about 50 bytes each. Beyond it, cleared requests are
+/// Maximum number of requests stored, at about 50 bytes each. Beyond it, cleared requests are
 /// dropped first, then suspects, the oldest first.
 const CAPACITY: usize = 4_096;
-/// Reciprocal of the share of requests dropped together when the table is full.
+/// One in this many of the stored requests is dropped when the table is full. Dropping them in
+/// batches means that a flood of new requests causes one sort per batch, not one per request.
 const EVICTION_DIVISOR: usize = 8;
 /// Time for which a cleared request is remembered, which prevents delayed reports from making it a
 /// suspect again.
@@ -20,10 +21,11 @@
 /// and is forwarded. Smaller differences are caused by the transmission time of reports.
 const RENEWAL: Duration = Duration::from_secs(1);
 
-/// Status of a request in a report.
+/// Quarantine status of a request as sidecars report it to each other. Unlike [`QuarantineState`],
+/// it includes that a request was cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReportedQuarantineState {
-    /// A backend responded to it.
+    /// A backend responded to the request, so it is no longer a suspect.
     #[serde(rename = "c")]
     Cleared,
     /// See [`QuarantineState::Suspect`].
@@ -44,7 +46,7 @@
     /// Reported status of the request.
     #[serde(rename = "s")]
     pub state: ReportedQuarantineState,
-    /// Time since the status was found, in milliseconds. An age is sent because the clocks of two
+    /// Time since the reported status was determined, in milliseconds. An age is sent because the clocks of two
     /// machines can't be compared.
     #[serde(rename = "a")]
     pub age_ms: u64,
@@ -114,7 +116,8 @@
         known.map_or(QuarantineState::Unsuspected, |known| known.state(now))
     }
 
-    /// Returns the time until a quarantined request is executed again.
+    /// Returns the time until the quarantine of a request ends and backends may execute it again;
+    /// zero if the request is unknown. Meaningful only for a quarantined request.
     #[must_use]
     pub fn time_left(&self, now: Timestamp, fingerprint: RequestFingerprint) -> Duration {
         let known = self.known.get(&fingerprint);
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -9,7 +9,7 @@
 pub struct TokenRate {
     /// Tokens per second, above zero.
     pub per_second: f64,
-    /// Largest number of tokens in the bucket.
+    /// Maximum number of tokens in the bucket.
     pub capacity: f64,
 }
 
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -4,8 +4,8 @@
 
 use crate::time::Timestamp;
 
-/// Token parts in one token; one retry costs one token.
-const PARTS_PER_TOKEN: u64 = 1_000_000;
+/// Millionths of a token in one token; one retry costs one token.
+const MICRO_TOKENS_PER_TOKEN: u64 = 1_000_000;
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
 /// Refill rates and capacity of a [`DestinationBudget`].
@@ -16,7 +16,7 @@
     /// Retries per second that are allowed regardless of the rate of successes, for destinations
     /// that get few calls.
     pub floor_per_second: f64,
-    /// Largest number of retries that can accumulate; limits the burst when a destination starts to
+    /// Maximum number of retries that can accumulate; limits the burst when a destination starts to
     /// fail.
     pub capacity: u32,
 }
@@ -34,10 +34,12 @@
 /// Retry budget towards one destination, a fraction of its recent successes.
 #[derive(Clone, Debug)]
 pub struct DestinationBudget {
-    parts: u64,
+    /// Available millionths of a token, without those that have accrued since the last refill.
+    micro_tokens: u64,
+    /// Maximum number of millionths of a token that can accumulate.
     capacity: u64,
-    parts_per_success: u64,
-    parts_per_second: u64,
+    micro_tokens_per_success: u64,
+    micro_tokens_per_second: u64,
     refilled_at: Timestamp,
 }
 
@@ -57,13 +59,13 @@
     /// capacity.
     #[must_use]
     pub fn with_settings(settings: BudgetSettings, now: Timestamp) -> Self {
-        let capacity = u64::from(settings.capacity) * PARTS_PER_TOKEN;
-        let parts_per_second = parts(settings.floor_per_second.max(0.0));
+        let capacity = u64::from(settings.capacity) * MICRO_TOKENS_PER_TOKEN;
+        let micro_tokens_per_second = to_micro_tokens(settings.floor_per_second.max(0.0));
         Self {
-            parts: parts_per_second.min(capacity),
+            micro_tokens: micro_tokens_per_second.min(capacity),
             capacity,
-            parts_per_success: parts(settings.ratio.clamp(0.0, 1.0)),
-            parts_per_second,
+            micro_tokens_per_success: to_micro_tokens(settings.ratio.clamp(0.0, 1.0)),
+            micro_tokens_per_second,
             refilled_at: now,
         }
     }
@@ -71,15 +73,15 @@
     /// Applies changed settings; accumulated tokens are kept up to the new capacity.
     pub fn reconfigure(&mut self, settings: BudgetSettings, now: Timestamp) {
         self.refill(now);
-        let saved = self.parts;
+        let saved = self.micro_tokens;
         *self = Self::with_settings(settings, now);
-        self.parts = saved.min(self.capacity);
+        self.micro_tokens = saved.min(self.capacity);
     }
 
     /// Records a call to which the destination responded.
     pub fn record_success(&mut self, now: Timestamp) {
         self.refill(now);
-        self.add(self.parts_per_success);
+        self.add(self.micro_tokens_per_success);
     }
 
     /// Takes the token for one retry; returns false if the budget is exhausted.
@@ -88,7 +90,7 @@
         if !self.available(now) {
             return false;
         }
-        self.parts -= PARTS_PER_TOKEN;
+        self.micro_tokens -= MICRO_TOKENS_PER_TOKEN;
         true
     }
 
@@ -96,19 +98,19 @@
     #[must_use]
     pub fn available(&mut self, now: Timestamp) -> bool {
         self.refill(now);
-        self.parts >= PARTS_PER_TOKEN
+        self.micro_tokens >= MICRO_TOKENS_PER_TOKEN
     }
 
     /// Returns the number of whole retries that could be paid now.
     #[must_use]
     pub fn tokens(&mut self, now: Timestamp) -> u64 {
         self.refill(now);
-        self.parts / PARTS_PER_TOKEN
+        self.micro_tokens / MICRO_TOKENS_PER_TOKEN
     }
 
     fn refill(&mut self, now: Timestamp) {
         let elapsed = now.saturating_since(self.refilled_at).as_micros();
-        let rate = u128::from(self.parts_per_second);
+        let rate = u128::from(self.micro_tokens_per_second);
         let grown = elapsed * rate / MICROS_PER_SECOND;
         if grown == 0 {
             // Leave `refilled_at` unchanged: the elapsed time counts in a later refill, and
@@ -120,8 +122,11 @@
         self.refilled_at = self.refilled_at + micros(counted);
     }
 
-    fn add(&mut self, parts: u64) {
-        self.parts = self.parts.saturating_add(parts).min(self.capacity);
+    fn add(&mut self, micro_tokens: u64) {
+        self.micro_tokens = self
+            .micro_tokens
+            .saturating_add(micro_tokens)
+            .min(self.capacity);
     }
 }
 
@@ -129,7 +134,8 @@
     Duration::from_micros(u64::try_from(count).unwrap_or(u64::MAX))
 }
 
-/// Converts tokens to token parts.
-fn parts(tokens: f64) -> u64 {
-    (tokens * PARTS_PER_TOKEN as f64).round() as u64
+/// Converts tokens to millionths of a token, the unit in which the budget counts, rounding to the
+/// nearest.
+fn to_micro_tokens(tokens: f64) -> u64 {
+    (tokens * MICRO_TOKENS_PER_TOKEN as f64).round() as u64
 }
--- a/crates/core/src/retry/decide.rs
+++ b/crates/core/src/retry/decide.rs
@@ -13,8 +13,9 @@
 pub enum FailureLocation {
     /// Between this hop and the endpoint that it picked, or at that endpoint's own daemon.
     ThisHop,
-    /// At a call further down, for which the hop above that call has already decided about retries.
-    Below,
+    /// In a call further downstream. The hop that made that call has already decided whether to retry
+    /// it.
+    Downstream,
 }
 
 /// Input of the retry decision.
@@ -109,7 +110,7 @@
 
 fn evaluate(input: &RetryInput) -> Result<Duration, GiveUpReason> {
     let kind = classify(input)?;
-    if input.location == FailureLocation::Below {
+    if input.location == FailureLocation::Downstream {
         return Err(GiveUpReason::NotNearestHop);
     }
     if kind == RetryKind::Offer && !input.sibling_available {
--- a/crates/core/src/retry/split.rs
+++ b/crates/core/src/retry/split.rs
@@ -6,9 +6,9 @@
 
 /// Units that [`AllowanceSplit::FairShareWithReserve`] reserves for the caller's own retries.
 const RESERVE: u16 = 1;
-/// Smallest allowance at which a call keeps a reserve. Calls deeper in a chain receive less and
+/// Minimum allowance at which a call keeps a reserve. Calls deeper in a chain receive less and
 /// pass on all of it, since a reserve at each hop would leave nothing for the deepest ones.
-const SMALLEST_WITH_RESERVE: u16 = 3;
+const MIN_ALLOWANCE_WITH_RESERVE: u16 = 3;
 
 /// Rule that determines the grant of one child call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -53,7 +53,7 @@
     ) -> RetryAllowance {
         let left = remaining.count();
         let children = u16::try_from(concurrent_children.max(1)).unwrap_or(u16::MAX);
-        let keeps_reserve = initial.count() >= SMALLEST_WITH_RESERVE && left > RESERVE;
+        let keeps_reserve = initial.count() >= MIN_ALLOWANCE_WITH_RESERVE && left > RESERVE;
         let share = match self {
             Self::FirstRequester => left,
             Self::Half => left.div_ceil(2),
--- a/crates/core/src/retry/window.rs
+++ b/crates/core/src/retry/window.rs
@@ -22,9 +22,12 @@
 /// Arrivals in one bin of the window.
 #[derive(Clone, Copy, Debug)]
 struct Bin {
+    /// Start of the bin as a multiple of the bin length.
     number: u64,
-    first: u64,
-    repeated: u64,
+    /// Calls that arrived for the first time.
+    originals: u64,
+    /// Admitted repeats of calls that had arrived before.
+    repeats: u64,
 }
 
 /// Counts the arrivals at one backend and decides which repeats it may get.
@@ -49,7 +52,7 @@
 
     /// Counts a call that is sent to the backend for the first time.
     pub fn first_arrival(&mut self, now: Timestamp) {
-        self.current(now).first += 1;
+        self.current(now).originals += 1;
     }
 
     /// Admits and counts a repeat if the limit leaves room for one of this priority.
@@ -60,9 +63,9 @@
         } else {
             LOWER_PRIORITY_SHARE
         };
-        let fits = (self.repeated(now) + 1) as f64 <= self.allowed(now) * share;
+        let fits = (self.repeats(now) + 1) as f64 <= self.allowed(now) * share;
         if fits {
-            self.current(now).repeated += 1;
+            self.current(now).repeats += 1;
         }
         fits
     }
@@ -70,22 +73,24 @@
     /// Returns the number of repeats of the highest priority that would be admitted now.
     #[must_use]
     pub fn remaining(&mut self, now: Timestamp) -> u64 {
-        (self.allowed(now) as u64).saturating_sub(self.repeated(now))
+        (self.allowed(now) as u64).saturating_sub(self.repeats(now))
     }
 
-    /// Returns the repeats allowed by the first arrivals of the last window. The bin that the start
-    /// of the window cuts does not count.
+    /// Returns the number of repeats allowed by the calls that arrived for the first time within the
+    /// last window. The oldest bin, only partly in the window, is not counted, so this errs
+    /// downwards.
     fn allowed(&mut self, now: Timestamp) -> f64 {
         let newest = self.current(now).number;
         let complete_bins = self.bins.iter().filter(|bin| bin.number + BINS > newest);
-        let first: u64 = complete_bins.map(|bin| bin.first).sum();
-        first as f64 * self.ratio * SAFETY_SHARE
+        let originals: u64 = complete_bins.map(|bin| bin.originals).sum();
+        originals as f64 * self.ratio * SAFETY_SHARE
     }
 
-    /// Returns the repeats of the last window, including the bin that its start cuts.
-    fn repeated(&mut self, now: Timestamp) -> u64 {
+    /// Returns the number of repeats within the last window. The oldest bin, only partly in the
+    /// window, is counted, so this errs upwards.
+    fn repeats(&mut self, now: Timestamp) -> u64 {
         self.current(now);
-        self.bins.iter().map(|bin| bin.repeated).sum()
+        self.bins.iter().map(|bin| bin.repeats).sum()
     }
 
     /// Returns the bin that contains `now`, after removing those that have left the window.
@@ -102,8 +107,8 @@
         if !is_known {
             self.bins.push_back(Bin {
                 number,
-                first: 0,
-                repeated: 0,
+                originals: 0,
+                repeats: 0,
             });
         }
         let last = self.bins.len() - 1;
--- a/crates/core/src/routing/endpoint_stats.rs
+++ b/crates/core/src/routing/endpoint_stats.rs
@@ -29,7 +29,7 @@
 /// Time after which the observations of an endpoint that gets no calls have no influence.
 const FORGET_AFTER: Duration = Duration::from_secs(5);
 /// Observations required before an endpoint can be ejected.
-const EJECTION_MINIMUM_OBSERVATIONS: u32 = 5;
+const MIN_EJECTION_OBSERVATIONS: u32 = 5;
 /// Share of failures from which an endpoint is ejected.
 const EJECTION_FAILURE_SHARE: f64 = 0.5;
 /// Observations required before earlier ejections are forgotten.
@@ -100,7 +100,7 @@
 
     /// Returns true if enough attempts failed to eject the endpoint.
     pub(super) fn should_eject(&self) -> bool {
-        self.observations >= EJECTION_MINIMUM_OBSERVATIONS && self.failed >= EJECTION_FAILURE_SHARE
+        self.observations >= MIN_EJECTION_OBSERVATIONS && self.failed >= EJECTION_FAILURE_SHARE
     }
 
     /// Returns true if a long run of attempts contained almost no failure.
--- a/crates/core/src/routing/entry.rs
+++ b/crates/core/src/routing/entry.rs
@@ -22,7 +22,8 @@
     dispatched_since: u32,
 }
 
-/// One endpoint with its connections, hold, admission level and statistics.
+/// State of one endpoint: its calls in flight, the time until which it gets no calls (hold), its
+/// admission level, last reported load and statistics.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) endpoint: Endpoint,
@@ -38,10 +39,10 @@
 /// Policy on using ejected endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectedPolicy {
-    /// Only endpoints that are not ejected.
-    Avoid,
-    /// Ejected endpoints too: an unreliable endpoint is better than none.
-    Accept,
+    /// Use only endpoints that are not ejected.
+    Exclude,
+    /// Use ejected endpoints too: an unreliable endpoint is better than none.
+    Include,
 }
 
 /// Reason for which an endpoint can't take a call now, with the time until it may.
@@ -123,7 +124,7 @@
         let wait = hold.until.saturating_since(now);
         match hold.reason {
             HoldReason::ConnectionLimit => Err(UnusableReason::Connections(wait)),
-            HoldReason::Ejected if ejected == EjectedPolicy::Accept => Ok(()),
+            HoldReason::Ejected if ejected == EjectedPolicy::Include => Ok(()),
             HoldReason::Ejected | HoldReason::Leaving => Err(UnusableReason::Unavailable(wait)),
         }
     }
@@ -187,7 +188,9 @@
         }
     }
 
-    /// Returns the admission level that the endpoint is assumed to have.
+    /// Returns the admission level that the endpoint is estimated to have at `now`: the one that it
+    /// last reported, rising linearly to fully open over `settings.level_reopen`, because an endpoint
+    /// without calls can't report.
     pub(super) fn assumed_level(
         &self,
         now: Timestamp,
--- a/crates/core/src/routing/hold.rs
+++ b/crates/core/src/routing/hold.rs
@@ -13,7 +13,7 @@
     ConnectionLimit,
 }
 
-/// A reason with the time at which the hold ends.
+/// Period during which a live endpoint gets no calls, with its end and reason.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Hold {
     pub(super) until: Timestamp,
--- a/crates/core/src/routing/locality.rs
+++ b/crates/core/src/routing/locality.rs
@@ -5,9 +5,9 @@
 use super::balance::{Candidate, Pool, pick_of_two};
 use super::settings::RouterSettings;
 
-/// Indexes of the live endpoints that the router uses, by zone.
+/// Indexes, in the router's table, of the live endpoints that may be picked, by zone.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Members {
+pub(super) struct CandidateIndexes {
     /// Endpoints in the local zone.
     pub(super) local: Vec<u32>,
     /// Endpoints in other zones.
@@ -18,17 +18,17 @@
 /// cheaper by at least the spill margin.
 pub(super) fn pick(
     pool: &impl Pool,
-    members: &Members,
+    candidates: &CandidateIndexes,
     settings: &RouterSettings,
     rng: &mut impl Rng,
 ) -> Option<Candidate> {
-    let Some(near) = pick_of_two(pool, &members.local, rng) else {
-        return pick_of_two(pool, &members.remote, rng);
+    let Some(near) = pick_of_two(pool, &candidates.local, rng) else {
+        return pick_of_two(pool, &candidates.remote, rng);
     };
     if near.cost < settings.spill_threshold {
         return Some(near);
     }
-    let far = pick_of_two(pool, &members.remote, rng);
+    let far = pick_of_two(pool, &candidates.remote, rng);
     far.filter(|far| far.cost + settings.spill_margin < near.cost)
         .or(Some(near))
 }
--- a/crates/core/src/routing/received_level.rs
+++ b/crates/core/src/routing/received_level.rs
@@ -20,7 +20,8 @@
         self.received_at = now;
     }
 
-    /// Returns the level that is assumed at `now`.
+    /// Returns the level that is assumed at `now`: the received one, rising linearly to fully open
+    /// over the time `reopen` since it was received.
     pub(super) fn assumed(&self, now: Timestamp, reopen: Duration) -> AdmissionLevel {
         let age = now.saturating_since(self.received_at).as_micros();
         let reopen_micros = reopen.as_micros();
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -12,14 +12,14 @@
 use super::endpoint::{Endpoint, EndpointId, EndpointState, Zone};
 use super::entry::{EjectedPolicy, Entry, UnusableReason};
 use super::hold::HoldReason;
-use super::locality::{self, Members};
+use super::locality::{self, CandidateIndexes};
 use super::observation::Observation;
 use super::pick::{Pick, PickRequest};
 use super::reference::Reference;
 use super::settings::RouterSettings;
 use super::subset::{self, SubsetSettings};
 
-/// Largest random extension of Retry-After, as a share of it. Prevents callers from returning
+/// Maximum random extension of Retry-After, as a share of it. Prevents callers from returning
 /// simultaneously.
 const RETRY_AFTER_SPREAD: f64 = 0.5;
 
@@ -30,7 +30,7 @@
     local_zone: Zone,
     /// Sorted by id.
     entries: Vec<Entry>,
-    members: Members,
+    candidates: CandidateIndexes,
     reference: Reference,
 }
 
@@ -63,7 +63,7 @@
             settings,
             local_zone,
             entries: Vec::new(),
-            members: Members::default(),
+            candidates: CandidateIndexes::default(),
             reference: Reference::default(),
         }
     }
@@ -71,7 +71,7 @@
     /// Applies changed settings; observations are kept.
     pub fn reconfigure(&mut self, settings: RouterSettings) {
         self.settings = settings;
-        self.select_members();
+        self.select_candidates();
     }
 
     /// Replaces the list of endpoints. Observations of an endpoint are kept as long as it is listed
@@ -98,7 +98,7 @@
             };
             self.entries.push(entry);
         }
-        self.select_members();
+        self.select_candidates();
     }
 
     /// Records the incarnation that an endpoint reported. The first one reported changes nothing
@@ -112,10 +112,10 @@
 
     /// Picks an endpoint for a call. The driver must report its use with [`Router::dispatched`].
     pub fn pick(&self, now: Timestamp, rng: &mut impl Rng, request: &PickRequest<'_>) -> Pick {
-        let others = self.pool(now, request, EjectedPolicy::Avoid);
-        let all = self.pool(now, request, EjectedPolicy::Accept);
-        let picked = locality::pick(&others, &self.members, &self.settings, rng)
-            .or_else(|| locality::pick(&all, &self.members, &self.settings, rng));
+        let others = self.pool(now, request, EjectedPolicy::Exclude);
+        let all = self.pool(now, request, EjectedPolicy::Include);
+        let picked = locality::pick(&others, &self.candidates, &self.settings, rng)
+            .or_else(|| locality::pick(&all, &self.candidates, &self.settings, rng));
         match picked {
             Some(candidate) => Pick::Endpoint(self.entries[candidate.index].endpoint.id.clone()),
             None => self.no_endpoint(now, rng, request),
@@ -125,8 +125,8 @@
     /// Returns true if some endpoint can take the call.
     #[must_use]
     pub fn can_pick(&self, now: Timestamp, request: &PickRequest<'_>) -> bool {
-        let pool = self.pool(now, request, EjectedPolicy::Accept);
-        self.member_indexes().any(|index| pool.is_usable(index))
+        let pool = self.pool(now, request, EjectedPolicy::Include);
+        self.candidate_indexes().any(|index| pool.is_usable(index))
     }
 
     /// Returns the common admission level of the endpoints; see [`AdmissionLevel::common`].
@@ -139,7 +139,7 @@
     /// Open if there is no endpoint.
     #[must_use]
     pub fn level(&self, now: Timestamp) -> AdmissionLevel {
-        let entries = self.member_indexes().map(|index| &self.entries[index]);
+        let entries = self.candidate_indexes().map(|index| &self.entries[index]);
         let entries = entries.filter(|entry| !entry.is_held(now));
         let levels = entries.map(|entry| entry.assumed_level(now, &self.settings));
         AdmissionLevel::common(levels)
@@ -193,7 +193,7 @@
     /// Returns the state of each endpoint.
     pub fn endpoint_statuses(&self, now: Timestamp) -> impl Iterator<Item = EndpointStatus> {
         let mut in_subset = vec![false; self.entries.len()];
-        for index in self.member_indexes() {
+        for index in self.candidate_indexes() {
             in_subset[index] = true;
         }
         let entries = self.entries.iter().zip(in_subset);
@@ -250,32 +250,32 @@
         Some(&mut self.entries[index])
     }
 
-    fn member_indexes(&self) -> impl Iterator<Item = usize> {
-        let all = self.members.local.iter().chain(&self.members.remote);
+    fn candidate_indexes(&self) -> impl Iterator<Item = usize> {
+        let all = self.candidates.local.iter().chain(&self.candidates.remote);
         all.map(|member| *member as usize)
     }
 
     /// Selects the live endpoints that this daemon uses.
-    fn select_members(&mut self) {
+    fn select_candidates(&mut self) {
         let subset = self.settings.subset.as_ref();
         let chosen = subset.map(|settings| self.select_subset(settings));
         let is_chosen = |id: &EndpointId| match &chosen {
             Some(chosen) => chosen.binary_search(id).is_ok(),
             None => true,
         };
-        let mut members = Members::default();
+        let mut candidates = CandidateIndexes::default();
         for (index, entry) in (0_u32..).zip(&self.entries) {
             let endpoint = &entry.endpoint;
             if endpoint.state != EndpointState::Live || !is_chosen(&endpoint.id) {
                 continue;
             }
             if entry.local {
-                members.local.push(index);
+                candidates.local.push(index);
             } else {
-                members.remote.push(index);
+                candidates.remote.push(index);
             }
         }
-        self.members = members;
+        self.candidates = candidates;
     }
 
     /// Returns the endpoints of this caller's subset, sorted by id.
@@ -305,13 +305,13 @@
 
     /// Ejects an endpoint unless too many endpoints are already ejected.
     fn eject(&mut self, now: Timestamp, index: usize) {
-        let members = self.member_indexes().count();
+        let candidates = self.candidate_indexes().count();
         let ejected = self
-            .member_indexes()
+            .candidate_indexes()
             .filter(|member| *member != index)
             .filter(|member| self.is_ejected(now, *member))
             .count();
-        if ejected >= self.maximum_ejected(members) {
+        if ejected >= self.maximum_ejected(candidates) {
             return;
         }
         let entry = &mut self.entries[index];
@@ -324,9 +324,9 @@
 
     /// Returns the largest number of endpoints that may be ejected at a time: at least one of two,
     /// and never all.
-    fn maximum_ejected(&self, members: usize) -> usize {
-        let share = (members as f64 * self.settings.maximum_ejected_share).floor() as usize;
-        share.max(1).min(members.saturating_sub(1))
+    fn maximum_ejected(&self, candidates: usize) -> usize {
+        let share = (candidates as f64 * self.settings.maximum_ejected_share).floor() as usize;
+        share.max(1).min(candidates.saturating_sub(1))
     }
 
     fn is_ejected(&self, now: Timestamp, index: usize) -> bool {
@@ -339,9 +339,9 @@
     fn no_endpoint(&self, now: Timestamp, rng: &mut impl Rng, request: &PickRequest<'_>) -> Pick {
         let mut reason = ResultCode::NoBackend;
         let mut wait: Option<Duration> = None;
-        for index in self.member_indexes() {
+        for index in self.candidate_indexes() {
             let entry = &self.entries[index];
-            let check = entry.check(now, request.key, EjectedPolicy::Accept, &self.settings);
+            let check = entry.check(now, request.key, EjectedPolicy::Include, &self.settings);
             let Err(unusable) = check else {
                 continue;
             };
--- a/crates/core/src/routing/settings.rs
+++ b/crates/core/src/routing/settings.rs
@@ -23,11 +23,11 @@
     /// Share of contradicted reports from which an endpoint's reports are ignored. A value above
     /// 1.0 trusts every report.
     pub distrust_threshold: f64,
-    /// Largest share of the endpoints that may be ejected at a time.
+    /// Maximum share of the endpoints that may be ejected at a time.
     pub maximum_ejected_share: f64,
     /// Duration of the first ejection; the n-th ejection lasts n times as long.
     pub ejection_base: Duration,
-    /// Longest duration of an ejection.
+    /// Maximum duration of an ejection.
     pub ejection_maximum: Duration,
     /// Duration of the hold on an endpoint that refused a call as leaving.
     pub leaving_hold: Duration,
--- a/crates/core/src/routing/subset.rs
+++ b/crates/core/src/routing/subset.rs
@@ -21,7 +21,7 @@
     /// Share of an endpoint's connection limit that may be used for planning, 0.0 to 1.0. The rest
     /// absorbs the variance of the hash and callers that are being replaced.
     pub connection_share: f64,
-    /// Smallest number of endpoints in a subset, if the service has that many.
+    /// Minimum number of endpoints in a subset, if the service has that many.
     pub minimum: usize,
     /// Endpoints of other zones that are kept in the subset for spilling.
     pub remote_reserve: usize,
--- a/crates/core/tests/idempotency_support/mod.rs
+++ b/crates/core/tests/idempotency_support/mod.rs
@@ -27,7 +27,7 @@
 pub(crate) const ZONES: usize = 3;
 const START_MILLIS: u64 = 1_000_000;
 /// Limit on messages in flight, which bounds the run time; beyond it the oldest are lost.
-const MAXIMUM_IN_FLIGHT: usize = 300;
+const MAX_IN_FLIGHT: usize = 300;
 
 /// One step of a run. Indices are taken modulo the number of items.
 #[derive(Clone, Debug)]
@@ -295,7 +295,7 @@
             Action::ConfigureReplica(index) => self.configure_replica(index % POOL),
             Action::ConfigureEdge(edge) => self.configure_edge(edge % EDGES),
         }
-        let excess = self.messages.len().saturating_sub(MAXIMUM_IN_FLIGHT);
+        let excess = self.messages.len().saturating_sub(MAX_IN_FLIGHT);
         self.messages.drain(..excess);
         self.check_effects();
     }
--- a/crates/core/tests/retry_decide.rs
+++ b/crates/core/tests/retry_decide.rs
@@ -142,7 +142,7 @@
     // reexecution.
     #[rustfmt::skip]
     let cases: [(&str, Change, RetryDecision, RetryDecision); 8] = [
-        ("below", |input| input.location = FailureLocation::Below, give_up(NotNearestHop), give_up(NotNearestHop)),
+        ("downstream", |input| input.location = FailureLocation::Downstream, give_up(NotNearestHop), give_up(NotNearestHop)),
         ("no sibling", |input| input.sibling_available = false, give_up(NoSibling), retry(BACKOFF)),
         ("no allowance", |input| input.allowance = RetryAllowance::NONE, give_up(AllowanceSpent), give_up(AllowanceSpent)),
         ("no budget", |input| input.budget_available = false, retry(Duration::ZERO), give_up(BudgetSpent)),
--- a/crates/core/tests/retry_support/call_tree.rs
+++ b/crates/core/tests/retry_support/call_tree.rs
@@ -13,7 +13,7 @@
 use wharfquay_core::time::Timestamp;
 
 /// Steps after which a run is aborted; a tree that is still running then is a fault.
-const MAXIMUM_STEPS: usize = 20_000;
+const MAX_STEPS: usize = 20_000;
 
 /// Shape and faults of one tree.
 #[derive(Clone, Debug)]
@@ -95,16 +95,13 @@
 
     /// Runs the tree until no call runs and no response is in flight.
     pub(crate) fn run(mut self) -> TreeReport {
-        for _ in 0..MAXIMUM_STEPS {
+        for _ in 0..MAX_STEPS {
             self.check_units();
             if !self.step() {
                 return self.report;
             }
         }
-        panic!(
-            "still running after {MAXIMUM_STEPS} steps: {:?}",
-            self.report
-        );
+        panic!("still running after {MAX_STEPS} steps: {:?}", self.report);
     }
 
     fn step(&mut self) -> bool {
