--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -163,20 +163,20 @@
     /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// Id of the delegate that counted.
+    /// Id of the delegate that counted the members.
     #[serde(rename = "c")]
     pub counted_by: MemberId,
     /// True if the counts cover the whole zone, false if only the members that report to
     /// `counted_by`.
     #[serde(rename = "w")]
     pub complete: bool,
-    /// Time since the count, in milliseconds.
+    /// Time since `counted_by` counted the members, in milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u64,
-    /// Number of members that reported.
+    /// Number of members counted: those that recently reported their revision to a delegate.
     #[serde(rename = "m")]
     pub members: u32,
-    /// Number of those members that are ready.
+    /// Number of ready members among those counted.
     #[serde(rename = "y")]
     pub ready: u32,
     /// Lowest revision in force among the ready members; 0 when none is ready.
@@ -185,7 +185,8 @@
     /// Highest revision in force among the ready members; 0 when none is ready.
     #[serde(rename = "h")]
     pub highest: u64,
-    /// True if a reader of the zone is in contact with the store; absent when none has tried yet.
+    /// True if a reader of the zone is in contact with the store, false if all that tried are not;
+    /// absent while none reads or none has tried yet.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub store_contact: Option<bool>,
 }
--- a/crates/membership/src/node/maintenance.rs
+++ b/crates/membership/src/node/maintenance.rs
@@ -51,12 +51,12 @@
         let should_read = self.should_read(now);
         if should_read != self.reading {
             self.reading = should_read;
-            self.relay.reports_mut().set_store_contact(None);
+            self.relay.revision_reports_mut().set_store_contact(None);
             effects.push(Effect::SetReader(should_read));
         }
         if self.gossip.delegate_rank().is_some() && now >= self.next_count_exchange {
             self.next_count_exchange = now + COUNT_EXCHANGE_INTERVAL;
-            self.exchange_counts(now, rng, out);
+            self.exchange_revision_counts(now, rng, out);
         }
     }
 
@@ -106,7 +106,7 @@
         };
         if delegate == me {
             self.relay
-                .reports_mut()
+                .revision_reports_mut()
                 .record_member(now, &me, revision, ready);
         } else if let Some(to) = self.address_of(&self.me().profile.zone, &delegate) {
             out.push(Outgoing::routine(to, Body::RevisionAnnouncement));
@@ -128,21 +128,27 @@
         Duration::from_micros(micros).max(self.settings.report_interval)
     }
 
-    /// Counts the zone's revisions and sends the counts to the zone's other delegates and to one
-    /// other zone.
-    fn exchange_counts(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Outgoing>) {
+    /// Counts the members that report to this delegate by readiness, with their lowest and highest
+    /// revision in force. Sends the result, with fresh reports about other zones, to the other
+    /// delegates of the local zone, and the local zone's total to one member of a random other zone.
+    fn exchange_revision_counts(
+        &mut self,
+        now: Timestamp,
+        rng: &mut impl Rng,
+        out: &mut Vec<Outgoing>,
+    ) {
         let me = self.me().profile.clone();
         let max_silence = self.report_interval() * SILENT_MEMBER_INTERVALS;
-        let part = self
-            .relay
-            .reports_mut()
-            .count_members(now, &me.zone, &me.id, max_silence);
+        let part =
+            self.relay
+                .revision_reports_mut()
+                .count_members(now, &me.zone, &me.id, max_silence);
         let mut shared = vec![part];
         shared.extend(self.fresh_reports(now, &me.zone));
         for to in self.other_delegates(&me.zone, &me.id) {
             out.push(Outgoing::routine(to, Body::ZoneReports(shared.clone())));
         }
-        let complete = self.relay.reports().zone(now, &me.zone);
+        let complete = self.relay.revision_reports().zone(now, &me.zone);
         let contact = self
             .gossip
             .random_zone(rng)
@@ -156,7 +162,7 @@
     fn fresh_reports(&self, now: Timestamp, local_zone: &ZoneName) -> Vec<ZoneReport> {
         let fresh =
             |report: &ZoneReport| Duration::from_millis(report.age_ms) <= MAX_FORWARDED_REPORT_AGE;
-        let reports = self.relay.reports().zones(now).into_iter();
+        let reports = self.relay.revision_reports().zones(now).into_iter();
         reports
             .filter(|report| report.zone != *local_zone)
             .filter(fresh)
@@ -214,13 +220,18 @@
         };
         let oldest = now - self.settings.min_zone_timeout;
         let mut first_delegates = table.delegates().iter().take(count);
-        first_delegates.all(|id| self.relay.reports().contact_of(id, oldest) == Some(false))
+        first_delegates
+            .all(|id| self.relay.revision_reports().store_contact_of(id, oldest) == Some(false))
     }
 
     fn lacks_store(&self, now: Timestamp, zone: &ZoneName) -> bool {
         let timeout = self.settings.min_zone_timeout;
-        self.relay.reports().zone(now, zone).is_some_and(|report| {
-            report.store_contact == Some(false) && Duration::from_millis(report.age_ms) < timeout
-        })
+        self.relay
+            .revision_reports()
+            .zone(now, zone)
+            .is_some_and(|report| {
+                report.store_contact == Some(false)
+                    && Duration::from_millis(report.age_ms) < timeout
+            })
     }
 }
--- a/crates/membership/src/node/mod.rs
+++ b/crates/membership/src/node/mod.rs
@@ -199,7 +199,7 @@
     /// Returns the latest report of each zone. Only delegates receive such reports.
     #[must_use]
     pub fn zone_reports(&self, now: Timestamp) -> Vec<ZoneReport> {
-        self.relay.reports().zones(now)
+        self.relay.revision_reports().zones(now)
     }
 
     /// Returns the approximate memory of the member table and the configuration, in bytes.
@@ -240,7 +240,7 @@
     /// A change is reported to the other delegates of the zone immediately, since one of them may
     /// have to read instead.
     pub fn set_store_contact(&mut self, contact: bool) {
-        let reports = self.relay.reports_mut();
+        let reports = self.relay.revision_reports_mut();
         if reports.store_contact() == Some(contact) {
             return;
         }
@@ -346,11 +346,16 @@
             let counted_at = now - Duration::from_millis(report.age_ms);
             self.gossip.record_zone_contact(&report.zone, counted_at);
             let oldest = now - self.settings.min_zone_timeout;
-            let known = self.relay.reports().contact_of(&report.counted_by, oldest);
+            let known = self
+                .relay
+                .revision_reports()
+                .store_contact_of(&report.counted_by, oldest);
             if !report.complete && report.store_contact != known {
                 self.next_maintenance = now;
             }
-            self.relay.reports_mut().record_report(now, report.clone());
+            self.relay
+                .revision_reports_mut()
+                .record_report(now, report.clone());
         }
     }
 
@@ -402,7 +407,7 @@
             return;
         }
         if self.delegate_of(&header.zone, &header.from) == Some(&me.id) {
-            let reports = self.relay.reports_mut();
+            let reports = self.relay.revision_reports_mut();
             reports.record_member(now, &header.from, header.revision, header.ready);
         }
     }
--- a/crates/membership/src/relay/log.rs
+++ b/crates/membership/src/relay/log.rs
@@ -11,9 +11,9 @@
 
 /// Result of applying a snapshot or a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adoption {
+pub enum ApplyResult {
     /// The change is now in force.
-    Adopted,
+    Applied,
     /// The revision in force is the same or newer.
     NotNewer,
     /// The change is newer, but changes before it are missing.
@@ -37,29 +37,29 @@
     }
 
     /// Applies a snapshot if it is newer than the revision in force.
-    pub fn apply_snapshot(&mut self, snapshot: &Snapshot) -> Adoption {
+    pub fn apply_snapshot(&mut self, snapshot: &Snapshot) -> ApplyResult {
         if snapshot.revision <= self.revision {
-            return Adoption::NotNewer;
+            return ApplyResult::NotNewer;
         }
         self.revision = snapshot.revision;
         self.base = Some(snapshot.clone());
         self.deltas.clear();
         self.delta_bytes = 0;
-        Adoption::Adopted
+        ApplyResult::Applied
     }
 
     /// Applies a delta if it is newer than the revision in force and leaves no gap.
-    pub fn apply_delta(&mut self, delta: &Delta) -> Adoption {
+    pub fn apply_delta(&mut self, delta: &Delta) -> ApplyResult {
         if delta.revision <= self.revision {
-            return Adoption::NotNewer;
+            return ApplyResult::NotNewer;
         }
         if self.revision == 0 || delta.previous > self.revision {
-            return Adoption::Gap;
+            return ApplyResult::Gap;
         }
         self.revision = delta.revision;
         self.delta_bytes += delta.payload.as_bytes().len();
         self.deltas.push_back(delta.clone());
-        Adoption::Adopted
+        ApplyResult::Applied
     }
 
     /// Returns the changes that a peer at revision `held` lacks: deltas if the retained ones reach
--- a/crates/membership/src/relay/mod.rs
+++ b/crates/membership/src/relay/mod.rs
@@ -20,9 +20,9 @@
 use crate::message::{Changes, Delta, Payload, Snapshot};
 use crate::settings::Settings;
 
-use log::{Adoption, ChangeLog};
+use log::{ApplyResult, ChangeLog};
 use readiness::Readiness;
-use reports::Reports;
+use reports::RevisionReports;
 
 /// Time to wait for the reply to a pull before another peer is queried.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -84,7 +84,7 @@
     announcement_delay: Duration,
     log: ChangeLog,
     readiness: Readiness,
-    reports: Reports,
+    revision_reports: RevisionReports,
     /// Peers known to hold the revision in force or a newer one.
     holders: BTreeSet<MemberId>,
     pull: Option<PendingPull>,
@@ -105,7 +105,7 @@
                 settings.min_readiness_wait,
                 settings.max_readiness_wait,
             ),
-            reports: Reports::default(),
+            revision_reports: RevisionReports::default(),
             holders: BTreeSet::new(),
             pull: None,
             announce_at: None,
@@ -137,15 +137,16 @@
         &mut self.readiness
     }
 
-    /// Returns the known revisions in force per zone.
+    /// Returns the configuration revisions that members and zones have reported to be in force.
     #[must_use]
-    pub const fn reports(&self) -> &Reports {
-        &self.reports
+    pub const fn revision_reports(&self) -> &RevisionReports {
+        &self.revision_reports
     }
 
-    /// Returns the known revisions in force per zone, for recording new reports.
-    pub const fn reports_mut(&mut self) -> &mut Reports {
-        &mut self.reports
+    /// Returns the configuration revisions that members and zones have reported to be in force, for
+    /// recording further reports.
+    pub const fn revision_reports_mut(&mut self) -> &mut RevisionReports {
+        &mut self.revision_reports
     }
 
     /// Returns true if this peer is known to hold the revision in force or a newer one.
@@ -175,14 +176,14 @@
             effects.push(RelayEffect::StoreOlder { store, held });
             return effects;
         }
-        let adoption = match report {
+        let result = match report {
             StoreReport::Snapshot(snapshot) => self.adopt_snapshot(now, snapshot, &mut effects),
-            StoreReport::Delta(_) if self.store_regressed => Adoption::Gap,
+            StoreReport::Delta(_) if self.store_regressed => ApplyResult::Gap,
             StoreReport::Delta(delta) => self.adopt_delta(now, delta, &mut effects),
-            StoreReport::Revision(revision) if *revision > self.revision() => Adoption::Gap,
-            StoreReport::Revision(_) => Adoption::NotNewer,
+            StoreReport::Revision(revision) if *revision > self.revision() => ApplyResult::Gap,
+            StoreReport::Revision(_) => ApplyResult::NotNewer,
         };
-        if adoption == Adoption::Gap {
+        if result == ApplyResult::Gap {
             effects.push(RelayEffect::ReadSnapshot);
         }
         self.after_adoption(now, &mut effects);
@@ -294,7 +295,7 @@
     ) -> bool {
         deltas
             .iter()
-            .any(|delta| self.adopt_delta(now, delta, effects) == Adoption::Gap)
+            .any(|delta| self.adopt_delta(now, delta, effects) == ApplyResult::Gap)
     }
 
     fn adopt_snapshot(
@@ -302,13 +303,13 @@
         now: Timestamp,
         snapshot: &Snapshot,
         effects: &mut Vec<RelayEffect>,
-    ) -> Adoption {
-        let adoption = self.log.apply_snapshot(snapshot);
-        if adoption == Adoption::Adopted {
+    ) -> ApplyResult {
+        let result = self.log.apply_snapshot(snapshot);
+        if result == ApplyResult::Applied {
             effects.push(RelayEffect::AdoptSnapshot(snapshot.clone()));
             self.record_adoption(now);
         }
-        adoption
+        result
     }
 
     fn adopt_delta(
@@ -316,13 +317,13 @@
         now: Timestamp,
         delta: &Delta,
         effects: &mut Vec<RelayEffect>,
-    ) -> Adoption {
-        let adoption = self.log.apply_delta(delta);
-        if adoption == Adoption::Adopted {
+    ) -> ApplyResult {
+        let result = self.log.apply_delta(delta);
+        if result == ApplyResult::Applied {
             effects.push(RelayEffect::AdoptDelta(delta.clone()));
             self.record_adoption(now);
         }
-        adoption
+        result
     }
 
     fn record_adoption(&mut self, now: Timestamp) {
--- a/crates/membership/src/relay/reports.rs
+++ b/crates/membership/src/relay/reports.rs
@@ -22,14 +22,17 @@
     counted_at: Timestamp,
 }
 
-/// Revision reports received by one daemon: from members while it is a delegate, and about zones.
+/// Reports on configuration revisions in force that one daemon received: from members while it is a
+/// delegate, and about zones.
 #[derive(Clone, Debug, Default)]
-pub struct Reports {
+pub struct RevisionReports {
     members: BTreeMap<MemberId, MemberRevision>,
     /// Reports of the other delegates of the local zone, by delegate.
     partial_reports: BTreeMap<MemberId, ReceivedReport>,
     /// Latest report about each zone.
     zones: BTreeMap<ZoneName, ReceivedReport>,
+    /// True if this daemon, as a reader, is in contact with the store, false if its last attempt
+    /// failed; `None` while it does not read or has not tried yet.
     store_contact: Option<bool>,
 }
 
@@ -45,7 +48,7 @@
     delegates.get(usize::try_from(rank).ok()?)
 }
 
-impl Reports {
+impl RevisionReports {
     /// Records the revision of a member that reports to this delegate.
     pub fn record_member(&mut self, now: Timestamp, id: &MemberId, revision: u64, ready: bool) {
         let member = MemberRevision {
@@ -68,10 +71,11 @@
         self.store_contact
     }
 
-    /// Returns the contact with the store that another delegate of the local zone has reported
-    /// since `oldest`.
+    /// Returns whether `delegate`, another delegate of the local zone, is in contact with the
+    /// platform's store, according to its latest report. `None` if that report was counted before
+    /// `oldest`, if there is none, or if the delegate does not read the store or has not tried yet.
     #[must_use]
-    pub fn contact_of(&self, delegate: &MemberId, oldest: Timestamp) -> Option<bool> {
+    pub fn store_contact_of(&self, delegate: &MemberId, oldest: Timestamp) -> Option<bool> {
         let part = self.partial_reports.get(delegate)?;
         part.report
             .store_contact
