--- a/crates/core/src/admission/estimate.rs
+++ b/crates/core/src/admission/estimate.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Smallest recent duration: falls immediately, rises slowly.
+/// Minimum of the recent durations: falls to a smaller sample immediately, rises slowly.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FloorDuration {
     micros: Option<f64>,
--- a/crates/core/src/admission/limit/mod.rs
+++ b/crates/core/src/admission/limit/mod.rs
@@ -41,11 +41,11 @@
 /// Bounds of a limit, in calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitBounds {
-    /// Initial limit.
+    /// Initial concurrency limit, in calls.
     pub initial: u32,
-    /// Minimum limit.
+    /// Minimum concurrency limit, in calls.
     pub minimum: u32,
-    /// Maximum limit.
+    /// Maximum concurrency limit, in calls.
     pub maximum: u32,
 }
 
--- a/crates/core/src/admission/limit/window.rs
+++ b/crates/core/src/admission/limit/window.rs
@@ -9,7 +9,7 @@
 const SAMPLES_PER_LIMIT: u32 = 4;
 /// Minimum number of samples in a window, independent of the limit.
 const MIN_SAMPLES: u32 = 32;
-/// Shortest duration of a window.
+/// Minimum duration of a window.
 const MIN_WINDOW_LENGTH: Duration = Duration::from_millis(50);
 /// Share of the limit that the calls in execution must reach for the limit to count as in use.
 const IN_USE_SHARE: f64 = 0.9;
--- a/crates/core/src/admission/path.rs
+++ b/crates/core/src/admission/path.rs
@@ -7,16 +7,16 @@
 use crate::priority::{AdmissionKey, AdmissionLevel};
 use crate::time::Timestamp;
 
-/// Shortest Retry-After of an early refusal.
+/// Minimum Retry-After of an early refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Returns the level of the path below a backend, without the backend's own level.
 ///
-/// `own` is the admission level of the backend and `folded` the strictest on the path, `own`
+/// `own` is the admission level of the backend and `path_level` the strictest on the path, `own`
 /// included. Returns `None` if `own` is the strictest: the level below it can then not be derived.
 #[must_use]
-pub fn level_below(own: AdmissionLevel, folded: AdmissionLevel) -> Option<AdmissionLevel> {
-    (folded < own || own == AdmissionLevel::OPEN).then_some(folded)
+pub fn level_below(own: AdmissionLevel, path_level: AdmissionLevel) -> Option<AdmissionLevel> {
+    (path_level < own || own == AdmissionLevel::OPEN).then_some(path_level)
 }
 
 /// An error that reports an early refusal.
@@ -44,8 +44,9 @@
     }
 }
 
-/// Folded levels received from callees, per service and request kind. A level that is not received
-/// again reopens with time, so calls are sent to an idle path again.
+/// Strictest admission levels on the paths through called services, as received from the callees,
+/// per service and request kind. A level that is not received again reopens with time, so calls are
+/// sent to an idle path again.
 #[derive(Clone, Debug, Default)]
 pub struct PathLevels {
     timing: PathTiming,
@@ -124,30 +125,31 @@
         }
     }
 
-    /// Records the folded level that a response of `service` carried for a request kind, without
-    /// distinguishing which backend sent it.
+    /// Records the strictest level on the path through `service` that a response carried for a
+    /// request kind, without distinguishing which backend sent it.
     pub fn observe(
         &mut self,
         now: Timestamp,
         service: &str,
         request_kind: &str,
-        folded: AdmissionLevel,
+        path_level: AdmissionLevel,
     ) {
-        self.observe_from(now, service, "", request_kind, folded);
+        self.observe_from(now, service, "", request_kind, path_level);
     }
 
-    /// Records the folded level that a response of one backend of `service` carried. Levels are
-    /// kept per backend, because a call that one backend refuses is offered to another.
+    /// Records the strictest level on the path through `service` that a response of one backend
+    /// carried for a request kind. Levels are kept per backend, because a call that one backend
+    /// refuses is offered to another.
     pub fn observe_from(
         &mut self,
         now: Timestamp,
         service: &str,
         endpoint: &str,
         request_kind: &str,
-        folded: AdmissionLevel,
+        path_level: AdmissionLevel,
     ) {
         let sample = LevelSample {
-            level: folded,
+            level: path_level,
             at: now,
         };
         let timing = self.timing;
--- a/crates/core/src/idempotency/claim/handover.rs
+++ b/crates/core/src/idempotency/claim/handover.rs
@@ -16,11 +16,11 @@
 /// Report of one replica about the previous group.
 #[derive(Clone, Debug)]
 pub struct HandoverReport {
-    /// Status of the replica with respect to that group.
+    /// Status of the replica with respect to the previous group.
     pub status: HandoverStatus,
     /// The replica has no information on keys created up to this time.
     pub horizon: UnixMillis,
-    /// Records of the replica.
+    /// Votes and outcomes that the replica holds, by key.
     pub records: BTreeMap<IdempotencyKey, Record>,
 }
 
--- a/crates/core/src/idempotency/claim/interface.rs
+++ b/crates/core/src/idempotency/claim/interface.rs
@@ -13,9 +13,10 @@
 pub struct CoordinatorSettings {
     /// Time to wait for a majority of replies before the request is refused.
     pub claim_timeout: Duration,
-    /// Shortest time after which a vote that was not granted is requested again.
+    /// Time, before jitter, after which a vote that was not granted is first requested again. It
+    /// doubles with each further request.
     pub retransmit_after: Duration,
-    /// Longest time after which a vote is requested again.
+    /// Maximum time, before jitter, after which a vote that was not granted is requested again.
     pub maximum_retransmit_after: Duration,
     /// Time for which withdrawals and outcomes are retransmitted until every replica acknowledged
     /// them.
@@ -41,7 +42,7 @@
 pub struct ClaimedRequest {
     /// Key chosen by the caller.
     pub key: IdempotencyKey,
-    /// Digest of the request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Time after which the request must neither wait nor be dispatched.
     pub give_up_at: Timestamp,
--- a/crates/core/src/idempotency/claim/records.rs
+++ b/crates/core/src/idempotency/claim/records.rs
@@ -8,8 +8,8 @@
 use crate::call::IdempotencyKey;
 use crate::idempotency::claim::message::{ClaimId, Fingerprint, OutcomeRecord, RecordedOutcome};
 
-/// Maximum number of abandoned claims that are kept per key. A claim dropped from this list can at worst take a vote
-/// again, which blocks the key but never dispatches a request.
+/// Maximum number of abandoned claims that are kept per key. A claim dropped from this list can at
+/// worst take a vote again, which blocks the key but never dispatches a request.
 const MAX_ABANDONED_CLAIMS: usize = 8;
 
 /// A vote that a replica has cast.
--- a/crates/core/src/quarantine/table.rs
+++ b/crates/core/src/quarantine/table.rs
@@ -46,8 +46,8 @@
     /// Reported status of the request.
     #[serde(rename = "s")]
     pub state: ReportedQuarantineState,
-    /// Time since the reported status was determined, in milliseconds. An age is sent because the clocks of two
-    /// machines can't be compared.
+    /// Time since the reported status was determined, in milliseconds. An age is sent because the
+    /// clocks of two machines can't be compared.
     #[serde(rename = "a")]
     pub age_ms: u64,
 }
--- a/crates/core/src/retry/decide.rs
+++ b/crates/core/src/retry/decide.rs
@@ -13,8 +13,8 @@
 pub enum FailureLocation {
     /// Between this hop and the endpoint that it picked, or at that endpoint's own daemon.
     ThisHop,
-    /// In a call further downstream. The hop that made that call has already decided whether to retry
-    /// it.
+    /// In a call further downstream. The hop that made that call has already decided whether to
+    /// retry it.
     Downstream,
 }
 
--- a/crates/core/src/retry/ledger.rs
+++ b/crates/core/src/retry/ledger.rs
@@ -28,7 +28,7 @@
 /// Result of settling a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// The grant is closed and this part of it is available again.
+    /// The grant is closed. This many of its units were unused and are available again.
     Settled(RetryAllowance),
     /// The grant was already settled, or the ledger is closed; nothing changed.
     Ignored,
--- a/crates/core/src/retry/window.rs
+++ b/crates/core/src/retry/window.rs
@@ -76,8 +76,8 @@
         (self.allowed(now) as u64).saturating_sub(self.repeats(now))
     }
 
-    /// Returns the number of repeats allowed by the calls that arrived for the first time within the
-    /// last window. The oldest bin, only partly in the window, is not counted, so this errs
+    /// Returns the number of repeats allowed by the calls that arrived for the first time within
+    /// the last window. The oldest bin, only partly in the window, is not counted, so this errs
     /// downwards.
     fn allowed(&mut self, now: Timestamp) -> f64 {
         let newest = self.current(now).number;
--- a/crates/core/src/routing/endpoint.rs
+++ b/crates/core/src/routing/endpoint.rs
@@ -79,13 +79,13 @@
 /// One backend of a service, reached through its daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Identity, stable across restarts.
+    /// Identity of the endpoint, stable across restarts.
     pub id: EndpointId,
-    /// Zone that it runs in.
+    /// Zone in which the backend runs.
     pub zone: Zone,
     /// Number that grows with each restart, or [`UNKNOWN_INCARNATION`].
     pub incarnation: u64,
-    /// Eligibility for new work.
+    /// Eligibility of the endpoint for new work.
     pub state: EndpointState,
     /// Local time at which this incarnation started; `None` if it is known to be warm.
     pub started_at: Option<Timestamp>,
--- a/crates/core/src/routing/entry.rs
+++ b/crates/core/src/routing/entry.rs
@@ -189,8 +189,8 @@
     }
 
     /// Returns the admission level that the endpoint is estimated to have at `now`: the one that it
-    /// last reported, rising linearly to fully open over `settings.level_reopen`, because an endpoint
-    /// without calls can't report.
+    /// last reported, rising linearly to fully open over `settings.level_reopen`, because an
+    /// endpoint without calls can't report.
     pub(super) fn assumed_level(
         &self,
         now: Timestamp,
--- a/crates/core/src/routing/observation.rs
+++ b/crates/core/src/routing/observation.rs
@@ -36,9 +36,10 @@
     pub error_response: bool,
     /// True if the endpoint refused the attempt or responded to it as overloaded.
     pub overloaded: bool,
-    /// Load carried by the response.
+    /// Load that the response reported; `None` if it reported none or there was no response.
     pub load: Option<ReportedLoad>,
-    /// Admission level carried by the response.
+    /// Admission level that the response reported; `None` if it reported none or there was no
+    /// response.
     pub level: Option<AdmissionLevel>,
 }
 
--- a/crates/core/tests/retry_support/call_tree.rs
+++ b/crates/core/tests/retry_support/call_tree.rs
@@ -40,7 +40,7 @@
 pub(crate) struct TreeReport {
     pub(crate) attempts: usize,
     pub(crate) retries: usize,
-    /// Largest number of units that existed at any time: spent on retries, held by ledgers or in
+    /// Maximum number of units that existed at any time: spent on retries, held by ledgers or in
     /// flight in responses.
     pub(crate) most_units: usize,
 }
--- a/crates/core/tests/retry_window.rs
+++ b/crates/core/tests/retry_window.rs
@@ -12,7 +12,7 @@
 const RATIO: f64 = 0.2;
 const WINDOW: Duration = Duration::from_secs(10);
 const STEP: Duration = Duration::from_millis(100);
-/// Smallest number of repeats that a deployment allows in a window in addition to the ratio.
+/// Minimum number of repeats that a deployment allows in a window in addition to the ratio.
 const EXTRA: f64 = 49.0;
 
 /// Activity at one backend in one step: first arrivals, repeats that callers want to send.
--- a/crates/core/tests/routing_learning.rs
+++ b/crates/core/tests/routing_learning.rs
@@ -18,7 +18,7 @@
 const LIMIT: u32 = 10;
 /// Share of each of four equal endpoints.
 const FAIR_SHARE: f64 = 0.25;
-/// Largest share of calls that only probe for headroom: 1,000 calls in 5 s, two endpoints, each
+/// Maximum share of calls that only probe for headroom: 1,000 calls in 5 s, two endpoints, each
 /// probed once in the lifetime of a report (1 s).
 const PROBE_SHARE: f64 = 0.012;
 const HEALTHY: Behaviour = Behaviour {
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -39,8 +39,8 @@
     /// Registration of members that find no others, at a later start. The directory then usually
     /// lists others; it is empty only if the store was restored.
     pub later_start: RegistrationSchedule,
-    /// Number of polls, from the first on, that accept a stale listing at a fraction of the cost of
-    /// a fresh one. Applies while no listing has shown others.
+    /// Number of polls, from the first on, that accept a stale listing while no listing has shown
+    /// other members. A stale listing costs a fraction of a fresh one.
     pub stale_polls: u32,
     /// Maximum delay of a starting member's first poll.
     pub max_first_poll_delay: Duration,
@@ -49,7 +49,8 @@
     pub initial_retry_delay: Duration,
     /// Maximum time between two calls.
     pub max_call_interval: Duration,
-    /// Replaces `stale_polls` once a listing has shown others, who need time to reply.
+    /// Number of polls, from the first on, that accept a stale listing once a listing has shown
+    /// other members, who need time to reply.
     pub stale_polls_after_listing: u32,
     /// Time between two reviews of whether a member that knows others should have an entry. It
     /// registers when two consecutive reviews select it.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -157,11 +157,13 @@
 /// Record of a member as known to one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Immutable part; shared between copies of the table.
+    /// Part of the record that is fixed while the member's process runs; shared between copies of
+    /// the table.
     pub profile: Arc<MemberProfile>,
-    /// Incarnation to which `liveness` and `leaving` belong.
+    /// Version of the member's state: the incarnation to which its liveness and its leaving flag
+    /// apply.
     pub incarnation: Incarnation,
-    /// Result of failure detection for this incarnation.
+    /// Result of failure detection for the record's incarnation of the member.
     pub liveness: Liveness,
     /// True if the process has announced that it is leaving; never withdrawn by the same process.
     pub leaving: bool,
@@ -199,11 +201,12 @@
 /// Mutable part of a member record or update, versioned by its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct VersionedState {
-    /// Incarnation to which the rest belongs.
+    /// Version of the member's state: the incarnation to which its liveness and its leaving flag
+    /// apply.
     pub incarnation: Incarnation,
-    /// Result of failure detection for this incarnation.
+    /// Result of failure detection for the record's incarnation of the member.
     pub liveness: Liveness,
-    /// True if the process is leaving.
+    /// True if the member's process has announced that it is leaving.
     pub leaving: bool,
 }
 
--- a/crates/membership/src/node/maintenance.rs
+++ b/crates/membership/src/node/maintenance.rs
@@ -130,7 +130,8 @@
 
     /// Counts the members that report to this delegate by readiness, with their lowest and highest
     /// revision in force. Sends the result, with fresh reports about other zones, to the other
-    /// delegates of the local zone, and the local zone's total to one member of a random other zone.
+    /// delegates of the local zone, and the local zone's total to one member of a random other
+    /// zone.
     fn exchange_revision_counts(
         &mut self,
         now: Timestamp,
--- a/crates/membership/src/relay/readiness.rs
+++ b/crates/membership/src/relay/readiness.rs
@@ -135,7 +135,12 @@
             .collect()
     }
 
-    /// Becomes ready if the rule allows it; returns true if this call made the change.
+    /// Becomes ready if the minimum wait has passed, neither a peer nor the store reported a
+    /// revision above `held`, the revision in force here, and a majority of the queried peers
+    /// replied. Peers that replied but are not ready are left out of the majority until the store
+    /// has replied. Without queried peers, the store's reply decides. After the maximum wait, one
+    /// reply of a ready peer or of the store is sufficient. Returns true if this call made the
+    /// daemon ready.
     pub fn try_become_ready(&mut self, now: Timestamp, held: u64) -> bool {
         if self.ready || held == 0 || held < self.highest() {
             return false;
