--- a/crates/emulator/src/command/mod.rs
+++ b/crates/emulator/src/command/mod.rs
@@ -147,11 +147,11 @@
     };
     let audit = Audit::new(&scenario, &report, &records);
     print_load(&report, Some(&audit), arguments.json);
-    let broken = audit.broken_promises(arguments.retry_bound);
-    for promise in &broken {
-        eprintln!("broken promise: {} {}", promise.promise, promise.count);
+    let violations = audit.violations(arguments.retry_bound);
+    for violation in &violations {
+        eprintln!("broken promise: {} {}", violation.promise, violation.count);
     }
-    if broken.is_empty() {
+    if violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/emulator/src/demo/report.rs
+++ b/crates/emulator/src/demo/report.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::load::audit::{Audit, BrokenPromise};
+use crate::load::audit::{Audit, Violation};
 use crate::load::report::LoadReport;
 
 /// Result of a demonstration.
@@ -14,8 +14,8 @@
     pub load: LoadReport,
     /// Comparison with the execution logs of the backends.
     pub audit: Audit,
-    /// The promises that were broken.
-    pub broken_promises: Vec<BrokenPromise>,
+    /// The guarantees that were violated.
+    pub broken_promises: Vec<Violation>,
 }
 
 impl Display for DemoReport {
--- a/crates/emulator/src/demo/run.rs
+++ b/crates/emulator/src/demo/run.rs
@@ -90,7 +90,7 @@
     deployment.shutdown().await;
     let audit = Audit::new(&settings.scenario, &report, &records);
     Ok(DemoReport {
-        broken_promises: audit.broken_promises(settings.retry_bound()),
+        broken_promises: audit.violations(settings.retry_bound()),
         load: report,
         audit,
     })
--- a/crates/emulator/src/experiment/churn.rs
+++ b/crates/emulator/src/experiment/churn.rs
@@ -53,7 +53,7 @@
     pub experiment: &'static str,
     /// Size and seed.
     pub run: RunSize,
-    /// Factor by which the restarts and failures of a day are compressed.
+    /// Factor by which the rates of restarts and failures exceed those of a real day.
     pub compression: f64,
     /// Length of the partition between regions, in seconds.
     pub parted_seconds: f64,
@@ -69,9 +69,11 @@
     pub time_to_ready_ms: Quantiles,
     /// Number of daemons that run but are not ready at the end.
     pub not_ready: usize,
-    /// Number of declarations of death of a daemon that ran and was connected.
+    /// Number of declarations of death that were wrong: the daemon ran, and both it and the declaring daemon
+    /// were connected.
     pub false_deaths: u64,
-    /// Number of other declarations of death.
+    /// Number of all other declarations of death: the process had terminated, was frozen or cut off, or the
+    /// declaring daemon was cut off.
     pub true_deaths: u64,
     /// Number of running daemons whose count of live members at the end differs from the number of
     /// running daemons.
--- a/crates/emulator/src/experiment/control_command.rs
+++ b/crates/emulator/src/experiment/control_command.rs
@@ -28,13 +28,13 @@
 /// An experiment on the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlExperiment {
-    /// Propagation of configuration changes.
+    /// Measures how fast configuration changes propagate to all daemons.
     Propagation,
-    /// Propagation of departures and drain resources.
+    /// Measures how fast departures of backends and drain resources propagate to all daemons.
     Drain,
-    /// Restarts, failures and a network partition.
+    /// Measures the effect of restarts, failures and a network partition.
     Churn,
-    /// Starts of the whole deployment, and the load that they put on the platform's directory.
+    /// Measures starts of the whole deployment and the load that they put on the platform's directory.
     Start,
 }
 
--- a/crates/emulator/src/experiment/drain.rs
+++ b/crates/emulator/src/experiment/drain.rs
@@ -16,8 +16,8 @@
 
 use super::propagation::{CONVERGENCE_TIME, ControlOptions, RelayMeasurements, RunSize, WARM_UP};
 
-/// Time within which every daemon must know of a departure, as promised to the users.
-const PROMISED_TIME: Duration = Duration::from_secs(2);
+/// Time within which every daemon must know of a departure, according to the service objective.
+const KNOWN_TIME_OBJECTIVE: Duration = Duration::from_secs(2);
 /// Number of backends that leave one by one, and of drain resources.
 const DEPARTURES: usize = 10;
 /// Time between two departures, and between two drain resources.
@@ -32,10 +32,11 @@
     pub known_after_ms: Quantiles,
     /// Number of pairs of departure and running daemon in which the daemon never knew.
     pub never_known: usize,
-    /// Number of pairs in which the daemon knew later than the promised 2 s, or never.
+    /// Number of pairs of departure and running daemon in which the daemon knew of the departure later than
+    /// 2 s after it, the service objective, or never.
     pub later_than_promised: usize,
-    /// Mean time, over the pairs, in which a daemon could still choose the leaving backend, in
-    /// milliseconds. The leaving daemon refuses calls that arrive in this time as not run.
+    /// Mean time in which a daemon could still choose a leaving backend, over all pairs of departure and
+    /// daemon, in milliseconds. The leaving daemon refuses calls that arrive in this time as not run.
     pub mean_exposure_ms: f64,
 }
 
@@ -117,12 +118,12 @@
     let running = simulation.running().count();
     let departures = std::mem::take(&mut simulation.observations.departures);
     let known = &mut simulation.observations.time_to_departure_known;
-    let promise = u64::try_from(PROMISED_TIME.as_micros()).unwrap_or(u64::MAX);
+    let objective = u64::try_from(KNOWN_TIME_OBJECTIVE.as_micros()).unwrap_or(u64::MAX);
     let never_known: usize = departures
         .iter()
         .map(|departure| running.saturating_sub(departure.known_by.len()))
         .sum();
-    let late = known.len() - known.count_between(0, promise);
+    let late = known.len() - known.count_between(0, objective);
     let measurements = DepartureMeasurements {
         departures: departures.len(),
         known_after_ms: Quantiles::of_micros(known),
--- a/crates/emulator/src/experiment/propagation.rs
+++ b/crates/emulator/src/experiment/propagation.rs
@@ -178,7 +178,8 @@
     pub traffic: TrafficRates,
     /// State of a daemon, in bytes.
     pub memory_bytes: Quantiles,
-    /// Number of declarations of death of a daemon that ran and was connected.
+    /// Number of declarations of death that were wrong: the daemon ran, and both it and the declaring daemon
+    /// were connected.
     pub false_deaths: u64,
     /// Resources used on the host; they differ between runs with the same seed.
     pub host: HostUsage,
--- a/crates/emulator/src/experiment/start.rs
+++ b/crates/emulator/src/experiment/start.rs
@@ -21,30 +21,33 @@
 const DOWN_TIME: Duration = Duration::from_secs(2);
 /// Longest time to wait in a phase until every daemon knows all others.
 const PHASE_LIMIT: Duration = Duration::from_secs(40);
-/// Time that a phase continues after that, in which daemons still write entries.
+/// Time that a phase continues after every daemon knows all others; daemons still write directory entries in
+/// it.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
 /// Percentage of the daemons whose calls the directory refuses in one of the phases.
 const REFUSED_PERCENT: usize = 33;
-/// Time after the start of the first daemon for which it refuses them.
+/// Time, from the start of the first daemon, for which the directory refuses calls in the phase with refused
+/// calls.
 const REFUSED_TIME: Duration = Duration::from_secs(4);
 /// Time within which every daemon is notified that the directory's store was restored.
 const RESTORE_NOTICE_TIME: Duration = Duration::from_millis(500);
-/// Age of a listing that may be stale, in most phases.
+/// Age of the directory listings for which the caller accepts stale data, in most phases.
 const STALENESS: Duration = Duration::from_millis(500);
-/// Age of a listing that may be stale, in the phase with a lagging store.
+/// Age of the directory listings for which the caller accepts stale data, in the phase with a lagging store.
 const LONG_STALENESS: Duration = Duration::from_secs(3);
 
 /// Measurements of one phase.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PhaseMeasurements {
-    /// Name of the phase. "End of all" in it means that all daemons terminate at the same time and are
+    /// Name of the phase. "end of all" means that all daemons are terminated at the same time and
     /// restarted.
     pub phase: &'static str,
-    /// Cost of the calls to the directory, per daemon.
+    /// Cost of the calls to the platform's directory in the phase, per daemon: 1 for a write or a page of
+    /// a listing, 0.1 for a page of a listing that may be stale.
     pub calls_per_daemon: f64,
-    /// Number of entries written.
+    /// Number of writes to entries of the platform's directory in the phase, by all daemons.
     pub writes: u64,
-    /// Number of entries at the end of the phase.
+    /// Number of entries in the platform's directory at the end of the phase.
     pub entries: usize,
     /// Time from the start of the daemons until every daemon knows all others, in milliseconds; `None` if
     /// that was not reached in the phase.
@@ -57,7 +60,8 @@
 /// Measurements of one strategy of keeping the directory.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StrategyMeasurements {
-    /// Name of the strategy: an entry for each daemon, or a bounded number of entries.
+    /// Name of the strategy: the platform's directory has an entry for each daemon, or a bounded number of
+    /// entries.
     #[serde(rename = "way")]
     pub strategy: &'static str,
     /// Measurements of the phases, in order.
@@ -167,7 +171,7 @@
     })
 }
 
-/// Terminates all daemons at the same time and restarts them; `change` changes the directory before.
+/// Applies `change` to the directory, then terminates all daemons at the same time and restarts them.
 fn restart_all(
     simulation: &mut ControlSimulation,
     phase: &'static str,
--- a/crates/emulator/src/experiment/surge/arguments.rs
+++ b/crates/emulator/src/experiment/surge/arguments.rs
@@ -8,7 +8,7 @@
 
 use crate::arguments::{ArgumentError, Command, invalid, read, text, unknown_option, value};
 use crate::scenario::Scenario;
-use crate::simulator::call_path::policy::{Policy, RankMode};
+use crate::simulator::call_path::policy::{Policy, RankSource};
 use crate::simulator::call_path::settings::{RunSettings, SlowService};
 
 /// The usage text.
@@ -151,7 +151,7 @@
             mechanisms.admission.discipline = parse_choice(parser, "discipline", &DISCIPLINES)?;
         }
         "rank" => mechanisms.rank = parse_choice(parser, "rank", &RANKS)?,
-        "no-folding" => mechanisms.folding = false,
+        "no-folding" => mechanisms.propagate_levels = false,
         "no-reserve" => mechanisms.admission.reserve = false,
         "no-level" => mechanisms.admission.adaptive_level = false,
         "reported-slots" => {
@@ -185,11 +185,11 @@
     ],
     allowed: "priority, fifo, lifo",
 };
-const RANKS: Choices<RankMode> = Choices {
+const RANKS: Choices<RankSource> = Choices {
     values: &[
-        ("origin", RankMode::Origin),
-        ("per-hop", RankMode::PerHop),
-        ("constant", RankMode::Constant),
+        ("origin", RankSource::Origin),
+        ("per-hop", RankSource::PerHop),
+        ("constant", RankSource::Constant),
     ],
     allowed: "origin, per-hop, constant",
 };
--- a/crates/emulator/src/experiment/surge/measure.rs
+++ b/crates/emulator/src/experiment/surge/measure.rs
@@ -1,4 +1,4 @@
-//! Measurements of a run: goodput relative to the oracle, recovery, wasted work and broken promises.
+//! Measurements of a run: goodput relative to the oracle, recovery, wasted work and violated guarantees.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 /// would decide whether goodput has recovered.
 const ARRIVALS_IN_WINDOW: f64 = 300.0;
 /// Shortest smoothing window.
-const SHORTEST_WINDOW: Duration = Duration::from_millis(250);
+const MIN_WINDOW: Duration = Duration::from_millis(250);
 /// Longest smoothing window.
-const LONGEST_WINDOW: Duration = Duration::from_secs(2);
+const MAX_WINDOW: Duration = Duration::from_secs(2);
 /// Share of the goodput per arrival before the surge that counts as recovered.
 const RECOVERED_SHARE: f64 = 0.98;
 
@@ -63,7 +63,8 @@
     /// counts at most as much as the oracle serves of it: a less important kind can't compensate for a more
     /// important one.
     pub goodput_ratio: f64,
-    /// Goodput relative to the oracle without that bound.
+    /// Complete responses in time during the surge, over all kinds, relative to the oracle's, without a bound
+    /// by kind: more goodput of one kind can compensate for less of another.
     pub uncapped_goodput_ratio: f64,
     /// Recovery time of all kinds together, in seconds; `None` if goodput does not recover.
     pub recovery_seconds: Option<f64>,
@@ -95,10 +96,10 @@
 }
 
 impl PolicyMeasurements {
-    /// Returns the number of broken promises over all kinds: priority inversions, requests that ran although
-    /// reported as not run, duplicate effects and responses delivered to the wrong request.
+    /// Returns the number of violations of a guarantee over all kinds: priority inversions, requests that ran
+    /// although reported as not run, duplicate effects and responses delivered to the wrong request.
     #[must_use]
-    pub fn broken_promises(&self) -> u64 {
+    pub fn violations(&self) -> u64 {
         self.kinds
             .iter()
             .map(|kind| {
@@ -168,7 +169,7 @@
         priority_inversions: counters.priority_inversions,
         not_run_but_ran: counters.not_run_but_ran,
         duplicate_effects: duplicates(&record.sessions, kind),
-        mixed_answers: counters.mixed_answers,
+        mixed_answers: counters.misdelivered_responses,
     }
 }
 
@@ -264,8 +265,9 @@
 /// Returns the time from the end of the surge, in seconds, after which every window of arrivals has at
 /// least 98% of the goodput before the surge; `None` if the last window does not.
 ///
-/// Goodput is measured per arrival, which removes the influence of random variation of the arrivals, and
-/// over windows that extend forward from each bin, which keeps the smoothing from lengthening the time.
+/// Goodput is measured per arrival, so random variation of the number of arrivals has no influence. The
+/// window of a bin starts at that bin and contains only later ones: a trailing window would still contain
+/// bins from before the recovery and would report the recovery too late.
 fn recovery(
     settings: &RunSettings,
     sessions: &[SessionRecord],
@@ -293,8 +295,8 @@
 /// Returns the length of a smoothing window, in bins, for this number of arrivals per second.
 fn window_bins(rate: f64) -> usize {
     let wanted = ARRIVALS_IN_WINDOW / rate.max(f64::MIN_POSITIVE);
-    let shortest = SHORTEST_WINDOW.as_secs_f64();
-    let longest = LONGEST_WINDOW.as_secs_f64();
+    let shortest = MIN_WINDOW.as_secs_f64();
+    let longest = MAX_WINDOW.as_secs_f64();
     (wanted.clamp(shortest, longest) / BIN_WIDTH.as_secs_f64()).ceil() as usize
 }
 
--- a/crates/emulator/src/experiment/surge/oracle.rs
+++ b/crates/emulator/src/experiment/surge/oracle.rs
@@ -22,7 +22,8 @@
 /// Number of complete responses of each kind during the surge, according to the oracle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OracleGoodput {
-    /// Complete responses by request kind.
+    /// Upper bound of the number of complete responses during the surge, by index of the request kind.
+    /// Fractional because it is computed, not simulated.
     pub completed: Vec<f64>,
 }
 
--- a/crates/emulator/src/experiment/surge/sweep.rs
+++ b/crates/emulator/src/experiment/surge/sweep.rs
@@ -1,4 +1,4 @@
-//! Many runs with consecutive seeds, in parallel: which promises are broken, and how often.
+//! Many runs with consecutive seeds, in parallel: which guarantees are violated, and how often.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -18,9 +18,10 @@
     pub policy: String,
     /// Number of runs.
     pub runs: u64,
-    /// Number of runs in which at least one promise was broken.
+    /// Number of runs with at least one violation of a guarantee: a priority inversion, a request that ran
+    /// although it was reported as not run, a duplicate effect or a response delivered to the wrong request.
     pub runs_with_broken_promises: u64,
-    /// Seeds of the first few of these runs.
+    /// Lowest seeds of the runs with a violation of a guarantee, at most 8.
     pub seeds: Vec<u64>,
     /// Largest number of retries for one originating request.
     pub retries_max: u32,
@@ -33,9 +34,9 @@
     pub duplicate_effects: u64,
     /// Responses that were delivered to a request other than their own.
     pub mixed_answers: u64,
-    /// Lowest goodput of a run, relative to the oracle.
+    /// Lowest goodput of a run, as a fraction of the oracle's.
     pub goodput_ratio_min: f64,
-    /// Mean goodput of the runs, relative to the oracle.
+    /// Mean goodput of the runs, as a fraction of the oracle's.
     pub goodput_ratio_mean: f64,
     /// Longest recovery time of a run, in seconds; `None` if a run did not recover.
     pub recovery_seconds_max: Option<f64>,
@@ -95,7 +96,7 @@
         ..SweepReport::default()
     };
     for (seed, measure) in measures {
-        if measure.broken_promises() > 0 {
+        if measure.violations() > 0 {
             report.runs_with_broken_promises += 1;
             report.seeds.push(*seed);
         }
--- a/crates/emulator/src/latency/processes.rs
+++ b/crates/emulator/src/latency/processes.rs
@@ -6,10 +6,10 @@
 /// Sums over all threads of a set of processes, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct SchedulerTimes {
-    /// Time on a processor.
-    pub(super) running: u64,
-    /// Time spent runnable, waiting for a processor.
-    pub(super) waiting: u64,
+    /// Time on a processor, in nanoseconds.
+    pub(super) running_ns: u64,
+    /// Time spent runnable, waiting for a processor, in nanoseconds.
+    pub(super) waiting_ns: u64,
 }
 
 impl SchedulerTimes {
@@ -32,15 +32,15 @@
     /// Returns the difference from an earlier reading.
     pub(super) const fn since(self, earlier: Self) -> Self {
         Self {
-            running: self.running.saturating_sub(earlier.running),
-            waiting: self.waiting.saturating_sub(earlier.waiting),
+            running_ns: self.running_ns.saturating_sub(earlier.running_ns),
+            waiting_ns: self.waiting_ns.saturating_sub(earlier.waiting_ns),
         }
     }
 
     /// Adds the contents of one thread's `schedstat`: time running, time waiting, number of time slices.
     fn add(&mut self, line: &str) {
         let mut fields = line.split_whitespace().map_while(|text| text.parse().ok());
-        self.running += fields.next().unwrap_or(0_u64);
-        self.waiting += fields.next().unwrap_or(0);
+        self.running_ns += fields.next().unwrap_or(0_u64);
+        self.waiting_ns += fields.next().unwrap_or(0);
     }
 }
--- a/crates/emulator/src/latency/report.rs
+++ b/crates/emulator/src/latency/report.rs
@@ -13,11 +13,11 @@
 /// Latency percentiles, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// Median.
+    /// Median, in milliseconds.
     pub p50: f64,
-    /// 99th percentile.
+    /// 99th percentile, in milliseconds.
     pub p99: f64,
-    /// 99.9th percentile.
+    /// 99.9th percentile, in milliseconds.
     pub p999: f64,
 }
 
@@ -106,9 +106,10 @@
 /// milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DaemonTimes {
-    /// Time on a processor.
+    /// Time that the daemons' threads ran on a processor, per call, in milliseconds.
     pub running_ms: f64,
-    /// Time spent runnable, waiting for a processor; grows with other load on the machine.
+    /// Time that the daemons' threads were runnable and waited for a processor, per call, in milliseconds;
+    /// grows with other load on the machine.
     pub waiting_ms: f64,
 }
 
@@ -116,8 +117,8 @@
     pub(super) fn per_call(times: SchedulerTimes, calls: u64) -> Self {
         let per_call = |nanos: u64| nanos as f64 / NANOS_PER_MILLI / calls.max(1) as f64;
         Self {
-            running_ms: per_call(times.running),
-            waiting_ms: per_call(times.waiting),
+            running_ms: per_call(times.running_ns),
+            waiting_ms: per_call(times.waiting_ns),
         }
     }
 }
--- a/crates/emulator/src/load/audit.rs
+++ b/crates/emulator/src/load/audit.rs
@@ -31,8 +31,8 @@
 /// An error that prevented the execution log of a backend from being read.
 #[derive(Clone, Debug, DisplayDoc, PartialEq, Eq)]
 pub enum FetchError {
-    /// backend {0}: {1}
-    Connect(SocketAddr, String),
+    /// backend {0}: can't read the execution log: {1}
+    ReadFailed(SocketAddr, String),
     /// backend {0}: malformed execution log: {1}
     Malformed(SocketAddr, String),
 }
@@ -65,12 +65,13 @@
     pub after_drain: u64,
 }
 
-/// A broken promise: a guarantee of the system that the audit found violated.
+/// A guarantee of the system that the audit found violated, with the number of violations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct BrokenPromise {
-    /// Name of the field of [`Audit`] that shows it.
+pub struct Violation {
+    /// Name of the guarantee: that of the field of [`Audit`] that counts its violations.
     pub promise: &'static str,
-    /// Value of that field.
+    /// Number of violations; for `retries_max`, the largest number of retries that one attempt of a
+    /// caller caused.
     pub count: u64,
 }
 
@@ -87,22 +88,22 @@
             lost: attempt_records()
                 .filter(|record| is_lost(&record.attempt))
                 .count() as u64,
-            answers_without_execution: entries.answers_without_execution(load),
+            answers_without_execution: entries.responses_without_execution(load),
             not_run_but_ran: attempt_records()
                 .filter(|record| entries.executed_despite_not_run(record))
                 .count() as u64,
             duplicate_effects: entries.duplicate_effects(),
-            wrong_answers: load.wrong_answers() + wrong_outbound.count() as u64,
+            wrong_answers: load.invalid_responses() + wrong_outbound.count() as u64,
             retries_max: retries_max(records),
             wasted_work_ratio: wasted_work(load, records),
             after_drain: records.iter().map(|r| r.unexecuted.after_drain).sum(),
         }
     }
 
-    /// Returns the broken promises. `retry_bound` is the configured maximum number of retries per
+    /// Returns the violated guarantees. `retry_bound` is the configured maximum number of retries per
     /// originating request; without it retries are not checked.
     #[must_use]
-    pub fn broken_promises(&self, retry_bound: Option<u64>) -> Vec<BrokenPromise> {
+    pub fn violations(&self, retry_bound: Option<u64>) -> Vec<Violation> {
         let over_bound = retry_bound.is_some_and(|bound| self.retries_max > bound);
         let retries = if over_bound { self.retries_max } else { 0 };
         let counts = [
@@ -113,9 +114,9 @@
             ("wrong_answers", self.wrong_answers),
             ("retries_max", retries),
         ];
-        let broken = counts.into_iter().filter(|(_, count)| *count > 0);
-        broken
-            .map(|(promise, count)| BrokenPromise { promise, count })
+        let violated = counts.into_iter().filter(|(_, count)| *count > 0);
+        violated
+            .map(|(promise, count)| Violation { promise, count })
             .collect()
     }
 }
@@ -153,9 +154,11 @@
 struct EntryExecutions<'a> {
     /// Ids of the executed calls, including executions that did not complete.
     calls: HashSet<&'a str>,
-    /// Number of completed executions per token.
+    /// Number of completed executions by request token, the id that the caller chose for the originating
+    /// request.
     completed: HashMap<&'a str, u64>,
-    /// The same for non-repeatable requests only.
+    /// Number of completed executions of non-repeatable requests, by request token. More than one means a
+    /// duplicate effect.
     effects: HashMap<&'a str, u64>,
 }
 
@@ -200,7 +203,7 @@
         self.effects.values().filter(|count| **count > 1).count() as u64
     }
 
-    fn answers_without_execution(&self, load: &LoadReport) -> u64 {
+    fn responses_without_execution(&self, load: &LoadReport) -> u64 {
         let answered = load
             .attempt_records
             .iter()
@@ -275,7 +278,7 @@
 }
 
 async fn fetch_one(backend: SocketAddr) -> Result<ExecutionReport, FetchError> {
-    let failed = |error: &dyn Display| FetchError::Connect(backend, error.to_string());
+    let failed = |error: &dyn Display| FetchError::ReadFailed(backend, error.to_string());
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     let uri: Uri = format!("http://{backend}/wharfquay/executions")
         .parse()
--- a/crates/emulator/src/load/report.rs
+++ b/crates/emulator/src/load/report.rs
@@ -17,15 +17,15 @@
 /// Latency percentiles of complete responses in time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Latencies {
-    /// Median.
+    /// Median, in milliseconds.
     pub p50: f64,
-    /// 90th percentile.
+    /// 90th percentile, in milliseconds.
     pub p90: f64,
-    /// 99th percentile.
+    /// 99th percentile, in milliseconds.
     pub p99: f64,
-    /// 99.9th percentile.
+    /// 99.9th percentile, in milliseconds.
     pub p999: f64,
-    /// Maximum.
+    /// Maximum, in milliseconds.
     pub max: f64,
 }
 
@@ -46,12 +46,16 @@
 /// request arrived in the phase or the load has no such phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PhaseRatios {
-    /// Second half of the time before the surge; in the first half connections are opened and
-    /// backends warm up. Without a surge, the whole load.
+    /// Share, 0 to 1, of the requests that arrived in the second half of the time before the surge and
+    /// got a complete response in time. The first half is left out, as connections are opened and
+    /// backends warm up in it. Without a surge, the share over the whole load. Absent if no
+    /// request arrived.
     pub before: Option<f64>,
-    /// During the surge.
+    /// Share, 0 to 1, of the requests that arrived during the surge and got a complete response in time.
+    /// Absent without a surge or if no request arrived in the phase.
     pub surge: Option<f64>,
-    /// After the surge.
+    /// Share, 0 to 1, of the requests that arrived after the surge and got a complete response in time.
+    /// Absent without a surge or if no request arrived in the phase.
     pub after: Option<f64>,
 }
 
@@ -64,7 +68,7 @@
     pub priority: u8,
     /// Originating requests sent.
     pub sent: u64,
-    /// Attempts that callers made for them.
+    /// Attempts that callers made for the originating requests of this kind.
     pub attempts: u64,
     /// Requests with a complete response in time.
     pub whole: u64,
@@ -95,9 +99,9 @@
     pub latency_ms: Latencies,
     /// Complete responses in time per second.
     pub goodput_per_second: f64,
-    /// Share of the originating requests with a complete response in time.
+    /// Share, 0 to 1, of the originating requests with a complete response in time.
     pub goodput_ratio: f64,
-    /// The same ratio by phase of the load.
+    /// Share of the requests with a complete response in time, by phase of the load.
     pub phase_ratios: PhaseRatios,
     /// Time from the end of the surge until goodput has recovered, in seconds; absent without a surge
     /// or if goodput did not recover.
@@ -117,7 +121,7 @@
     pub kinds: Vec<KindReport>,
     /// Complete responses in time per second.
     pub goodput_per_second: f64,
-    /// Share of all originating requests with a complete response in time.
+    /// Share, 0 to 1, of all originating requests with a complete response in time.
     pub goodput_ratio: f64,
     /// Time from the end of the surge until the goodput of all kinds together has recovered, in
     /// seconds; absent without a surge or if goodput did not recover.
@@ -169,7 +173,7 @@
 
     /// Returns the number of responses that belong to another request or are truncated or altered.
     #[must_use]
-    pub fn wrong_answers(&self) -> u64 {
+    pub fn invalid_responses(&self) -> u64 {
         let kinds = self.kinds.iter();
         kinds
             .map(|kind| kind.mixed_up + kind.truncated + kind.altered)
@@ -193,7 +197,7 @@
         refused: tally.refused,
         unknown: tally.unknown,
         failed: tally.failed,
-        mixed_up: tally.mixed_up,
+        mixed_up: tally.misdelivered,
         truncated: tally.truncated,
         altered: tally.altered,
         without_retry_after: tally.without_retry_after,
--- a/crates/emulator/src/load/run.rs
+++ b/crates/emulator/src/load/run.rs
@@ -52,7 +52,7 @@
     pub refused: u64,
     /// Requests that were late, failed or have an unknown outcome.
     pub other: u64,
-    /// Originating requests that are completed, with any outcome.
+    /// Originating requests that are no longer in flight, with any outcome.
     pub completed: u64,
 }
 
--- a/crates/emulator/src/load/tally.rs
+++ b/crates/emulator/src/load/tally.rs
@@ -55,7 +55,7 @@
     pub(super) refused: u64,
     pub(super) unknown: u64,
     pub(super) failed: u64,
-    pub(super) mixed_up: u64,
+    pub(super) misdelivered: u64,
     pub(super) truncated: u64,
     pub(super) altered: u64,
     pub(super) without_retry_after: u64,
@@ -74,7 +74,7 @@
             refused: 0,
             unknown: 0,
             failed: 0,
-            mixed_up: 0,
+            misdelivered: 0,
             truncated: 0,
             altered: 0,
             without_retry_after: 0,
@@ -102,7 +102,7 @@
 
     fn count_wrong(&mut self, attempt: &Attempt) {
         match attempt.outcome {
-            AttemptOutcome::InvalidBody(BodyError::OtherRequest) => self.mixed_up += 1,
+            AttemptOutcome::InvalidBody(BodyError::OtherRequest) => self.misdelivered += 1,
             AttemptOutcome::InvalidBody(BodyError::Truncated) => self.truncated += 1,
             AttemptOutcome::InvalidBody(BodyError::Altered) => self.altered += 1,
             _ => {}
--- a/crates/emulator/src/platform/api.rs
+++ b/crates/emulator/src/platform/api.rs
@@ -226,7 +226,7 @@
 }
 
 fn list(store: &Store, name: KeyspaceName) -> ApiResponse {
-    ApiResponse::json(StatusCode::OK, &store.readable(name).list())
+    ApiResponse::json(StatusCode::OK, &store.keyspace_for_reads(name).list())
 }
 
 fn get(
@@ -235,7 +235,7 @@
     request: &ApiRequest,
 ) -> Result<ApiResponse, ApiResponse> {
     let key = request.path.key();
-    let keyspace = store.readable(name);
+    let keyspace = store.keyspace_for_reads(name);
     let Some(object) = keyspace.get(&key) else {
         let error = format!("{key} doesn't exist");
         return Err(ApiResponse::failure(StatusCode::NOT_FOUND, error));
--- a/crates/emulator/src/platform/store.rs
+++ b/crates/emulator/src/platform/store.rs
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Returns the keyspace from which reads are served: with the fault `serve_older_version` an older
-    /// version of the configuration objects.
+    /// Returns the keyspace as reads see it. With the fault `serve_older_version`, the configuration
+    /// objects have their state at that older version.
     #[must_use]
-    pub fn readable(&self, name: KeyspaceName) -> Cow<'_, Keyspace> {
+    pub fn keyspace_for_reads(&self, name: KeyspaceName) -> Cow<'_, Keyspace> {
         match (name, self.faults.serve_older_version) {
             (KeyspaceName::Status, _) => Cow::Borrowed(&self.status),
             (KeyspaceName::Objects, None) => Cow::Borrowed(&self.objects),
--- a/crates/emulator/src/platform/watch.rs
+++ b/crates/emulator/src/platform/watch.rs
@@ -84,7 +84,7 @@
     if store.faults.hang {
         return Ok(Batch::SendNothing);
     }
-    let keyspace = store.readable(KeyspaceName::Objects);
+    let keyspace = store.keyspace_for_reads(KeyspaceName::Objects);
     let mut events = keyspace.events_after(reached, BATCH_EVENTS)?;
     let more = events.len() == BATCH_EVENTS;
     if !more {
--- a/crates/emulator/src/simulator/call_path/backend.rs
+++ b/crates/emulator/src/simulator/call_path/backend.rs
@@ -11,9 +11,9 @@
 /// State of a backend.
 #[derive(Debug)]
 pub(super) struct Backend {
-    /// Number of requests that it executes concurrently.
+    /// Number of requests that the backend executes concurrently.
     slots: u32,
-    /// Number of connections that it accepts.
+    /// Number of connections that the backend accepts.
     connections: u32,
     cold_start: Duration,
     busy_slots: u32,
--- a/crates/emulator/src/simulator/call_path/call.rs
+++ b/crates/emulator/src/simulator/call_path/call.rs
@@ -54,7 +54,7 @@
     /// The service that refused.
     pub(super) service: usize,
     /// Time at which the refused attempt was sent; the time of the refusal if none was.
-    pub(super) since: Timestamp,
+    pub(super) sent: Timestamp,
     /// Time of the refusal.
     pub(super) at: Timestamp,
 }
@@ -99,7 +99,8 @@
     Running,
 }
 
-/// An attempt as its receiver sees it: its position at the daemon and the backend.
+/// An attempt at its receiver, from the time at which it is sent until the backend has responded: first in
+/// transit, then in the daemon's queue, then executed by the backend.
 #[derive(Debug)]
 pub(super) struct Execution {
     pub(super) request: RequestId,
@@ -110,8 +111,9 @@
     pub(super) node: usize,
     pub(super) service: usize,
     pub(super) stage: Stage,
-    /// Time at which the attempt arrived at the daemon; the time of sending before that.
-    pub(super) offered: Timestamp,
+    /// Time at which the attempt arrived at the daemon; while it is in transit, the time at which it was
+    /// sent.
+    pub(super) arrived_at: Timestamp,
     /// Retry allowance for the downstream calls.
     pub(super) ledger: Ledger,
     /// Incarnation of the backend when the attempt arrived.
--- a/crates/emulator/src/simulator/call_path/engine/caller.rs
+++ b/crates/emulator/src/simulator/call_path/engine/caller.rs
@@ -11,7 +11,7 @@
 use super::outgoing::CallResult;
 use crate::simulator::call_path::call::{Request, RequestId};
 use crate::simulator::call_path::event::Event;
-use crate::simulator::call_path::policy::RankMode;
+use crate::simulator::call_path::policy::RankSource;
 
 /// Largest number of retries for one originating request, over all hops of its call tree.
 const RETRIES_PER_REQUEST: u16 = 3;
@@ -60,9 +60,9 @@
     pub(super) fn admission_key(&self, request: &Request, service: usize) -> AdmissionKey {
         let priority = request.key.priority();
         match self.settings.mechanisms.rank {
-            RankMode::Origin => request.key,
-            RankMode::Constant => AdmissionKey::new(priority, Rank::from_number(0)),
-            RankMode::PerHop => {
+            RankSource::Origin => request.key,
+            RankSource::Constant => AdmissionKey::new(priority, Rank::from_number(0)),
+            RankSource::PerHop => {
                 let mixed = splitmix64(request.origin ^ (service as u64 + 1).rotate_left(40));
                 AdmissionKey::new(priority, Rank::of(origin_id(mixed)))
             }
@@ -149,7 +149,7 @@
         if let Some(last_refusal) = last_refusal
             && request.key.priority().number() == 0
         {
-            let since = last_refusal.since.min(last_refusal.at - INVERSION_INTERVAL);
+            let since = last_refusal.sent.min(last_refusal.at - INVERSION_INTERVAL);
             let less_important = &self.last_dispatch[last_refusal.service][1..];
             let inverted = less_important
                 .iter()
--- a/crates/emulator/src/simulator/call_path/engine/inbound.rs
+++ b/crates/emulator/src/simulator/call_path/engine/inbound.rs
@@ -30,7 +30,7 @@
         let incarnation = self.backend(node).incarnation;
         if let Some(execution) = self.executions.get_mut(id) {
             execution.incarnation = incarnation;
-            execution.offered = self.now;
+            execution.arrived_at = self.now;
             execution.stage = Stage::Queued;
         }
         if self.refuse_for_downstream(id) {
@@ -52,7 +52,7 @@
     /// Refuses a call before admission if one of its downstream services would refuse it; returns true if
     /// it did.
     fn refuse_for_downstream(&mut self, id: ExecutionId) -> bool {
-        if self.is_naive() || !self.settings.mechanisms.folding {
+        if self.is_naive() || !self.settings.mechanisms.propagate_levels {
             return false;
         }
         let Some(execution) = self.executions.get(id) else {
@@ -144,12 +144,12 @@
         };
         execution.stage = Stage::Dispatched;
         let (node, service) = (execution.node, execution.service);
-        let (offered, request) = (execution.offered, execution.request);
+        let (arrived_at, request) = (execution.arrived_at, execution.request);
         if let Some(request) = self.requests.get(request) {
             let priority = request.key.priority().index();
             self.last_dispatch[service][priority] = Some(self.now);
         }
-        let waited = self.now.saturating_since(offered);
+        let waited = self.now.saturating_since(arrived_at);
         if let Some(record) = self.service_record(service, request) {
             record.dispatched += 1;
             record.waited += waited;
@@ -217,7 +217,7 @@
         let calls = kind.steps[execution.service]
             .iter()
             .flat_map(|step| &step.calls);
-        let folded = calls
+        let path_level = calls
             .map(|&callee| {
                 let service = &self.layout.services[callee].name;
                 node.levels.level(self.now, service, &kind.name)
@@ -226,7 +226,7 @@
         Some(Metadata {
             returned,
             level,
-            folded,
+            path_level,
             load,
         })
     }
--- a/crates/emulator/src/simulator/call_path/engine/outgoing.rs
+++ b/crates/emulator/src/simulator/call_path/engine/outgoing.rs
@@ -81,7 +81,7 @@
 
     /// Returns the refusal required by the admission levels received from downstream, if any.
     fn early_refusal(&self, id: OutgoingId) -> Option<CallResult> {
-        if self.is_naive() || !self.settings.mechanisms.folding {
+        if self.is_naive() || !self.settings.mechanisms.propagate_levels {
             return None;
         }
         let outgoing = self.outgoing.get(id)?;
@@ -148,7 +148,7 @@
             node,
             service,
             stage: Stage::InTransit,
-            offered: self.now,
+            arrived_at: self.now,
             ledger: Ledger::new(grant.allowance()),
             incarnation: 0,
             work_started: self.now,
@@ -217,9 +217,9 @@
         Some(self.layout.node_of(*backend))
     }
 
-    /// Applies `operation` to the ledger that pays for a call's retries: that of the parent execution, or the
-    /// request's at the edge.
-    pub(super) fn with_ledger<T>(
+    /// Applies `operation` to the ledger from which the retries of a call are taken: that of the parent
+    /// execution or, at an edge, that of the request. If neither exists any more, it is an empty ledger.
+    pub(super) fn with_retry_ledger<T>(
         &mut self,
         id: OutgoingId,
         operation: impl FnOnce(&mut Ledger) -> T,
@@ -243,7 +243,7 @@
     }
 
     fn take_grant(&mut self, id: OutgoingId) -> Grant {
-        self.with_ledger(id, |ledger| ledger.grant(ALLOWANCE_PARTS))
+        self.with_retry_ledger(id, |ledger| ledger.grant(ALLOWANCE_PARTS))
     }
 
     /// Handles a response; one to an attempt that is no longer awaited is discarded.
@@ -285,7 +285,7 @@
             return;
         };
         if response.metadata.is_some() && response.origin != request.origin {
-            self.record.kinds[request.kind].mixed_answers += 1;
+            self.record.kinds[request.kind].misdelivered_responses += 1;
         }
     }
 
@@ -297,7 +297,7 @@
         response: &Response,
     ) {
         let returned = response.metadata.map(|metadata| metadata.returned);
-        self.with_ledger(id, |ledger| match returned {
+        self.with_retry_ledger(id, |ledger| match returned {
             Some(returned) => ledger.settle(attempt.grant, returned),
             None => ledger.settle_lost(attempt.grant),
         });
@@ -320,7 +320,7 @@
                 service,
                 attempt.endpoint.as_str(),
                 kind,
-                metadata.folded,
+                metadata.path_level,
             );
         }
     }
@@ -368,8 +368,9 @@
         self.drop_reference(outgoing.request);
     }
 
-    /// Records a refusal of a request if the code means a lack of capacity.
-    fn record_refusal(&mut self, id: OutgoingId, code: ResultCode, since: Timestamp) {
+    /// Records a refusal of a request if the code means a lack of capacity. `sent` is the time at which the
+    /// refused attempt was sent, or the current time if none was.
+    fn record_refusal(&mut self, id: OutgoingId, code: ResultCode, sent: Timestamp) {
         if !is_capacity_refusal(code) {
             return;
         }
@@ -379,7 +380,7 @@
         if let Some(request) = self.requests.get_mut(outgoing.request) {
             request.last_refusal = Some(CapacityRefusal {
                 service: outgoing.service,
-                since,
+                sent,
                 at: self.now,
             });
         }
--- a/crates/emulator/src/simulator/call_path/engine/retries.rs
+++ b/crates/emulator/src/simulator/call_path/engine/retries.rs
@@ -88,7 +88,7 @@
         };
         let mut budget = self.nodes[node].budgets[service].clone();
         let decision =
-            self.with_ledger(id, |ledger| authorize(&retry_request, ledger, &mut budget));
+            self.with_retry_ledger(id, |ledger| authorize(&retry_request, ledger, &mut budget));
         self.nodes[node].budgets[service] = budget;
         Some(decision)
     }
--- a/crates/emulator/src/simulator/call_path/layout.rs
+++ b/crates/emulator/src/simulator/call_path/layout.rs
@@ -54,11 +54,11 @@
 /// A backend.
 #[derive(Clone, Debug)]
 pub struct BackendLayout {
-    /// Index of its service.
+    /// Index of the service that the backend belongs to.
     pub service: usize,
-    /// Index of its zone.
+    /// Index of the zone in which the backend runs.
     pub zone: usize,
-    /// Its endpoint id for routing.
+    /// Endpoint id of the backend for routing.
     pub id: EndpointId,
 }
 
@@ -118,19 +118,19 @@
         layout
     }
 
-    /// Returns the node of the daemon of a backend.
+    /// Returns the index of the node (edges first, then daemons) whose daemon runs beside this backend.
     #[must_use]
     pub fn node_of(&self, backend: usize) -> usize {
         self.zones.len() + backend
     }
 
-    /// Returns the backend of a node's daemon; `None` for an edge.
+    /// Returns the index of the backend beside which a node's daemon runs; `None` if the node is an edge.
     #[must_use]
     pub fn backend_of(&self, node: usize) -> Option<usize> {
         node.checked_sub(self.zones.len())
     }
 
-    /// Returns the zone of a node.
+    /// Returns the index of the zone in which a node, an edge or a daemon, runs.
     #[must_use]
     pub fn zone_of(&self, node: usize) -> usize {
         self.backend_of(node)
--- a/crates/emulator/src/simulator/call_path/node.rs
+++ b/crates/emulator/src/simulator/call_path/node.rs
@@ -42,8 +42,8 @@
     pub(super) returned: RetryAllowance,
     /// Admission level of the responding daemon.
     pub(super) level: AdmissionLevel,
-    /// The responding daemon's level folded with the levels of the services that it calls.
-    pub(super) folded: AdmissionLevel,
+    /// Strictest of the responding daemon's level and the levels of the services that it calls.
+    pub(super) path_level: AdmissionLevel,
     /// Load of the responding daemon.
     pub(super) load: Load,
 }
--- a/crates/emulator/src/simulator/call_path/policy.rs
+++ b/crates/emulator/src/simulator/call_path/policy.rs
@@ -35,7 +35,7 @@
 
 /// The source of a call's rank, which orders calls of the same priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RankMode {
+pub enum RankSource {
     /// Derived from the origin id: the same at each hop.
     Origin,
     /// Drawn independently at each hop.
@@ -50,11 +50,11 @@
     /// Settings of each backend's admission controller. Its initial and maximum limit are replaced by
     /// the backend's slots and connections.
     pub admission: AdmissionSettings,
-    /// Source of the ranks.
-    pub rank: RankMode,
+    /// Source of the rank of a call, which orders calls of the same priority.
+    pub rank: RankSource,
     /// True if daemons propagate admission levels up the call path, which lets edges and calling daemons
     /// refuse early.
-    pub folding: bool,
+    pub propagate_levels: bool,
     /// Factor on the number of slots that the daemon assumes for its backend; 1 is the true number.
     pub reported_slots: f64,
 }
@@ -63,8 +63,8 @@
     fn default() -> Self {
         Self {
             admission: AdmissionSettings::default(),
-            rank: RankMode::Origin,
-            folding: true,
+            rank: RankSource::Origin,
+            propagate_levels: true,
             reported_slots: 1.0,
         }
     }
--- a/crates/emulator/src/simulator/call_path/record.rs
+++ b/crates/emulator/src/simulator/call_path/record.rs
@@ -28,9 +28,11 @@
 pub struct KindRecord {
     /// Largest number of retries that the daemons made for one originating request, over all hops.
     pub retries_max: u32,
-    /// Execution time, in slots, spent on requests whose complete response reached the caller in time.
+    /// Total time for which executions held a slot, for requests whose complete response reached the caller
+    /// in time.
     pub useful_work: Duration,
-    /// Execution time, in slots, spent on all other requests.
+    /// Total time for which executions held a slot, for requests whose complete response did not reach the
+    /// caller in time or that got none.
     pub wasted_work: Duration,
     /// Requests of priority 0 that were refused while a less important one was dispatched at the same
     /// service.
@@ -38,7 +40,7 @@
     /// Requests that were reported to the caller as not run although they ran.
     pub not_run_but_ran: u64,
     /// Responses that were delivered to a request other than their own.
-    pub mixed_answers: u64,
+    pub misdelivered_responses: u64,
     /// Requests that were reported to the caller as not run.
     pub refused: u64,
 }
--- a/crates/emulator/src/simulator/control/directory.rs
+++ b/crates/emulator/src/simulator/control/directory.rs
@@ -27,11 +27,12 @@
 #[derive(Clone, Debug)]
 pub struct Directory {
     settings: DirectorySettings,
-    /// Age of a listing that may be stale: it lacks the entries written more recently.
+    /// Age of the listings for which the caller accepts stale data: such a listing lacks the entries written
+    /// more recently.
     pub staleness: Duration,
     /// Percentage of the daemons whose calls are refused until `refused_until`.
     pub refused_percent: usize,
-    /// End of the refusals.
+    /// Time until which the directory refuses calls of `refused_percent` of the daemons.
     pub refused_until: Timestamp,
     /// True while processes that start belong to the first start of the deployment.
     pub is_first_start: bool,
--- a/crates/emulator/src/simulator/control/measure.rs
+++ b/crates/emulator/src/simulator/control/measure.rs
@@ -11,16 +11,16 @@
 use super::ControlSimulation;
 use super::daemon::Traffic;
 
-/// Median, 99th percentile and maximum.
+/// Median, 99th percentile and maximum of a set of values, in the unit of the values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Quantiles {
     /// Number of recorded values.
     pub count: u64,
-    /// Median.
+    /// Median, in the unit of the values.
     pub p50: f64,
-    /// 99th percentile.
+    /// 99th percentile, in the unit of the values.
     pub p99: f64,
-    /// Maximum.
+    /// Maximum, in the unit of the values.
     pub max: f64,
 }
 
--- a/crates/emulator/src/simulator/control/observations.rs
+++ b/crates/emulator/src/simulator/control/observations.rs
@@ -41,7 +41,8 @@
     /// Number of times that a daemon reported ready with a revision older than one that it had in force
     /// before a restart.
     pub ready_with_older: u64,
-    /// Number of declarations of death of a daemon that ran and was connected.
+    /// Number of declarations of death that were wrong: the daemon ran, and both it and the declaring daemon
+    /// were connected.
     pub false_deaths: u64,
     /// Number of all other declarations of death: the process had terminated, was frozen or cut off, or the
     /// declaring daemon was cut off.
--- a/crates/emulator/src/simulator/control/store.rs
+++ b/crates/emulator/src/simulator/control/store.rs
@@ -40,14 +40,15 @@
 }
 
 impl Store {
-    /// Creates a store at revision 1.
+    /// Creates a store at revision 1. A snapshot has the size of `resources` resources, a delta that of
+    /// `delta_bytes` bytes.
     #[must_use]
-    pub fn new(resources: usize, change_bytes: usize) -> Self {
+    pub fn new(resources: usize, delta_bytes: usize) -> Self {
         Self {
             changes: Vec::new(),
             revision: 1,
             snapshot: Payload::from(vec![0; resources * RESOURCE_BYTES]),
-            delta: Payload::from(vec![0; change_bytes]),
+            delta: Payload::from(vec![0; delta_bytes]),
             down: false,
             delay: Duration::ZERO,
             revisions_behind: 0,
--- a/crates/emulator/tests/load_report.rs
+++ b/crates/emulator/tests/load_report.rs
@@ -195,7 +195,7 @@
         let (report, _) = run_load(faults).await;
         assert!(report.sent() > 20, "{name}: {report}");
         assert_eq!(count(&report), report.sent(), "{name}: {report}");
-        assert_eq!(report.wrong_answers(), 0, "{name}: {report}");
+        assert_eq!(report.invalid_responses(), 0, "{name}: {report}");
     }
 }
 
@@ -204,7 +204,7 @@
     let scenario = scenario();
     let (report, records) = run_load(Faults::default()).await;
     let audit = Audit::new(&scenario, &report, &[records]);
-    assert_eq!(audit.broken_promises(Some(0)), [], "{audit}");
+    assert_eq!(audit.violations(Some(0)), [], "{audit}");
     let (_, records) = run_load(Faults {
         close_after: 1.0,
         ..Faults::default()
@@ -241,7 +241,7 @@
     let scenario = scenario();
     let completed = ExecutionState::Completed;
     // Every request of this load was refused, so its execution logs must be empty and each execution
-    // below breaks a promise.
+    // below violates a guarantee.
     let (refused, _) = run_load(Faults {
         refuse: 1.0,
         ..Faults::default()
@@ -283,7 +283,7 @@
             ..ExecutionReport::default()
         };
         let audit = Audit::new(&scenario, load, &[records]);
-        let broken = audit.broken_promises(Some(3));
+        let broken = audit.violations(Some(3));
         let names: Vec<_> = broken.iter().map(|broken| broken.promise).collect();
         assert_eq!(names, [promise], "{audit}");
     }
--- a/crates/emulator/tests/surge_experiment.rs
+++ b/crates/emulator/tests/surge_experiment.rs
@@ -1,4 +1,4 @@
-//! The surge experiment: determinism, goodput and recovery thresholds, and promises under faults.
+//! The surge experiment: determinism, goodput and recovery thresholds, and guarantees under faults.
 
 use std::ffi::OsString;
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// Checks that the counters of broken promises detect violations: naive retries at each hop cause them.
+/// Checks that the counters of violated guarantees detect violations: naive retries at each hop cause them.
 #[test]
 fn naive_policies_are_counted_as_breaking_promises() {
     let line = "--scenario lagos --factor 4 --policy all";
