--- a/crates/sidecar/src/confirmation.rs
+++ b/crates/sidecar/src/confirmation.rs
@@ -57,9 +57,10 @@
 #[derive(Debug)]
 pub(crate) struct Confirmation {
     clock: Clock,
-    /// Time within which a key revocation must take effect; `None` if the configuration in force
-    /// alone decides.
-    revocation_time: Option<Duration>,
+    /// Time within which a key revocation must take effect at this sidecar. Requests are refused if
+    /// the last confirmation that the configuration in force is the newest is older than
+    /// [`LEASE_SHARE`] of this time. `None` if requests are served however old it is.
+    key_revocation: Option<Duration>,
     configuration: watch::Receiver<Arc<RouteIndex>>,
     freshness: Mutex<Freshness>,
     /// Time until which replies of the platform confirm nothing.
@@ -69,22 +70,24 @@
 impl Confirmation {
     pub(crate) fn new(
         clock: Clock,
-        revocation_time: Option<Duration>,
+        key_revocation: Option<Duration>,
         configuration: watch::Receiver<Arc<RouteIndex>>,
     ) -> Arc<Self> {
         Arc::new(Self {
             clock,
-            revocation_time,
+            key_revocation,
             configuration,
             freshness: Mutex::default(),
             platform_ignored_until: Mutex::default(),
         })
     }
 
-    /// Returns the maximum duration of a watch at the platform; `None` if its replies need not
-    /// confirm the configuration.
+    /// Returns the maximum duration of a watch at the platform, which ends early enough for its
+    /// reply to renew the confirmation of the configuration; `None` if no time limit for key
+    /// revocations is set.
     pub(crate) fn watch_limit(&self) -> Option<Duration> {
-        self.revocation_time.map(|bound| bound.mul_f64(WATCH_SHARE))
+        self.key_revocation
+            .map(|key_revocation| key_revocation.mul_f64(WATCH_SHARE))
     }
 
     /// Returns the current time on the clock used for confirmations.
@@ -150,10 +153,10 @@
     }
 
     fn check(&self, share: f64) -> Result<(), Failure> {
-        let Some(bound) = self.revocation_time else {
+        let Some(key_revocation) = self.key_revocation else {
             return Ok(());
         };
-        let limit = bound.mul_f64(share);
+        let limit = key_revocation.mul_f64(share);
         match self.age() {
             Some(age) if age <= limit => Ok(()),
             _ => Err(Failure::with_retry_after(
@@ -163,28 +166,28 @@
         }
     }
 
-    fn needs_renewal(&self, bound: Duration) -> bool {
+    fn needs_renewal(&self, key_revocation: Duration) -> bool {
         let has_tenants = !self.configuration.borrow().configuration.tenants.is_empty();
-        let renew_after = bound.mul_f64(RENEW_SHARE);
+        let renew_after = key_revocation.mul_f64(RENEW_SHARE);
         has_tenants && self.age().is_none_or(|age| age > renew_after)
     }
 }
 
-/// Renews the confirmation by requests to other sidecars. Returns immediately if no revocation time
-/// is set.
+/// Renews the confirmation by requests to other sidecars. Returns immediately if no time limit for
+/// key revocations is set.
 pub(crate) async fn renew_confirmation(
     confirmation: Arc<Confirmation>,
     exchange: Arc<Exchange>,
     members: watch::Receiver<MemberTable>,
 ) {
-    let Some(bound) = confirmation.revocation_time else {
+    let Some(key_revocation) = confirmation.key_revocation else {
         return;
     };
     let mut source: Option<Peer> = None;
     loop {
         let jitter = rand::random_range(0.75..=1.25);
         tokio::time::sleep(RENEW_CHECK_INTERVAL.mul_f64(jitter)).await;
-        if !confirmation.needs_renewal(bound) {
+        if !confirmation.needs_renewal(key_revocation) {
             continue;
         }
         let before = confirmation.age();
--- a/crates/sidecar/src/control/reader.rs
+++ b/crates/sidecar/src/control/reader.rs
@@ -21,8 +21,9 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Timeout of one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Maximum duration of a watch whose replies need not confirm the configuration. The platform's
-/// history is far longer.
+/// Maximum duration of one watch for a newer configuration if no time limit for key revocations is
+/// set; with one, [`Confirmation::watch_limit`] applies. It is far shorter than the history that
+/// the platform keeps, so the next watch can continue from the last position.
 const MAX_WATCH_TIME: Duration = Duration::from_millis(3_000);
 /// Time by which the reply to a watch may exceed the requested wait.
 const WATCH_GRACE: Duration = Duration::from_millis(1_000);
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -27,23 +27,25 @@
 use crate::exchange::Exchange;
 use crate::log_event;
 use crate::platform::{DirectoryEntry, Platform};
-use crate::quota::OwnerRing;
+use crate::quota::OwnerSelector;
 use crate::settings::Settings;
 
 /// Lowest revision to which a delta applies. Each delta contains the whole configuration and
 /// therefore applies to any revision.
 const ANY_REVISION: u64 = 1;
-/// Time without a message of any other sidecar after which this one reads the platform itself.
+/// Time without a message from any other sidecar after which this one reads the platform itself.
 const ISOLATED_AFTER: Duration = Duration::from_millis(1_200);
-/// The same for a sidecar without another one in its zone: zones exchange messages once a second.
+/// Time without a message from any other sidecar after which a sidecar that is alone in its zone
+/// reads the platform itself. It is longer because zones exchange messages only once a second.
 const ISOLATED_WITHOUT_NEIGHBOURS_AFTER: Duration = Duration::from_secs(3);
 /// Uptime during which a starting sidecar may not have discovered all others yet.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// The same at the first start of the whole deployment, when the directory is still empty.
+/// Uptime during which a starting sidecar may not have discovered all others yet, at the first
+/// start of the whole deployment, when the directory is still empty.
 const FIRST_START_DISCOVERY_TIME: Duration = Duration::from_millis(2_500);
-/// Uptime during which a sidecar reads the configuration only once, at the first start of the whole
-/// deployment. Hundreds of sidecars take longer to discover each other, and their requests begin
-/// later still.
+/// Uptime up to which a sidecar reads the configuration once instead of following it, at the first
+/// start of the whole deployment. Hundreds of sidecars that start together need longer than usual
+/// to discover each other, and their requests begin later still.
 const FIRST_START_READ_ONCE_TIME: Duration = Duration::from_secs(6);
 /// Interval at which the task decides whether to read the platform.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(300);
@@ -76,7 +78,7 @@
     platform: Arc<P>,
     reader: Option<Reader>,
     confirmation: Arc<Confirmation>,
-    ring: Arc<OwnerRing>,
+    owner_selector: Arc<OwnerSelector>,
     /// Version that the platform held at the last read; zero if it held none.
     read_version: u64,
     /// True if the next configuration that is read is passed to the node as a snapshot. This is
@@ -109,7 +111,7 @@
         platform: Arc<P>,
         datagrams: (Arc<UdpSocket>, Arc<Exchange>),
         confirmation: Arc<Confirmation>,
-        ring: Arc<OwnerRing>,
+        owner_selector: Arc<OwnerSelector>,
         channels: ControlChannels,
     ) -> (Self, StreamInbox) {
         let (socket, exchange) = datagrams;
@@ -151,7 +153,7 @@
             node,
             datagrams: Datagrams::new(socket, exchange),
             confirmation,
-            ring,
+            owner_selector,
             read_version: 0,
             needs_snapshot: false,
             inbox,
@@ -208,7 +210,7 @@
             }
             TaskEvent::Stopping => self.node.leave(now, random),
             TaskEvent::Seeds(entries) => {
-                self.ring.add_directory_entries(now, &entries);
+                self.owner_selector.add_directory_entries(now, &entries);
                 self.channels.listed.send_replace(Some(entries.clone()));
                 self.set_seeds(&entries);
                 Vec::new()
@@ -442,7 +444,8 @@
     }
 }
 
-/// Returns the next event of the reader. Never completes if this sidecar does not read.
+/// Returns the next event of the configuration reader. Never completes while this sidecar does not
+/// read the configuration from the platform (`reader` is `None`).
 async fn next_reader_event(reader: &mut Option<Reader>) -> Option<ReaderEvent> {
     match reader {
         Some(reader) => reader.next().await,
--- a/crates/sidecar/src/control/transport.rs
+++ b/crates/sidecar/src/control/transport.rs
@@ -57,7 +57,8 @@
 }
 
 impl StreamInbox {
-    /// Accepts the message in a request.
+    /// Handles an HTTP request that carries a message from another sidecar: puts the message in the
+    /// inbox and responds with a status and no body.
     pub(crate) async fn serve(
         &self,
         request: Request<Incoming>,
--- a/crates/sidecar/src/dialect.rs
+++ b/crates/sidecar/src/dialect.rs
@@ -72,7 +72,7 @@
         Self { id }
     }
 
-    /// Returns the id of the request that the caller's user sent.
+    /// Returns the id of the request that the client sent, from which the call tree begins.
     #[must_use]
     pub fn root(self) -> &'id str {
         self.id
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -44,10 +44,10 @@
     /// Requests tokens of a tenant's rate limit.
     #[serde(rename = "t")]
     Tokens {
-        /// Name of the tenant.
+        /// Name of the tenant whose tokens are requested.
         #[serde(rename = "n")]
         tenant: String,
-        /// Number of tokens.
+        /// Number of requested tokens.
         #[serde(rename = "w")]
         wanted: u32,
     },
@@ -58,8 +58,9 @@
         /// The terminated instance.
         #[serde(rename = "i")]
         instance: TerminatedInstance,
-        /// Fingerprints of the requests, each with a flag that is true if it was the only suspect
-        /// in execution.
+        /// Fingerprints of the requests that the instance was executing when it terminated. The
+        /// flag is true if the request was a suspect and the instance was executing no other
+        /// suspect.
         #[serde(rename = "r")]
         requests: Vec<(RequestFingerprint, bool)>,
     },
@@ -73,7 +74,7 @@
         #[serde(rename = "d")]
         digest: u64,
     },
-    /// Query whether the departure of an instance was acknowledged before the sender's process
+    /// Queries whether the departure of an instance was acknowledged before the sender's process
     /// started.
     #[serde(rename = "d")]
     Departed {
@@ -158,7 +159,7 @@
     /// The report was recorded, or there is nothing to record.
     #[serde(rename = "n")]
     Recorded,
-    /// The quarantined requests; empty if the requester knows the same ones.
+    /// The newest quarantined requests; empty if the requester knows the same ones.
     #[serde(rename = "q")]
     Quarantined {
         /// Reports of the requests.
--- a/crates/sidecar/src/importance.rs
+++ b/crates/sidecar/src/importance.rs
@@ -17,7 +17,7 @@
 pub(crate) struct ImportanceOrder {
     /// The occurring pairs of tenant and route importance, the highest first; empty if there are no
     /// tenants.
-    steps: Vec<(u8, u8)>,
+    keys: Vec<(u8, u8)>,
 }
 
 impl ImportanceOrder {
@@ -31,23 +31,27 @@
             tenants.iter().map(|tenant| tenant.priority).collect();
         // Requests on public routes belong to no tenant.
         let of_tenants = of_tenants.into_iter().chain([None]);
-        let steps: BTreeSet<(u8, u8)> = of_tenants
-            .flat_map(|tenant| of_routes.iter().map(move |route| step(tenant, *route)))
+        let keys: BTreeSet<(u8, u8)> = of_tenants
+            .flat_map(|tenant| {
+                of_routes
+                    .iter()
+                    .map(move |route| importance_key(tenant, *route))
+            })
             .collect();
         Self {
-            steps: steps.into_iter().collect(),
+            keys: keys.into_iter().collect(),
         }
     }
 
     /// Returns the priority of a request. If more importances occur than there are priorities,
     /// adjacent ones share a priority.
     pub(crate) fn priority(&self, tenant: Option<&Tenant>, route: &Route) -> Priority {
-        let own = step(tenant.and_then(|tenant| tenant.priority), route.priority);
-        let number = match self.steps.len() {
+        let own = importance_key(tenant.and_then(|tenant| tenant.priority), route.priority);
+        let number = match self.keys.len() {
             0 => usize::from(route.priority),
-            steps => {
-                let position = self.steps.partition_point(|known| *known < own);
-                position * Priority::COUNT / steps.max(Priority::COUNT)
+            count => {
+                let position = self.keys.partition_point(|known| *known < own);
+                position * Priority::COUNT / count.max(Priority::COUNT)
             }
         };
         let number = u8::try_from(number).unwrap_or(u8::MAX);
@@ -55,8 +59,8 @@
     }
 }
 
-/// Returns the position of a request in the order. Without a tenant's importance, that of the route
-/// is used for both.
-fn step(tenant: Option<u8>, route: u8) -> (u8, u8) {
+/// Returns the sort key of a request: the importance of its tenant, then that of its route. Without
+/// the importance of a tenant, that of the route is used in both places.
+fn importance_key(tenant: Option<u8>, route: u8) -> (u8, u8) {
     (tenant.unwrap_or(route), route)
 }
--- a/crates/sidecar/src/inbound/backend.rs
+++ b/crates/sidecar/src/inbound/backend.rs
@@ -40,9 +40,9 @@
 const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 /// Time for which a backend that refused a connection receives no calls.
 const UNREACHABLE_HOLD: Duration = Duration::from_millis(100);
-/// Calls that may wait at the gate per slot.
+/// Maximum number of calls that wait for admission to the backend, per slot of the backend.
 const QUEUE_PER_SLOT: u32 = 4;
-/// Maximum wait at the gate.
+/// Maximum time for which a call waits for admission to the backend if it sets no limit itself.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(100);
 
 /// Returns the admission settings for an instance with this many slots.
@@ -185,14 +185,15 @@
     }
 
     fn matching_instance(&self, id: &InstanceId) -> Option<Arc<OpenInstance>> {
-        self.instance().filter(|instance| instance.id.may_be(id))
+        self.instance()
+            .filter(|instance| instance.id.may_be_same(id))
     }
 
     /// Starts sending work to an instance, or updates its slots if it already receives work.
     pub fn open(&self, id: &InstanceId, slots: Option<u32>) {
         let mut current = lock(&self.instance);
         if let Some(instance) = current.as_ref()
-            && instance.id.may_be(id)
+            && instance.id.may_be_same(id)
             && !instance.is_leaving()
         {
             instance.set_slots(slots.unwrap_or_default());
--- a/crates/sidecar/src/inbound/dispatch.rs
+++ b/crates/sidecar/src/inbound/dispatch.rs
@@ -29,7 +29,8 @@
 /// Maximum number of times that a call is sent again after the backend refused it without executing
 /// it.
 const MAX_RESENDS: u32 = 8;
-/// Backoff before these sends. It is short because the call occupies its slot meanwhile.
+/// Backoff before a call is sent again after the backend refused it. It is short because the call
+/// occupies its slot at the backend during the backoff.
 const SEND_BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(1),
     maximum: Duration::from_millis(20),
@@ -44,13 +45,14 @@
     pub(super) context: &'call CallContext,
     pub(super) request_id: &'call str,
     pub(super) head: &'call RequestHead,
-    /// True if the call is a suspect that is executed without other suspects beside it.
+    /// True if the call is a suspect, which the backend executes while it executes no other
+    /// suspect.
     pub(super) is_isolated: bool,
 }
 
 impl AdmittedCall<'_> {
     /// Returns the call as a request in execution; `None` if its first hop sent no fingerprint.
-    fn running(&self) -> Option<ExecutingRequest> {
+    fn executing_request(&self) -> Option<ExecutingRequest> {
         let fingerprint = self.context.fingerprint?;
         Some(ExecutingRequest {
             fingerprint,
@@ -68,7 +70,7 @@
 
 impl LocalExecutor {
     /// Sends the call to the backend and reads the response. Sends it again if the backend refused
-    /// it without executing it and the bound on repeats leaves room.
+    /// it without executing it and the limit on repeats leaves room.
     pub(super) async fn dispatch(
         &self,
         instance: &OpenInstance,
@@ -119,8 +121,10 @@
         call: &AdmittedCall<'_>,
         body: RequestBody,
     ) -> Result<BackendResponse, Failure> {
-        let mut running = None;
-        let sent = self.send_once(instance, call, body, &mut running).await;
+        let mut in_execution = None;
+        let sent = self
+            .send_to_instance(instance, call, body, &mut in_execution)
+            .await;
         match &sent {
             // A server error does not clear a suspect: it may precede the termination that the
             // request causes.
@@ -145,24 +149,26 @@
         match instance.termination.probe().await {
             ProbeResult::Alive => false,
             ProbeResult::Terminated => true,
-            ProbeResult::NewlyTerminated(running) => {
+            ProbeResult::NewlyTerminated(executing) => {
                 instance.connect_failed(self.clock.now());
-                self.metrics.record_instance_termination();
-                log_termination(instance, &running);
+                self.metrics.count_unannounced_termination();
+                log_termination(instance, &executing);
                 self.quarantine
-                    .record_instance_termination(&instance.id, &running);
+                    .record_instance_termination(&instance.id, &executing);
                 true
             }
         }
     }
 
-    /// Sends the call once. `running` holds its guard among the requests in execution.
-    async fn send_once(
+    /// Sends the call to the instance. Tries another connection only while the call was certainly
+    /// not sent. While the instance may be executing the call, `in_execution` holds the guard that
+    /// lists it among the requests in execution; dropping the guard removes it.
+    async fn send_to_instance(
         &self,
         instance: &OpenInstance,
         call: &AdmittedCall<'_>,
         body: RequestBody,
-        running: &mut Option<InExecutionGuard>,
+        in_execution: &mut Option<InExecutionGuard>,
     ) -> Result<BackendResponse, Failure> {
         let mut request = call.head.to_request(body);
         self.set_target_instance(instance, request.headers_mut());
@@ -170,14 +176,14 @@
             let mut lease = self.checkout(instance).await?;
             let remaining = call.context.remaining(self.clock.now());
             self.dialect.set_deadline(request.headers_mut(), remaining);
-            *running = call
-                .running()
+            *in_execution = call
+                .executing_request()
                 .map(|request| instance.termination.begin(request));
             match lease.send(request).await {
                 Ok(response) => return self.read(instance, call, response, lease).await,
                 Err(SendError::Failed(error)) => return Err(Failure::new(result_code(error))),
                 Err(SendError::NotSent(unsent)) => {
-                    *running = None;
+                    *in_execution = None;
                     request = unsent;
                 }
             }
@@ -239,8 +245,8 @@
 }
 
 /// Logs that an instance terminated.
-fn log_termination(instance: &OpenInstance, running: &[ExecutingRequest]) {
-    let logged = running.iter().take(MAX_LOGGED_REQUESTS);
+fn log_termination(instance: &OpenInstance, executing: &[ExecutingRequest]) {
+    let logged = executing.iter().take(MAX_LOGGED_REQUESTS);
     let logged: Vec<String> = logged
         .map(|request| request.fingerprint.to_string())
         .collect();
@@ -248,7 +254,7 @@
         Event::InstanceEnded,
         "instance={} in_execution={} requests={}",
         instance.id,
-        running.len(),
+        executing.len(),
         logged.join(","),
     );
 }
--- a/crates/sidecar/src/inbound/execution.rs
+++ b/crates/sidecar/src/inbound/execution.rs
@@ -33,9 +33,9 @@
 
 /// Depth of a request at the backend that its client sent it to.
 const CLIENT_REQUEST_DEPTH: u8 = 1;
-/// Maximum wait at the gate. A longer one for calls on behalf of requests in execution brought no
-/// benefit (docs/design/decisions.md).
-const MAX_GATE_WAIT: Duration = Duration::from_millis(100);
+/// Maximum time for which a call may wait for admission to the backend. A longer one for calls on
+/// behalf of requests in execution brought no benefit (docs/design/decisions.md).
+const MAX_ADMISSION_WAIT: Duration = Duration::from_millis(100);
 /// Retry-After of a refusal because no instance can take work.
 pub(super) const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
@@ -126,8 +126,8 @@
         report: &mut CallReport,
     ) -> (Result<Response<ResponseBody>, Failure>, RetryAllowance) {
         let allowance = context.allowance;
-        let turn = match self.quarantine.wait_for_turn(&context).await {
-            Ok(turn) => turn,
+        let suspect_permit = match self.quarantine.wait_for_permit(&context).await {
+            Ok(suspect_permit) => suspect_permit,
             Err(failure) => return (Err(failure), allowance),
         };
         let entering = instance.gate.enter_with(admission_request(&context));
@@ -150,10 +150,10 @@
             context: &context,
             request_id,
             head,
-            is_isolated: turn.is_some(),
+            is_isolated: suspect_permit.is_some(),
         };
-        let running = self.dispatch(instance, &call, body);
-        let within = self.clock.timeout_at(context.deadline, running);
+        let execution = self.dispatch(instance, &call, body);
+        let within = self.clock.timeout_at(context.deadline, execution);
         let result = match within.await {
             Ok(result) => result,
             Err(_) => Err(Failure::new(ResultCode::DeadlineAfterDispatch)),
@@ -201,7 +201,7 @@
     AdmissionRequest {
         key: context.admission_key(),
         deadline: context.deadline,
-        max_queue_wait: Some(MAX_GATE_WAIT),
+        max_queue_wait: Some(MAX_ADMISSION_WAIT),
         progress,
         admitted_below: context.admitted_below,
     }
@@ -277,7 +277,8 @@
     }
 }
 
-/// Splits the body off a request: none, or the stream of one.
+/// Separates a request from its body. The body is `Held(None)` if the request has none, and
+/// otherwise a stream that has not been read yet.
 pub(crate) fn split_body(request: Request<Incoming>) -> (Request<()>, RequestBody) {
     use http_body::Body;
     let (parts, incoming) = request.into_parts();
--- a/crates/sidecar/src/inbound/termination_detector.rs
+++ b/crates/sidecar/src/inbound/termination_detector.rs
@@ -47,7 +47,7 @@
 pub(crate) struct ExecutingRequest {
     /// Fingerprint of the request.
     pub(crate) fingerprint: RequestFingerprint,
-    /// True if the request is a suspect, and therefore the only suspect in execution.
+    /// True if the request is a suspect. The instance then executes no other suspect.
     pub(crate) is_isolated: bool,
 }
 
--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -37,17 +37,19 @@
 const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 /// Timeout of a listing of the departure records.
 const LISTING_TIMEOUT: Duration = Duration::from_millis(800);
-/// Delay between the first request that needs a listing and the listing, which then serves all
-/// sidecars that started by that time.
+/// Delay from the first request that needs a listing until the departure records are listed. A
+/// listing serves the requests of every sidecar that started before it, so the delay lets sidecars
+/// that start together share one.
 const LISTING_DELAY: Duration = Duration::from_millis(40);
-/// Pause after a listing. Requests are repeated every 50 ms, and each listing costs a platform call.
+/// Pause after a listing. Requests are repeated every 50 ms, and each listing costs a platform
+/// call.
 const LISTING_PAUSE: Duration = Duration::from_millis(60);
 /// Uptime up to which a sidecar chooses readers among the entries of the directory. Sidecars that
 /// start together read the same entries, and thus choose the same readers while gossip still
 /// discovers the others.
 const DISCOVERY_TIME: Duration = Duration::from_secs(10);
-/// The same for a sidecar that the directory refuses. By then nearly all sidecars have discovered
-/// nearly all others.
+/// Uptime up to which a sidecar that the directory refuses chooses readers among the entries of the
+/// directory. By then nearly all sidecars have discovered nearly all others.
 const UNLISTED_DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// Maximum number of announced departures that are remembered; beyond it the oldest is dropped.
 /// Backends terminate some seconds after the acknowledgement of their departure.
@@ -244,7 +246,8 @@
             .any(|reader| reader.id != self.exchange.own_id())
     }
 
-    /// Announces to the readers that a departure was acknowledged.
+    /// Announces to the sidecars that read the departure records that the departure of `instance`
+    /// was acknowledged.
     pub(crate) fn announce(&self, instance: &InstanceId) {
         for reader in self.all_readers() {
             let notice = Notice::Departed {
--- a/crates/sidecar/src/instance/mod.rs
+++ b/crates/sidecar/src/instance/mod.rs
@@ -74,9 +74,10 @@
             .is_some_and(|(own, other)| own < other)
     }
 
-    /// True if both may be the same instance.
+    /// Returns true if both have the same name and no different start times; an unknown start time
+    /// matches any.
     #[must_use]
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_be_same(&self, other: &Self) -> bool {
         let differs = self
             .started_at
             .zip(other.started_at)
--- a/crates/sidecar/src/instance/registry.rs
+++ b/crates/sidecar/src/instance/registry.rs
@@ -48,7 +48,8 @@
     NotAcknowledged,
 }
 
-/// Keeps the local backend's gate consistent with the messages of its instances.
+/// Handles the heartbeats and departure messages of the local backend's instances, and opens or
+/// closes the backend to calls accordingly.
 #[derive(Debug)]
 pub struct Registry<P> {
     platform: Arc<P>,
@@ -241,7 +242,7 @@
         drop(verifying);
         let registry = Arc::clone(self);
         tokio::spawn(async move {
-            registry.verify(&instance).await;
+            registry.verify_not_departed(&instance).await;
             let mut verifying = lock(&registry.verifying);
             if verifying.as_ref() == Some(&instance) {
                 *verifying = None;
@@ -249,10 +250,12 @@
         });
     }
 
-    /// Retries until it is known whether the instance may receive work. The tracker knows the
-    /// departures that this process acknowledged; the durable records are those of earlier
-    /// processes.
-    async fn verify(&self, instance: &InstanceId) {
+    /// Determines whether an earlier process acknowledged the departure of this instance, in which
+    /// case the instance may receive no work, and records the result in the tracker. Queries the
+    /// readers of the departure records and the platform until one of them replies, the heartbeats
+    /// and health of the instance replace the records, or the instance leaves. Departures that this
+    /// process acknowledged are known to the tracker already.
+    async fn verify_not_departed(&self, instance: &InstanceId) {
         if self.is_first_start {
             self.conclude(instance, false);
             return;
@@ -275,7 +278,7 @@
             if let Some(departed) = self.look_up(instance, failures).await {
                 self.conclude(instance, departed);
                 if !departed {
-                    self.request_after_lookup(instance).await;
+                    self.query_readers_again(instance).await;
                 }
                 return;
             }
@@ -292,9 +295,10 @@
         }
     }
 
-    /// Queries the readers a few more times for a departure that has no record at the platform. A
-    /// sidecar that has just started may not know the readers yet.
-    async fn request_after_lookup(&self, instance: &InstanceId) {
+    /// Queries the readers of the departure records a few more times whether the instance departed,
+    /// after the platform had no record of it. A sidecar that has just started may not have
+    /// discovered the readers yet.
+    async fn query_readers_again(&self, instance: &InstanceId) {
         for requests in 0..READER_REQUESTS_AFTER_LOOKUP {
             tokio::time::sleep(READER_REQUEST_INTERVAL * 2).await;
             let next_reader = requests * REQUESTS_PER_READER;
@@ -323,7 +327,7 @@
     fn conclude(&self, instance: &InstanceId, departed: bool) {
         let now = self.clock.now();
         let mut tracker = lock(&self.tracker);
-        if tracker.lacks_start_time(instance) {
+        if tracker.lacks_known_start_time(instance) {
             // The instance has reported its start time meanwhile. That identity is verified
             // separately.
             return;
--- a/crates/sidecar/src/instance/tracker.rs
+++ b/crates/sidecar/src/instance/tracker.rs
@@ -74,8 +74,9 @@
         }
     }
 
-    /// Records a heartbeat with the state ready.
-    fn confirm(&mut self, now: Timestamp) {
+    /// Records a heartbeat with the state ready. The instance counts as confirmed without the
+    /// departure records once two such heartbeats arrived at least [`MIN_CONFIRMATION_GAP`] apart.
+    fn record_ready_heartbeat(&mut self, now: Timestamp) {
         let first = *self.first_ready_at.get_or_insert(now);
         if now.saturating_since(first) >= MIN_CONFIRMATION_GAP {
             self.is_confirmed = true;
@@ -117,7 +118,7 @@
     /// Handles a heartbeat.
     pub fn heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat) -> TrackerDecision {
         self.replace_earlier(now, &heartbeat.instance);
-        if self.lacks_start_time(&heartbeat.instance) {
+        if self.lacks_known_start_time(&heartbeat.instance) {
             return TrackerDecision::Refuse;
         }
         let is_current = self.is_current(&heartbeat.instance);
@@ -138,7 +139,7 @@
         tracked.last_sequence = Some(heartbeat.sequence);
         tracked.slots = Some(heartbeat.slots);
         tracked.warm_up_until = now + heartbeat.warm_up_left;
-        tracked.confirm(now);
+        tracked.record_ready_heartbeat(now);
         if is_current && tracked.status == InstanceStatus::Serving {
             TrackerDecision::Acknowledge
         } else {
@@ -203,7 +204,8 @@
         true
     }
 
-    /// Records that another instance responds at the backend's address: this one has terminated.
+    /// Records that another instance responds at the backend's address, so that `instance` has
+    /// terminated.
     pub fn mark_replaced(&mut self, instance: &InstanceId) {
         if self.is_current(instance) {
             self.current = None;
@@ -228,7 +230,7 @@
     pub fn status(&self, instance: &InstanceId) -> InstanceStatus {
         match self.instances.get(instance.name()) {
             Some(tracked) if instance.is_before(&tracked.instance) => InstanceStatus::Leaving,
-            Some(tracked) if tracked.instance.may_be(instance) => tracked.status,
+            Some(tracked) if tracked.instance.may_be_same(instance) => tracked.status,
             _ => InstanceStatus::Unverified,
         }
     }
@@ -248,7 +250,7 @@
 
     fn is_current(&self, instance: &InstanceId) -> bool {
         let current = self.current.as_ref();
-        current.is_some_and(|current| current.may_be(instance))
+        current.is_some_and(|current| current.may_be_same(instance))
     }
 
     /// True if the instance that receives work started later at the same address.
@@ -257,9 +259,10 @@
         current.is_some_and(|current| instance.is_before(current))
     }
 
-    /// True if this identity has no start time although the instance of this name has reported one.
+    /// Returns true if `instance` has no start time although an instance of the same name has
+    /// reported one. Its message may then come from an earlier process and is refused.
     #[must_use]
-    pub fn lacks_start_time(&self, instance: &InstanceId) -> bool {
+    pub fn lacks_known_start_time(&self, instance: &InstanceId) -> bool {
         let tracked = self.instances.get(instance.name());
         instance.started_at().is_none()
             && tracked.is_some_and(|tracked| tracked.instance.started_at().is_some())
@@ -267,12 +270,12 @@
 
     fn get(&self, instance: &InstanceId) -> Option<&TrackedInstance> {
         let tracked = self.instances.get(instance.name())?;
-        tracked.instance.may_be(instance).then_some(tracked)
+        tracked.instance.may_be_same(instance).then_some(tracked)
     }
 
     fn get_mut(&mut self, instance: &InstanceId) -> Option<&mut TrackedInstance> {
         let tracked = self.instances.get_mut(instance.name())?;
-        tracked.instance.may_be(instance).then_some(tracked)
+        tracked.instance.may_be_same(instance).then_some(tracked)
     }
 
     /// Returns the entry of an instance and creates it if necessary; `None` if another instance of
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -110,15 +110,16 @@
 /// Values that are sampled when the metrics are rendered.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
-    /// Calls in execution, concurrency limit, and calls waiting for admission.
+    /// Load of the local backend: number of calls in execution, maximum number of calls that it may
+    /// execute concurrently, and number of calls waiting for admission.
     pub load: (u32, u32, u32),
-    /// Admission level of the local backend.
+    /// Admission level of the local backend, from 0 (admits no call) to 32768 (admits every call).
     pub level: u16,
     /// Version of the configuration in force; zero if there is none.
     pub version: u64,
     /// Time since the configuration came into force.
     pub configuration_age: Duration,
-    /// Numbers of sidecars by the name of their state.
+    /// Number of known sidecars in each member state, with the name of the state.
     pub members: Vec<(&'static str, i64)>,
     /// True if callers may be sent to this sidecar.
     pub is_ready: bool,
@@ -128,7 +129,8 @@
     pub repeats_left: u64,
     /// Time since the last confirmation of the configuration; `None` if it was never confirmed.
     pub confirmed_age: Option<Duration>,
-    /// Numbers of suspects and of quarantined requests.
+    /// Number of suspects (requests executed one at a time after a backend terminated while
+    /// executing them) and number of quarantined requests that are known here.
     pub quarantine: (usize, usize),
 }
 
@@ -282,8 +284,8 @@
         self.retries.with_label_values(&[service]).inc();
     }
 
-    /// Counts a failed attempt that is not followed by another.
-    pub fn gave_up(&self, service: &str, reason: &str) {
+    /// Counts a failed attempt that is not followed by another, by the reason for it.
+    pub fn record_no_retry(&self, service: &str, reason: &str) {
         self.given_up.with_label_values(&[service, reason]).inc();
     }
 
@@ -295,7 +297,7 @@
     }
 
     /// Counts an instance of the local backend that terminated without announcing it.
-    pub fn record_instance_termination(&self) {
+    pub fn count_unannounced_termination(&self) {
         self.instances_terminated.inc();
     }
 
--- a/crates/sidecar/src/outbound/attempt.rs
+++ b/crates/sidecar/src/outbound/attempt.rs
@@ -26,7 +26,7 @@
 /// Part of the remaining time that each hop keeps back. The hop nearer to the backend then responds
 /// first, and its more exact result reaches the caller.
 const HOP_MARGIN: Duration = Duration::from_millis(3);
-/// Divisor that bounds the margin: at most one in this many parts of the remaining time.
+/// Limits the hop margin to this fraction (one in 16) of the time remaining until the deadline.
 const HOP_MARGIN_DIVISOR: u32 = 16;
 /// Attempts to find an open connection. A pooled connection may turn out closed before a byte is
 /// written.
@@ -38,7 +38,8 @@
     pub(crate) result: Result<Response<ResponseBody>, Failure>,
     /// Metadata that the responding sidecar attached.
     pub(crate) metadata: Option<ResponseMetadata>,
-    /// Retries of the attempt's allowance that were returned; `None` if the allowance is lost.
+    /// Unused retries that the responding hop returned; `None` if no response included them, in
+    /// which case all retries granted to the attempt count as spent.
     pub(crate) returned: Option<RetryAllowance>,
     /// The body, if none of it was sent.
     pub(crate) unsent: Option<RequestBody>,
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -40,17 +40,18 @@
 /// State of a call in progress, for the result that its caller receives at the deadline.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
-    may_run: AtomicBool,
+    may_have_executed: AtomicBool,
 }
 
 impl Progress {
-    /// True if a backend may have executed the call or may still be executing it.
-    pub(crate) fn may_run(&self) -> bool {
-        self.may_run.load(Ordering::Relaxed)
+    /// Returns true if a backend may have executed the call or may still be executing it.
+    pub(crate) fn may_have_executed(&self) -> bool {
+        self.may_have_executed.load(Ordering::Relaxed)
     }
 
-    fn set(&self, may_run: bool) {
-        self.may_run.store(may_run, Ordering::Relaxed);
+    fn set(&self, may_have_executed: bool) {
+        self.may_have_executed
+            .store(may_have_executed, Ordering::Relaxed);
     }
 }
 
@@ -285,8 +286,9 @@
             let after = match self.retry_delay(call, &body, router, &attempts, failure) {
                 Ok(after) => after,
                 Err(reason) => {
-                    self.metrics.gave_up(&call.service, &reason.to_string());
-                    call.report.gave_up(reason);
+                    self.metrics
+                        .record_no_retry(&call.service, &reason.to_string());
+                    call.report.record_no_retry(reason);
                     return Err(attempts.conclude(failure));
                 }
             };
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -119,11 +119,11 @@
             .timeout_at(call.context.deadline, forwarding)
             .await
         {
-            Ok(Err(failure)) if is_timeout(failure.code) && !call.progress.may_run() => {
+            Ok(Err(failure)) if is_timeout(failure.code) && !call.progress.may_have_executed() => {
                 Err(not_dispatched_in_time())
             }
             Ok(result) => result,
-            Err(_) if call.progress.may_run() => {
+            Err(_) if call.progress.may_have_executed() => {
                 Err(Failure::new(ResultCode::DeadlineAfterDispatch))
             }
             Err(_) => Err(not_dispatched_in_time()),
--- a/crates/sidecar/src/outbound/report.rs
+++ b/crates/sidecar/src/outbound/report.rs
@@ -39,7 +39,7 @@
     version: u64,
     context: CallContext,
     attempts: Mutex<Vec<AttemptRecord>>,
-    gave_up: Mutex<Option<NoRetry>>,
+    no_retry: Mutex<Option<NoRetry>>,
     is_reported: bool,
 }
 
@@ -63,7 +63,7 @@
             version,
             context: context.clone(),
             attempts: Mutex::default(),
-            gave_up: Mutex::default(),
+            no_retry: Mutex::default(),
             is_reported: false,
         }
     }
@@ -94,8 +94,8 @@
     }
 
     /// Records why the last attempt is not followed by another.
-    pub(crate) fn gave_up(&self, reason: NoRetry) {
-        *lock(&self.gave_up) = Some(reason);
+    pub(crate) fn record_no_retry(&self, reason: NoRetry) {
+        *lock(&self.no_retry) = Some(reason);
     }
 
     /// Logs a request that received a response of a backend. Responses without a server error are
@@ -135,7 +135,7 @@
             millis(self.elapsed()),
             millis(self.context.remaining(now)),
             self.attempts_text(),
-            lock(&self.gave_up).map_or("none".to_owned(), |reason| reason.to_string()),
+            lock(&self.no_retry).map_or("none".to_owned(), |reason| reason.to_string()),
         );
     }
 
--- a/crates/sidecar/src/outbound/routing.rs
+++ b/crates/sidecar/src/outbound/routing.rs
@@ -24,8 +24,9 @@
 const ASSUMED_SLOTS: u32 = 16;
 /// Time for which an endpoint that refused a call as leaving receives no calls.
 const LEAVING_HOLD: Duration = Duration::from_millis(700);
-/// Lifetime of reported path levels. An edge that admits few requests of a kind receives few
-/// responses that could update the level; a level that reopened between two responses would admit a
+/// Times for which the admission levels that services further down the call path report are used.
+/// They are longer than the default: a sidecar that admits few requests of a kind receives few
+/// responses that update the level, and a level that reopened between two of them would admit a
 /// burst.
 const PATH_TIMING: PathTiming = PathTiming {
     fresh_for: Duration::from_millis(500),
@@ -143,7 +144,9 @@
         lock(&self.state).router.can_pick(now, &request)
     }
 
-    /// Returns the level of the most open endpoint.
+    /// Returns the common admission level of the service's endpoints ([`AdmissionLevel::common`]).
+    /// Endpoints that receive no calls for a while after a refusal or a termination are not
+    /// counted. Open if there are no others.
     pub fn level(&self, now: Timestamp) -> AdmissionLevel {
         lock(&self.state).router.level(now)
     }
--- a/crates/sidecar/src/platform.rs
+++ b/crates/sidecar/src/platform.rs
@@ -68,7 +68,7 @@
     MayBeStale,
 }
 
-/// Directory entry by which other sidecars discover this one.
+/// Entry of a sidecar in the platform's directory, by which other sidecars discover it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryEntry {
     /// Identity of the sidecar.
--- a/crates/sidecar/src/quarantine/disseminator.rs
+++ b/crates/sidecar/src/quarantine/disseminator.rs
@@ -22,7 +22,7 @@
 use crate::exchange::{Exchange, ExchangeRequest, Notice, Peer, Reply};
 use crate::log_event;
 use crate::platform::Platform;
-use crate::quota::OwnerRing;
+use crate::quota::OwnerSelector;
 
 /// Maximum number of messages that wait to be sent. Further ones are dropped and logged.
 const OUTBOX_CAPACITY: usize = 1_024;
@@ -58,11 +58,15 @@
 /// Outgoing message of the quarantine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outgoing {
-    /// Terminations of one instance, for the owners of its requests.
+    /// Reports the requests that one instance was executing when it terminated to the owners that
+    /// count the terminations of each request.
     Terminations(Vec<RequestTermination>),
-    /// A request received a response after a termination; for its owners.
+    /// Reports to the owners of a request that it received a response after backends had terminated
+    /// while they executed it.
     ResponseReceived(RequestFingerprint),
-    /// A decision, for all sidecars.
+    /// A report that changed the quarantine state of a request here, whether decided here or
+    /// received from another sidecar. It is sent to random sidecars, which forward it if it is
+    /// new to them.
     Report(QuarantineReport),
     /// A newly quarantined request whose record is to be written at the platform.
     WriteRecord(RequestFingerprint),
@@ -96,7 +100,7 @@
     pub(crate) quarantine: Arc<Quarantine>,
     pub(crate) record_store: Arc<RecordStore<P>>,
     pub(crate) exchange: Arc<Exchange>,
-    pub(crate) ring: Arc<OwnerRing>,
+    pub(crate) owner_selector: Arc<OwnerSelector>,
     pub(crate) members: watch::Receiver<MemberTable>,
 }
 
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Writes the platform's records again after each restore of its store, if this sidecar is the
-    /// first owner of the request. Runs until the process terminates.
+    /// After each restore of the platform's store, writes the records of the quarantined requests
+    /// whose first owner is this sidecar again. Runs until the process terminates.
     pub(crate) async fn rewrite_records(self: Arc<Self>) {
         let mut eras = self.record_store.platform.eras().subscribe();
         while eras.changed().await.is_ok() {
@@ -158,7 +162,9 @@
     }
 
     fn is_first_owner(&self, fingerprint: RequestFingerprint) -> bool {
-        let owners = self.ring.owners(self.clock.now(), &shard_name(fingerprint));
+        let owners = self
+            .owner_selector
+            .owners(self.clock.now(), &shard_name(fingerprint));
         owners
             .first()
             .is_some_and(|owner| owner.id == self.exchange.own_id())
@@ -202,7 +208,7 @@
     /// few times at most.
     fn notify_owners(&self, fingerprint: RequestFingerprint, request: &ExchangeRequest) {
         let shard = shard_name(fingerprint);
-        for owner in self.ring.owners(self.clock.now(), &shard).iter() {
+        for owner in self.owner_selector.owners(self.clock.now(), &shard).iter() {
             let exchange = Arc::clone(&self.exchange);
             let (owner, request) = (owner.clone(), request.clone());
             tokio::spawn(async move {
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -36,14 +36,15 @@
 pub(crate) use disseminator::{Disseminator, Outbox, Outgoing};
 pub(crate) use record_store::RecordStore;
 
-/// Maximum wait of a suspect for its turn at a backend, if its deadline allows as much. It covers
-/// about six executions of the users' workload, which lets the twenty to thirty requests in
-/// execution at a termination have their turns at the remaining backends.
-const MAX_TURN_WAIT: Duration = Duration::from_secs(1);
-/// Divisor of a suspect's remaining time that bounds its wait for a turn.
-const TURN_WAIT_DIVISOR: u32 = 3;
-/// Retry-After of a suspect that did not have its turn in time.
-const TURN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum time for which a suspect waits for the permit of the backend, if its deadline allows as
+/// much. It covers about six executions of the specified workload, so that the twenty to thirty
+/// requests in execution at a termination can be executed one by one at the remaining backends.
+const MAX_PERMIT_WAIT: Duration = Duration::from_secs(1);
+/// Limits the wait of a suspect for the permit to this fraction (one in 3) of the time remaining
+/// until its deadline.
+const PERMIT_WAIT_DIVISOR: u32 = 3;
+/// Retry-After of a suspect that did not receive the permit in time.
+const PERMIT_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Offset added to the process clock, which allows a process that has just started to represent
 /// times before its start.
 const CLOCK_OFFSET: Duration = QUARANTINE_TIME.saturating_mul(2);
@@ -59,17 +60,18 @@
     ledger: Mutex<TerminationLedger>,
     /// Notified when the state of a request changes.
     changed: Notify,
-    /// Held by the suspect that has its turn at the local backend.
-    turn: Arc<Semaphore>,
+    /// Holds the one [`SuspectPermit`] of the local backend.
+    suspect_permit: Arc<Semaphore>,
     outbox: Outbox,
     /// True if the requests quarantined before this process started are known.
     is_initialized: AtomicBool,
 }
 
-/// Turn of a suspect at the backend, which executes no other suspect meanwhile.
+/// Permit to execute a suspect (a request during whose execution backends terminated) at the local
+/// backend. There is one such permit, so the backend executes one suspect at a time.
 #[derive(Debug)]
-pub(crate) struct Turn(
-    #[expect(dead_code, reason = "held for as long as the turn lasts")] OwnedSemaphorePermit,
+pub(crate) struct SuspectPermit(
+    #[expect(dead_code, reason = "held until the suspect completes")] OwnedSemaphorePermit,
 );
 
 impl Quarantine {
@@ -82,7 +84,7 @@
             table: Mutex::default(),
             ledger: Mutex::default(),
             changed: Notify::new(),
-            turn: Arc::new(Semaphore::new(1)),
+            suspect_permit: Arc::new(Semaphore::new(1)),
             outbox,
             is_initialized: AtomicBool::new(is_first_start),
         };
@@ -112,22 +114,27 @@
         }
     }
 
-    /// Waits for the turn of a suspect. Other calls need no turn and return immediately.
+    /// Waits for the permit that a suspect needs. Returns `None` immediately for other calls, which
+    /// need none.
     ///
     /// # Errors
-    /// The refusal of a call that is quarantined meanwhile, or whose turn does not come in time.
-    pub(crate) async fn wait_for_turn(
+    /// The refusal of a call that is quarantined meanwhile, or that does not receive the permit in
+    /// time.
+    pub(crate) async fn wait_for_permit(
         &self,
         context: &CallContext,
-    ) -> Result<Option<Turn>, Failure> {
+    ) -> Result<Option<SuspectPermit>, Failure> {
         let remaining = context.remaining(self.clock.now());
-        let wait = MAX_TURN_WAIT.min(remaining / TURN_WAIT_DIVISOR);
-        let waiting = tokio::time::timeout(wait, self.turn_of(context));
-        let too_late = Failure::with_retry_after(ResultCode::SuspectWaited, TURN_RETRY_AFTER);
+        let wait = MAX_PERMIT_WAIT.min(remaining / PERMIT_WAIT_DIVISOR);
+        let waiting = tokio::time::timeout(wait, self.acquire_permit(context));
+        let too_late = Failure::with_retry_after(ResultCode::SuspectWaited, PERMIT_RETRY_AFTER);
         waiting.await.unwrap_or(Err(too_late))
     }
 
-    async fn turn_of(&self, context: &CallContext) -> Result<Option<Turn>, Failure> {
+    async fn acquire_permit(
+        &self,
+        context: &CallContext,
+    ) -> Result<Option<SuspectPermit>, Failure> {
         loop {
             let changed = self.changed.notified();
             self.check(context)?;
@@ -135,9 +142,9 @@
                 return Ok(None);
             }
             tokio::select! {
-                permit = Arc::clone(&self.turn).acquire_owned() => {
+                permit = Arc::clone(&self.suspect_permit).acquire_owned() => {
                     // The semaphore is never closed.
-                    return Ok(permit.ok().map(Turn));
+                    return Ok(permit.ok().map(SuspectPermit));
                 }
                 () = changed => {}
             }
@@ -155,10 +162,10 @@
     pub(crate) fn record_instance_termination(
         &self,
         instance: &InstanceId,
-        running: &[ExecutingRequest],
+        executing: &[ExecutingRequest],
     ) {
         let instance = TerminatedInstance::new(hash_bytes(instance.to_string().as_bytes()));
-        let terminations = running.iter().map(|request| RequestTermination {
+        let terminations = executing.iter().map(|request| RequestTermination {
             fingerprint: request.fingerprint,
             instance,
             was_isolated: request.is_isolated,
@@ -254,8 +261,8 @@
         lock(&self.table).quarantined(self.now())
     }
 
-    /// Returns the reply to a sidecar that requests the quarantined requests. It contains none if
-    /// `digest` matches the local state.
+    /// Returns the reply to a sidecar that requests a list of the quarantined requests: the newest
+    /// ones, at most [`REPORTS_PER_MESSAGE`], or none if `digest` matches the local state.
     pub(crate) fn reply(&self, digest: u64) -> Reply {
         let now = self.now();
         let table = lock(&self.table);
--- a/crates/sidecar/src/quota/client.rs
+++ b/crates/sidecar/src/quota/client.rs
@@ -12,7 +12,7 @@
 use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 
-use super::OwnerRing;
+use super::OwnerSelector;
 use crate::exchange::{Exchange, ExchangeRequest, Peer, Reply};
 
 /// Timeout of a request to an owner. An idle sidecar replies within two milliseconds, one that has
@@ -40,7 +40,7 @@
 pub(crate) struct QuotaClient {
     clock: Clock,
     exchange: Arc<Exchange>,
-    ring: Arc<OwnerRing>,
+    owner_selector: Arc<OwnerSelector>,
     tenants: Mutex<HashMap<String, TenantTokens>>,
 }
 
@@ -60,11 +60,15 @@
 }
 
 impl QuotaClient {
-    pub(crate) fn new(clock: Clock, exchange: Arc<Exchange>, ring: Arc<OwnerRing>) -> Self {
+    pub(crate) fn new(
+        clock: Clock,
+        exchange: Arc<Exchange>,
+        owner_selector: Arc<OwnerSelector>,
+    ) -> Self {
         Self {
             clock,
             exchange,
-            ring,
+            owner_selector,
             tenants: Mutex::default(),
         }
     }
@@ -77,7 +81,7 @@
         if let Some(expires_at) = self.take_unused(tenant) {
             return Ok(self.token(tenant, expires_at));
         }
-        let owners = self.ring.owners(self.clock.now(), tenant);
+        let owners = self.owner_selector.owners(self.clock.now(), tenant);
         let mut owners: Vec<&Peer> = owners.iter().collect();
         owners.shuffle(&mut rand::rng());
         for owner in &owners {
--- a/crates/sidecar/src/quota/mod.rs
+++ b/crates/sidecar/src/quota/mod.rs
@@ -6,13 +6,13 @@
 
 mod client;
 mod owner;
-mod ring;
+mod owner_selector;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use client::{QuotaClient, Token};
 pub(crate) use owner::QuotaOwner;
-pub(crate) use ring::OwnerRing;
+pub(crate) use owner_selector::OwnerSelector;
 
 /// Number of owners of a tenant. Losing one removes a quarter of the limit, which does not affect a
 /// tenant below six tenths of its limit. With more owners, more sidecars would have to be queried
--- a/crates/sidecar/src/quota/owner.rs
+++ b/crates/sidecar/src/quota/owner.rs
@@ -10,7 +10,7 @@
 use wharfquay_daemon::clock::Clock;
 use wharfquay_daemon::sync::lock;
 
-use super::{OWNERS, OwnerRing};
+use super::{OWNERS, OwnerSelector};
 use crate::configuration::RouteIndex;
 use crate::exchange::Reply;
 use crate::tenant::Quota;
@@ -25,7 +25,7 @@
     /// True if no earlier process can have granted tokens. Otherwise buckets start empty.
     is_first_start: bool,
     configuration: watch::Receiver<Arc<RouteIndex>>,
-    ring: Arc<OwnerRing>,
+    owner_selector: Arc<OwnerSelector>,
     buckets: Mutex<HashMap<String, Share>>,
 }
 
@@ -40,13 +40,13 @@
         clock: Clock,
         is_first_start: bool,
         configuration: watch::Receiver<Arc<RouteIndex>>,
-        ring: Arc<OwnerRing>,
+        owner_selector: Arc<OwnerSelector>,
     ) -> Self {
         Self {
             clock,
             is_first_start,
             configuration,
-            ring,
+            owner_selector,
             buckets: Mutex::default(),
         }
     }
@@ -54,7 +54,7 @@
     /// Grants the available tokens of a tenant, up to `wanted`.
     pub(crate) fn grant(&self, tenant: &str, wanted: u32) -> Reply {
         let now = self.clock.now();
-        if !self.ring.is_initialized(now) || !self.ring.owns(now, tenant) {
+        if !self.owner_selector.is_initialized(now) || !self.owner_selector.owns(now, tenant) {
             return Reply::Unknown;
         }
         let index = Arc::clone(&self.configuration.borrow());
--- a/crates/sidecar/src/quota/ring.rs
+++ b/crates/sidecar/src/quota/owner_selector.rs
@@ -24,7 +24,8 @@
 /// platform's directory can't be read.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 
-/// The sidecars among which owners are chosen.
+/// Chooses the sidecars that own the tokens of a tenant or the termination counts of a request, by
+/// their rendezvous scores.
 ///
 /// A sidecar that has just started knows no other one and would consider itself the owner of
 /// everything; if many start together, each would grant a share of each limit. Entries of the
@@ -32,7 +33,7 @@
 /// until the directory is known. An entry of a sidecar that no longer exists is harmless: the live
 /// owners are the same with and without it.
 #[derive(Debug)]
-pub(crate) struct OwnerRing {
+pub(crate) struct OwnerSelector {
     own: Peer,
     /// True at the first start of the whole deployment: nothing was granted before, and all
     /// sidecars discover each other before the first request.
@@ -55,8 +56,8 @@
     not_alive_since: Option<Timestamp>,
 }
 
-impl OwnerRing {
-    /// Creates a ring that contains this sidecar alone.
+impl OwnerSelector {
+    /// Creates a selector whose only candidate is this sidecar.
     pub(crate) fn new(own: Peer, is_first_start: bool) -> Self {
         Self {
             own,
--- a/crates/sidecar/src/quota/tests.rs
+++ b/crates/sidecar/src/quota/tests.rs
@@ -12,7 +12,7 @@
 };
 use wharfquay_membership::table::MemberTable;
 
-use super::{OWNERS, OwnerRing};
+use super::{OWNERS, OwnerSelector};
 use crate::exchange::Peer;
 use crate::platform::DirectoryEntry;
 
@@ -55,12 +55,12 @@
     table
 }
 
-fn ring(own: usize) -> OwnerRing {
+fn owner_selector(own: usize) -> OwnerSelector {
     let own = Peer {
         id: name(own),
         address: address(),
     };
-    OwnerRing::new(own, false)
+    OwnerSelector::new(own, false)
 }
 
 fn directory(members: usize) -> Vec<DirectoryEntry> {
@@ -71,8 +71,8 @@
     entries.collect()
 }
 
-fn owners(ring: &OwnerRing, now: Timestamp, tenant: &str) -> BTreeSet<String> {
-    let owners = ring.owners(now, tenant);
+fn owners(owner_selector: &OwnerSelector, now: Timestamp, tenant: &str) -> BTreeSet<String> {
+    let owners = owner_selector.owners(now, tenant);
     owners.iter().map(|peer| peer.id.clone()).collect()
 }
 
@@ -81,18 +81,18 @@
 
 #[test]
 fn every_sidecar_selects_the_same_owners() {
-    let rings: Vec<OwnerRing> = (0..MEMBERS).map(ring).collect();
-    for ring in &rings {
-        ring.update(Timestamp::ZERO, &table(MEMBERS, &[]));
+    let owner_selectors: Vec<OwnerSelector> = (0..MEMBERS).map(owner_selector).collect();
+    for owner_selector in &owner_selectors {
+        owner_selector.update(Timestamp::ZERO, &table(MEMBERS, &[]));
     }
     let mut shares = vec![0; MEMBERS];
     for tenant in 0..TENANTS {
         let tenant = format!("tenant-{tenant}");
-        let expected = owners(&rings[0], Timestamp::ZERO, &tenant);
+        let expected = owners(&owner_selectors[0], Timestamp::ZERO, &tenant);
         assert_eq!(expected.len(), OWNERS);
-        for (number, ring) in rings.iter().enumerate() {
-            assert_eq!(owners(ring, Timestamp::ZERO, &tenant), expected);
-            let owns = ring.owns(Timestamp::ZERO, &tenant);
+        for (number, owner_selector) in owner_selectors.iter().enumerate() {
+            assert_eq!(owners(owner_selector, Timestamp::ZERO, &tenant), expected);
+            let owns = owner_selector.owns(Timestamp::ZERO, &tenant);
             assert_eq!(owns, expected.contains(&name(number)));
             shares[number] += usize::from(owns);
         }
@@ -103,24 +103,24 @@
 
 #[test]
 fn dead_owner_is_replaced_only_after_its_hold() {
-    let ring = ring(0);
+    let owner_selector = owner_selector(0);
     let start = Timestamp::from_millis(1_000);
-    ring.update(start, &table(MEMBERS, &[]));
+    owner_selector.update(start, &table(MEMBERS, &[]));
     let before: Vec<BTreeSet<String>> = (0..TENANTS)
-        .map(|tenant| owners(&ring, start, &format!("tenant-{tenant}")))
+        .map(|tenant| owners(&owner_selector, start, &format!("tenant-{tenant}")))
         .collect();
     let dead: Vec<usize> = (1..MEMBERS).step_by(3).collect();
-    ring.update(start, &table(MEMBERS, &dead));
+    owner_selector.update(start, &table(MEMBERS, &dead));
     let late = start + Duration::from_millis(19_999);
-    ring.update(late, &table(MEMBERS, &dead));
+    owner_selector.update(late, &table(MEMBERS, &dead));
     for (tenant, before) in before.iter().enumerate() {
         let tenant = format!("tenant-{tenant}");
-        assert_eq!(owners(&ring, late, &tenant), *before);
+        assert_eq!(owners(&owner_selector, late, &tenant), *before);
     }
     let over = start + Duration::from_secs(20);
     for tenant in 0..TENANTS {
         let tenant = format!("tenant-{tenant}");
-        let after = owners(&ring, over, &tenant);
+        let after = owners(&owner_selector, over, &tenant);
         assert!(dead.iter().all(|number| !after.contains(&name(*number))));
         assert_eq!(after.len(), OWNERS);
     }
@@ -131,10 +131,10 @@
 #[test]
 fn live_owners_are_the_same_with_and_without_the_dead() {
     let dead = [3, 7, 8, 21];
-    let knows = ring(0);
+    let knows = owner_selector(0);
     knows.update(Timestamp::ZERO, &table(MEMBERS, &[]));
     knows.update(Timestamp::ZERO, &table(MEMBERS, &dead));
-    let restarted = ring(1);
+    let restarted = owner_selector(1);
     restarted.update(Timestamp::ZERO, &table(MEMBERS, &dead));
     for tenant in 0..TENANTS {
         let tenant = format!("tenant-{tenant}");
@@ -152,36 +152,38 @@
 /// the others from the directory before it grants tokens.
 #[test]
 fn sidecars_restarted_together_agree_on_owners_after_reading_the_directory() {
-    let rings: Vec<OwnerRing> = (0..MEMBERS).map(ring).collect();
+    let owner_selectors: Vec<OwnerSelector> = (0..MEMBERS).map(owner_selector).collect();
     let start = Timestamp::from_millis(100);
-    for ring in &rings {
-        assert!(!ring.is_initialized(start));
-        ring.add_directory_entries(start, &directory(MEMBERS));
-        assert!(ring.is_initialized(start));
+    for owner_selector in &owner_selectors {
+        assert!(!owner_selector.is_initialized(start));
+        owner_selector.add_directory_entries(start, &directory(MEMBERS));
+        assert!(owner_selector.is_initialized(start));
     }
     for tenant in 0..TENANTS {
         let tenant = format!("tenant-{tenant}");
-        let granting = rings.iter().filter(|ring| ring.owns(start, &tenant));
+        let granting = owner_selectors
+            .iter()
+            .filter(|owner_selector| owner_selector.owns(start, &tenant));
         assert_eq!(granting.count(), OWNERS, "{tenant}");
     }
 }
 
 #[test]
 fn directory_entry_of_a_missing_sidecar_expires() {
-    let ring = ring(0);
+    let owner_selector = owner_selector(0);
     let start = Timestamp::from_millis(100);
-    ring.add_directory_entries(start, &directory(MEMBERS + 10));
-    ring.update(start, &table(MEMBERS, &[]));
+    owner_selector.add_directory_entries(start, &directory(MEMBERS + 10));
+    owner_selector.update(start, &table(MEMBERS, &[]));
     let later = start + Duration::from_secs(20);
     for tenant in 0..TENANTS {
-        let owners = owners(&ring, later, &format!("tenant-{tenant}"));
+        let owners = owners(&owner_selector, later, &format!("tenant-{tenant}"));
         assert!((MEMBERS..MEMBERS + 10).all(|number| !owners.contains(&name(number))));
     }
 }
 
 #[test]
 fn ring_is_initialized_after_the_discovery_time_without_a_directory() {
-    let ring = ring(0);
-    assert!(!ring.is_initialized(Timestamp::from_millis(1_499)));
-    assert!(ring.is_initialized(Timestamp::from_millis(1_500)));
+    let owner_selector = owner_selector(0);
+    assert!(!owner_selector.is_initialized(Timestamp::from_millis(1_499)));
+    assert!(owner_selector.is_initialized(Timestamp::from_millis(1_500)));
 }
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -36,21 +36,27 @@
 pub struct Bounds {
     /// Time from the stop signal until the process is killed.
     pub stop_grace: Duration,
-    /// Repeats that a service has to tolerate.
+    /// Specified limit on the repeats that a service receives from all sidecars together. Each
+    /// sidecar enforces its part at its own backend.
     pub retries: RetryBounds,
     /// Interval between two heartbeats of a backend.
     pub heartbeat_interval: Duration,
     /// Time within which a key revocation must take effect at every sidecar, including ones that
-    /// are cut off; `None` if the configuration in force at each sidecar alone decides.
+    /// are cut off: a sidecar refuses requests if its last confirmation that its configuration is
+    /// the newest is older than nine tenths of this time. `None` if sidecars serve requests however
+    /// old the last confirmation is.
     pub key_revocation: Option<Duration>,
 }
 
-/// Repeats that a service has to tolerate in any window, from all sidecars together.
+/// Specified limit on the repeats that a service receives in any window, from all sidecars
+/// together: `ratio` times the requests in the window, plus `extra`. A repeat is an arrival that is
+/// not the first of its call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBounds {
     /// Repeats per request to the service.
     pub ratio: f64,
-    /// Additional repeats in each window.
+    /// Repeats allowed in each window in addition to `ratio`. The sidecars leave this part of the
+    /// limit unused.
     pub extra: f64,
     /// Length of a window.
     pub window: Duration,
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -39,7 +39,7 @@
 use crate::outbound::{Forwarder, OutboundHandler};
 use crate::platform::Platform;
 use crate::quarantine::{Disseminator, Quarantine, RecordStore};
-use crate::quota::{OwnerRing, QuotaClient, QuotaOwner};
+use crate::quota::{OwnerSelector, QuotaClient, QuotaOwner};
 use crate::scopes::ScopeTable;
 use crate::settings::Settings;
 use crate::store_era::{self, StoreEra};
@@ -143,7 +143,7 @@
             id: settings.id.clone(),
             address: settings.control,
         };
-        let ring = Arc::new(OwnerRing::new(own, settings.is_first_start));
+        let owner_selector = Arc::new(OwnerSelector::new(own, settings.is_first_start));
         let (quarantine, outgoing) = Quarantine::new(clock, settings.is_first_start);
         let departures = DepartureIndex::new(clock);
         let exchange_handler = LocalExchangeHandler {
@@ -154,7 +154,7 @@
                 clock,
                 settings.is_first_start,
                 configuration.clone(),
-                Arc::clone(&ring),
+                Arc::clone(&owner_selector),
             ),
         };
         let datagrams = Arc::new(listeners.datagrams);
@@ -172,7 +172,7 @@
             Arc::clone(&platform),
             (datagrams, Arc::clone(&exchange)),
             Arc::clone(&confirmation),
-            Arc::clone(&ring),
+            Arc::clone(&owner_selector),
             channels,
         );
         tokio::spawn(control.run());
@@ -201,7 +201,7 @@
                 quarantine: Arc::clone(&quarantine),
             }),
             exchange: Arc::clone(&exchange),
-            ring: Arc::clone(&ring),
+            owner_selector: Arc::clone(&owner_selector),
             members: members.clone(),
         });
         tokio::spawn(Arc::clone(&disseminator).rewrite_records());
@@ -260,7 +260,11 @@
             peers: crate::outbound::Peers::default(),
             local: Arc::clone(&local),
             quarantine: Arc::clone(&quarantine),
-            quota: Arc::new(QuotaClient::new(clock, exchange, Arc::clone(&ring))),
+            quota: Arc::new(QuotaClient::new(
+                clock,
+                exchange,
+                Arc::clone(&owner_selector),
+            )),
             metrics: Arc::clone(&metrics),
         });
         let inbound = InboundHandler::new(local, settings.id.clone());
@@ -299,7 +303,7 @@
             in_flight,
             outbound_in_flight,
         });
-        let limits = sidecar.spawn_updates(routing, forwarder, ring);
+        let limits = sidecar.spawn_updates(routing, forwarder, owner_selector);
         let connection_settings = ConnectionSettings { limits, closing };
         spawn_outbound(listeners.outbound, counted, connection_settings);
         spawn_inbound(listeners.inbound, inbound);
@@ -325,8 +329,8 @@
     }
 
     /// True if clients may be sent to this sidecar: it has a configuration, it has discovered a
-    /// sidecar of each service or the wait for them is over, it is not isolated from the other sidecars, and it
-    /// is not stopping.
+    /// sidecar of each service or the wait for them is over, it is not isolated from the other
+    /// sidecars, and it is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let index = self.configuration.borrow().clone();
@@ -423,7 +427,7 @@
         self: &Arc<Self>,
         routing: Arc<Routing>,
         forwarder: Arc<Forwarder>,
-        ring: Arc<OwnerRing>,
+        owner_selector: Arc<OwnerSelector>,
     ) -> watch::Receiver<ConnectionLimits> {
         let (limit_sender, limits) = watch::channel(ConnectionLimits::default());
         let mut members = self.members.clone();
@@ -432,7 +436,7 @@
             loop {
                 let table = members.borrow_and_update().clone();
                 routing.update(&table);
-                ring.update(callers.clock.now(), &table);
+                owner_selector.update(callers.clock.now(), &table);
                 let listed = table.members().map(|member| member.profile.call_address);
                 callers.peers.retain(&listed.collect());
                 tokio::time::sleep(MEMBER_UPDATE_PAUSE).await;
--- a/crates/sidecar/src/store_era.rs
+++ b/crates/sidecar/src/store_era.rs
@@ -28,17 +28,18 @@
 const MISSING_ERA_INTERVAL: Duration = Duration::from_secs(10);
 /// Number of sidecars that are notified of a new era in each round.
 const FANOUT: usize = 4;
-/// Pauses before the rounds.
+/// Pauses before each round in which other sidecars are notified of a new era.
 const ROUND_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(50),
     Duration::from_millis(200),
 ];
 
-/// An era as this process knows it.
+/// The period between two restores of the platform's store from a backup, as this process numbers
+/// it. Revisions of the store are comparable only within one era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreEra {
-    /// The number that the store reports; `None` before its adopt_first reply, or if it reports none.
+    /// The number that the store reports; `None` before its first reply, or if it reports none.
     pub number: Option<u64>,
     /// Number of new eras that began while this process was running. It distinguishes eras with the
     /// same number.
--- a/crates/sidecar/src/tenant.rs
+++ b/crates/sidecar/src/tenant.rs
@@ -68,8 +68,8 @@
 /// times any time span, plus `burst`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Requests per second.
+    /// Number of requests that the tenant may send per second, at all sidecars together.
     pub rate_per_s: f64,
-    /// Additional requests.
+    /// Number of requests that the tenant may send in any time span in addition to `rate_per_s`.
     pub burst: f64,
 }
--- a/crates/sidecar/tests/instance_restarts.rs
+++ b/crates/sidecar/tests/instance_restarts.rs
@@ -135,10 +135,10 @@
     let observed = InstanceId::from("i-1");
     let mut tracker = InstanceTracker::default();
     assert!(tracker.observe_healthy(NOW, &observed));
-    assert!(!tracker.lacks_start_time(&observed));
+    assert!(!tracker.lacks_known_start_time(&observed));
     tracker.heartbeat(NOW, &ready(&start(2_000), 1));
-    assert!(tracker.lacks_start_time(&observed));
-    assert!(!tracker.lacks_start_time(&start(2_000)));
+    assert!(tracker.lacks_known_start_time(&observed));
+    assert!(!tracker.lacks_known_start_time(&start(2_000)));
 }
 
 #[tokio::test]
