--- a/crates/sidecar/src/instance/mod.rs
+++ b/crates/sidecar/src/instance/mod.rs
@@ -120,7 +120,7 @@
     pub state: ReportedState,
     /// Increases with each heartbeat of the instance, which identifies heartbeats that arrive late.
     pub sequence: u64,
-    /// Number of requests that the instance executes concurrently.
+    /// Maximum number of requests that the instance executes concurrently.
     pub slots: u32,
     /// Remaining time for which the instance is slow after its start.
     pub warm_up_left: Duration,
--- a/crates/sidecar/src/instance/registry.rs
+++ b/crates/sidecar/src/instance/registry.rs
@@ -24,7 +24,7 @@
 /// First pause between two attempts to verify an instance or to write a record. It doubles with
 /// each failure.
 const VERIFY_BACKOFF: Duration = Duration::from_millis(150);
-/// Maximum pause between these attempts.
+/// Maximum pause between two attempts to verify an instance or to write a record.
 const MAX_VERIFY_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Pause between two requests to the readers of the departure records. It is about the duration of
 /// a platform call that they may have to make.
--- a/crates/sidecar/src/instance/tracker.rs
+++ b/crates/sidecar/src/instance/tracker.rs
@@ -241,8 +241,8 @@
         self.current.as_ref()
     }
 
-    /// Returns the number of requests that an instance executes concurrently; `None` until it
-    /// reports it.
+    /// Returns the maximum number of requests that an instance executes concurrently; `None` until
+    /// it reports that number.
     #[must_use]
     pub fn slots(&self, instance: &InstanceId) -> Option<u32> {
         self.get(instance)?.slots
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -116,9 +116,9 @@
     attempted: Vec<EndpointId>,
     offers: usize,
     arrivals: u32,
-    /// Backends that terminated while they executed the call.
+    /// Number of backends that terminated while they executed the call.
     terminated_backends: u8,
-    /// Result of an attempt that may have been executed.
+    /// Failure of an attempt that may have been executed; `None` if there was none.
     uncertain: Option<Failure>,
 }
 
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -322,7 +322,7 @@
     authority.or(named).map(str::to_owned)
 }
 
-/// Derives the origin of a request: the 128-bit FNV-1a hash of the id that its user assigned.
+/// Derives the origin of a request: the 128-bit FNV-1a hash of the id that its client assigned.
 fn origin(root: &str) -> OriginId {
     const OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
     const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013B;
