--- a/crates/sidecar/src/instance/mod.rs
+++ b/crates/sidecar/src/instance/mod.rs
@@ -74,9 +74,10 @@
             .is_some_and(|(own, other)| own < other)
     }
 
-    /// True if both may be the same instance.
+    /// Returns true if both have the same name and no different start times; an unknown start time
+    /// matches any.
     #[must_use]
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_be_same(&self, other: &Self) -> bool {
         let differs = self
             .started_at
             .zip(other.started_at)
@@ -119,7 +120,7 @@
     pub state: ReportedState,
     /// Increases with each heartbeat of the instance, which identifies heartbeats that arrive late.
     pub sequence: u64,
-    /// Number of requests that the instance executes concurrently.
+    /// Maximum number of requests that the instance executes concurrently.
     pub slots: u32,
     /// Remaining time for which the instance is slow after its start.
     pub warm_up_left: Duration,
