--- a/crates/cli/src/plan/options.rs
+++ b/crates/cli/src/plan/options.rs
@@ -6,7 +6,7 @@
 use wharfquay_emulator::scenario::{RequestModel, Scenario};
 use wharfquay_resources::fields::DRAIN_TARGETS;
 use wharfquay_resources::kinds::DrainTarget;
-use wharfquay_resources::parse::parse_over;
+use wharfquay_resources::parse::parse_with_base;
 use wharfquay_resources::snapshot::Snapshot;
 
 use crate::arguments::{Arguments, parse_value};
@@ -20,7 +20,7 @@
 const ALLOWED_DRAIN: &str = "zone=NAME, service=NAME or backend=ID";
 const ALLOWED_RATE: &str = "KIND=N with a kind of the scenario and 0 or more requests per second";
 const ALLOWED_FACTOR: &str = "a number from 0 to 1000";
-const MAXIMUM_FACTOR: f64 = 1_000.0;
+const MAX_FACTOR: f64 = 1_000.0;
 const BUILTIN_SCENARIOS: [&str; 2] = ["lagos", "gujarat"];
 
 /// Input of a plan.
@@ -80,7 +80,7 @@
 
 fn read_factor(arguments: &Arguments) -> Result<f64, CliError> {
     let factor: f64 = arguments.value("factor", ALLOWED_FACTOR)?.unwrap_or(1.0);
-    if (0.0..=MAXIMUM_FACTOR).contains(&factor) {
+    if (0.0..=MAX_FACTOR).contains(&factor) {
         return Ok(factor);
     }
     Err(CliError::invalid_value(
@@ -159,7 +159,7 @@
 ) -> Result<Vec<DrainTarget>, CliError> {
     let paths = arguments.flag_paths(FILE.name);
     let read = read_files(&paths);
-    let mut parsed = parse_over(&read.files, &services_of(scenario));
+    let mut parsed = parse_with_base(&read.files, &services_of(scenario));
     parsed.problems.splice(0..0, read.problems);
     print_error_lines(&parsed.problems);
     if parsed.has_errors() {
--- a/crates/core/src/idempotency/claim/records.rs
+++ b/crates/core/src/idempotency/claim/records.rs
@@ -8,9 +8,9 @@
 use crate::call::IdempotencyKey;
 use crate::idempotency::claim::message::{ClaimId, Fingerprint, OutcomeRecord, RecordedOutcome};
 
-/// Abandoned claims that are kept per key. A claim dropped from this list can at worst take a vote
-/// again, which blocks the key but never dispatches a request.
-const MAXIMUM_ABANDONED: usize = 8;
+/// Maximum number of abandoned claims that are kept per key. A claim dropped from this list can at
+/// worst take a vote again, which blocks the key but never dispatches a request.
+const MAX_ABANDONED_CLAIMS: usize = 8;
 
 /// A vote that a replica has cast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     /// The claim that holds the vote.
     #[serde(rename = "i")]
     pub claim: ClaimId,
-    /// Digest of its request.
+    /// Fingerprint of the request for which the claim was made.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
 }
@@ -61,7 +61,7 @@
         if self.abandoned.contains(&claim) {
             return;
         }
-        if self.abandoned.len() >= MAXIMUM_ABANDONED {
+        if self.abandoned.len() >= MAX_ABANDONED_CLAIMS {
             self.abandoned.remove(0);
         }
         self.abandoned.push(claim);
@@ -76,8 +76,8 @@
     /// Returns the size of the recorded response content in bytes.
     fn content_length(&self) -> usize {
         match self.outcome.as_ref().map(|record| &record.outcome) {
-            Some(RecordedOutcome::Answered(answer)) => {
-                answer.content.as_ref().map_or(0, |content| content.len())
+            Some(RecordedOutcome::Responded(response)) => {
+                response.content.as_ref().map_or(0, |content| content.len())
             }
             Some(RecordedOutcome::Lost) | None => 0,
         }
@@ -86,9 +86,9 @@
     /// Drops the content of the recorded response; its status stays.
     fn drop_content(&mut self) {
         if let Some(record) = &mut self.outcome
-            && let RecordedOutcome::Answered(answer) = &mut record.outcome
+            && let RecordedOutcome::Responded(response) = &mut record.outcome
         {
-            answer.content = None;
+            response.content = None;
         }
     }
 }
--- a/crates/core/src/routing/endpoint_stats.rs
+++ b/crates/core/src/routing/endpoint_stats.rs
@@ -29,7 +29,7 @@
 /// Time after which the observations of an endpoint that gets no calls have no influence.
 const FORGET_AFTER: Duration = Duration::from_secs(5);
 /// Observations required before an endpoint can be ejected.
-const EJECTION_MINIMUM_OBSERVATIONS: u32 = 5;
+const MIN_EJECTION_OBSERVATIONS: u32 = 5;
 /// Share of failures from which an endpoint is ejected.
 const EJECTION_FAILURE_SHARE: f64 = 0.5;
 /// Observations required before earlier ejections are forgotten.
@@ -64,7 +64,7 @@
             && contradicts_capacity(observation, reference);
         blend(&mut self.contradicted, contradicted);
         blend(&mut self.overloaded, observation.overloaded);
-        blend(&mut self.errors, observation.error_answer);
+        blend(&mut self.errors, observation.error_response);
         if !observation.overloaded {
             self.blend_failure(observation.is_failure());
         }
@@ -100,7 +100,7 @@
 
     /// Returns true if enough attempts failed to eject the endpoint.
     pub(super) fn should_eject(&self) -> bool {
-        self.observations >= EJECTION_MINIMUM_OBSERVATIONS && self.failed >= EJECTION_FAILURE_SHARE
+        self.observations >= MIN_EJECTION_OBSERVATIONS && self.failed >= EJECTION_FAILURE_SHARE
     }
 
     /// Returns true if a long run of attempts contained almost no failure.
@@ -139,10 +139,10 @@
         let weight = OBSERVATION_WEIGHT.max(1.0 - influence);
         let sample = match observation.outcome {
             OutcomeClass::NotRun => return,
-            OutcomeClass::Run if observation.error_answer && self.latency_micros.is_none() => {
+            OutcomeClass::Run if observation.error_response && self.latency_micros.is_none() => {
                 return;
             }
-            OutcomeClass::Run if !observation.error_answer => latency,
+            OutcomeClass::Run if !observation.error_response => latency,
             // The attempt was cut short or gave up early, so its latency is a lower bound.
             OutcomeClass::Run | OutcomeClass::Unknown => latency.max(mean),
         };
@@ -168,7 +168,7 @@
 
 fn contradicts_capacity(observation: &Observation, reference: &Reference) -> bool {
     let is_lost = observation.outcome == OutcomeClass::Unknown;
-    if observation.overloaded || observation.error_answer || is_lost {
+    if observation.overloaded || observation.error_response || is_lost {
         return true;
     }
     let latency = observation.latency.as_micros() as f64;
--- a/crates/core/src/routing/observation.rs
+++ b/crates/core/src/routing/observation.rs
@@ -33,12 +33,13 @@
     /// Outcome class of the attempt's result.
     pub outcome: OutcomeClass,
     /// True if the backend's complete response reports a failure, such as a 5xx status.
-    pub error_answer: bool,
+    pub error_response: bool,
     /// True if the endpoint refused the attempt or responded to it as overloaded.
     pub overloaded: bool,
-    /// Load carried by the response.
+    /// Load that the response reported; `None` if it reported none or there was no response.
     pub load: Option<ReportedLoad>,
-    /// Admission level carried by the response.
+    /// Admission level that the response reported; `None` if it reported none or there was no
+    /// response.
     pub level: Option<AdmissionLevel>,
 }
 
--- a/crates/daemon/src/control/claims/coordinate.rs
+++ b/crates/daemon/src/control/claims/coordinate.rs
@@ -7,14 +7,14 @@
 use wharfquay_core::idempotency::claim::coordinator::{
     ClaimedRequest, Coordinator, CoordinatorEffect, CoordinatorSettings, ExecutionOutcome,
 };
-use wharfquay_core::idempotency::claim::message::{Fingerprint, RecordedAnswer};
+use wharfquay_core::idempotency::claim::message::{Fingerprint, RecordedResponse};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::time::Timestamp;
 
-use crate::answer::Failure;
 use crate::clock::wall_clock;
 use crate::control::claims::transport::Delivery;
 use crate::control::claims::{Claims, group};
+use crate::response::Failure;
 
 /// The call for which an idempotency key is to be claimed.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     /// Dispatch the call.
     Dispatch(DispatchPermit),
     /// Replay the recorded response of an earlier request with the same key.
-    Replay(RecordedAnswer),
+    Replay(RecordedResponse),
     /// Refuse the call.
     Refuse(Failure),
 }
--- a/crates/daemon/src/outbound/attempt.rs
+++ b/crates/daemon/src/outbound/attempt.rs
@@ -10,21 +10,21 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::routing::{Observation, ReportedLoad};
 use wharfquay_core::time::Timestamp;
-use wharfquay_protocol::answer::WireAnswer;
 use wharfquay_protocol::context::WireContext;
 use wharfquay_protocol::headers as names;
+use wharfquay_protocol::response::ResponseMetadata;
 
-use crate::answer::{self, Failure};
 use crate::body::{BodyEnd, BodyObserver, RequestBody};
 use crate::clock::Clock;
 use crate::outbound::call::OutgoingCall;
 use crate::outbound::routes::{Route, Target};
 use crate::peers::{PeerError, PeerPool};
+use crate::response::{self, Failure};
 
 /// Largest amount of the remaining time that each hop keeps for itself. The hop nearer to the
 /// backend then times out first, and its more precise result code reaches the caller.
 const HOP_MARGIN: Duration = Duration::from_millis(1);
-/// The margin is at most the remaining time divided by this.
+/// Limits the hop margin to one in this many parts of the time remaining until the deadline.
 const HOP_MARGIN_DIVISOR: u32 = 16;
 
 /// The outcome of an attempt: the head of its response or the failure that replaces it.
@@ -35,7 +35,7 @@
     /// How the retry allowance sent with the attempt is settled.
     pub(crate) allowance: GrantOutcome,
     /// Metadata of the daemon that responded; `None` without a response or without valid metadata.
-    pub(crate) metadata: Option<WireAnswer>,
+    pub(crate) metadata: Option<ResponseMetadata>,
     /// The request body, if no byte of the request was sent.
     pub(crate) unsent: Option<RequestBody>,
 }
@@ -131,16 +131,16 @@
 }
 
 fn read_response(mut response: Response<Incoming>) -> AttemptOutcome {
-    let metadata = answer::take_metadata(response.headers_mut());
-    let result = match answer::result(response.headers()) {
+    let metadata = response::take_metadata(response.headers_mut());
+    let result = match response::result(response.headers()) {
         Some(ResultCode::Answered) => Ok(response),
         Some(code) => {
-            let retry_after = answer::retry_after(response.headers());
+            let retry_after = response::retry_after(response.headers());
             Err(Failure::with_retry_after(code, retry_after))
         }
         None => Err(Failure::new(ResultCode::MalformedAnswer)),
     };
-    let returned = metadata.map(|metadata| GrantOutcome::Returned(metadata.returned));
+    let returned = metadata.map(|metadata| GrantOutcome::Returned(metadata.unused_retries));
     AttemptOutcome {
         result,
         allowance: returned.unwrap_or(GrantOutcome::Lost),
@@ -157,9 +157,9 @@
     target: Target,
     clock: Clock,
     started: Timestamp,
-    metadata: Option<WireAnswer>,
+    metadata: Option<ResponseMetadata>,
     /// True if the backend's response has a 5xx status.
-    error_answer: bool,
+    error_response: bool,
     ended: bool,
 }
 
@@ -171,18 +171,18 @@
             clock,
             started: clock.now(),
             metadata: None,
-            error_answer: false,
+            error_response: false,
             ended: false,
         }
     }
 
-    pub(crate) const fn record_metadata(&mut self, metadata: Option<WireAnswer>) {
+    pub(crate) const fn record_metadata(&mut self, metadata: Option<ResponseMetadata>) {
         self.metadata = metadata;
     }
 
     /// Records the status of the backend's response when its head arrives.
     pub(crate) fn record_response(&mut self, status: StatusCode) {
-        self.error_answer = status.is_server_error();
+        self.error_response = status.is_server_error();
     }
 
     /// Reports that the attempt failed without a response of the backend.
@@ -202,7 +202,7 @@
         let observation = Observation {
             latency: now.saturating_since(self.started),
             outcome,
-            error_answer: self.error_answer,
+            error_response: self.error_response,
             overloaded,
             load: self.metadata.map(|metadata| ReportedLoad {
                 in_flight: metadata.in_flight,
@@ -234,7 +234,7 @@
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         if !self.ended {
-            self.route.abandoned(&self.target.id);
+            self.route.discard_attempt(&self.target.id);
         }
     }
 }
--- a/crates/daemon/src/outbound/forward.rs
+++ b/crates/daemon/src/outbound/forward.rs
@@ -8,13 +8,12 @@
 use wharfquay_core::call::Repeatability;
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::priority::AdmissionLevel;
-use wharfquay_core::retry::{FailureLocation, Grant, RetryDecision, RetryQuestion};
+use wharfquay_core::retry::{FailureLocation, Grant, RetryDecision, RetryInput};
 use wharfquay_core::routing::EndpointId;
 use wharfquay_core::time::Timestamp;
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_protocol::response::ResponseMetadata;
 
-use crate::answer::{Failure, set_result};
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::clock::Clock;
 use crate::headers::remove_hop_by_hop;
 use crate::metrics::Metrics;
@@ -22,6 +21,7 @@
 use crate::outbound::call::{CallBody, OutgoingCall, RetryAccount};
 use crate::outbound::routes::{Route, RouteTable, Target};
 use crate::peers::PeerPool;
+use crate::response::{Failure, set_result};
 use crate::sync::lock;
 
 /// Sends calls to services and retries them within their allowance.
@@ -87,9 +87,9 @@
     }
 
     /// Returns the strictest admission level for a request kind over `services`. The level of a
-    /// service is the stricter one of its endpoints' common level and the level of the path below
-    /// them.
-    pub(crate) fn folded_level<'a>(
+    /// service is the stricter one of its endpoints' common level and the level of the services
+    /// further down the call path.
+    pub(crate) fn strictest_level<'a>(
         &self,
         services: impl Iterator<Item = &'a String>,
         request_kind: &str,
@@ -116,7 +116,7 @@
         &self,
         call: &OutgoingCall,
         body: Incoming,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let route = self.route(call)?;
         self.check_level(call)?;
         let body = self.read_body(call, body).await?;
@@ -128,7 +128,7 @@
         &self,
         call: &OutgoingCall,
         body: CallBody,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let route = self.route(call)?;
         self.run(call, body, &route).await
     }
@@ -154,7 +154,7 @@
         call: &OutgoingCall,
         mut body: CallBody,
         route: &Arc<Route>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let mut attempts = Attempts::default();
         loop {
             let target = self
@@ -177,7 +177,9 @@
         }
     }
 
-    /// Refuses a call that every endpoint of its service, or the path below them, would refuse.
+    /// Refuses a call before its first attempt if the admission levels that were last received from
+    /// the services further down the call path refuse it, or if no endpoint of its service would
+    /// admit it.
     pub(crate) fn check_level(&self, call: &OutgoingCall) -> Result<(), Failure> {
         let now = self.clock.now();
         let key = call.context.admission_key();
@@ -228,7 +230,7 @@
         body: &mut CallBody,
         route: &Arc<Route>,
         target: &Target,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let mut flight = InFlightAttempt::new(route, target, self.clock);
         let sent = body
             .for_attempt()
@@ -261,12 +263,12 @@
         call: &OutgoingCall,
         response: Response<Incoming>,
         flight: InFlightAttempt,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
         set_result(&mut parts.headers, ResultCode::Answered);
         let deadline = self.clock.instant(call.context.deadline);
-        let mut body = AnswerBody::relayed(incoming, deadline);
+        let mut body = ResponseBody::streamed(incoming, deadline);
         body.observe(Box::new(flight));
         Response::from_parts(parts, body)
     }
@@ -274,7 +276,7 @@
     /// Records the level of the path below the endpoint that responded. The endpoint's own level
     /// goes only to the router, because other endpoints of the service may admit what this one
     /// refuses.
-    fn record_path_level(&self, call: &OutgoingCall, target: &Target, metadata: &WireAnswer) {
+    fn record_path_level(&self, call: &OutgoingCall, target: &Target, metadata: &ResponseMetadata) {
         let Some(below) = level_below(metadata.level, metadata.folded_level) else {
             return;
         };
@@ -295,7 +297,7 @@
         let key = call.context.admission_key();
         let mut ledger = lock(&call.account.ledger);
         let backoff = &call.account.backoff;
-        let question = RetryQuestion {
+        let input = RetryInput {
             now,
             deadline: call.context.deadline,
             code: failure.code,
@@ -307,7 +309,7 @@
             backoff: backoff.delay(attempts.retries, &mut rand::rng()),
             expected_latency: std::time::Duration::ZERO,
         };
-        route.authorize(&question, &mut ledger)
+        route.authorize(&input, &mut ledger)
     }
 }
 
@@ -316,7 +318,7 @@
     match outcome {
         GrantOutcome::Unspent => ledger.settle(grant, grant.allowance()),
         GrantOutcome::Returned(returned) => ledger.settle(grant, returned),
-        GrantOutcome::Lost => ledger.lose(grant),
+        GrantOutcome::Lost => ledger.settle_lost(grant),
     };
 }
 
--- a/crates/emulator/src/demo/run.rs
+++ b/crates/emulator/src/demo/run.rs
@@ -53,7 +53,7 @@
 
 /// Sample of the progress of a demonstration.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moment {
+pub struct ProgressSample {
     /// Time since the start of the load.
     pub elapsed: Duration,
     /// True during the surge.
@@ -61,7 +61,7 @@
     /// Counts so far.
     pub progress: Progress,
     /// Counts of the previous sample.
-    pub before: Progress,
+    pub previous: Progress,
 }
 
 /// Starts the deployment, sends the load, calls `observe` with the progress once a second, stops
@@ -71,7 +71,7 @@
 /// [`DeploymentError`] names the part that can't start.
 pub async fn run(
     settings: DemoSettings,
-    observe: impl FnMut(Moment),
+    observe: impl FnMut(ProgressSample),
 ) -> Result<DemoReport, DeploymentError> {
     let resources = settings.resources.clone();
     let deployment = Deployment::start(&settings.scenario, resources, settings.seed).await?;
@@ -90,13 +90,13 @@
     deployment.shutdown().await;
     let audit = Audit::new(&settings.scenario, &report, &records);
     Ok(DemoReport {
-        broken_promises: audit.broken_promises(settings.retry_bound()),
+        broken_promises: audit.violations(settings.retry_bound()),
         load: report,
         audit,
     })
 }
 
-async fn watch(load: &RunningLoad, surge: Surge, mut observe: impl FnMut(Moment)) {
+async fn watch(load: &RunningLoad, surge: Surge, mut observe: impl FnMut(ProgressSample)) {
     let started = Instant::now();
     let mut before = Progress::default();
     let mut interval = tokio::time::interval(PROGRESS_INTERVAL);
@@ -105,11 +105,11 @@
         interval.tick().await;
         let elapsed = started.elapsed();
         let progress = load.progress();
-        observe(Moment {
+        observe(ProgressSample {
             elapsed,
             surge: surge.covers(elapsed),
             progress,
-            before,
+            previous: before,
         });
         before = progress;
     }
--- a/crates/emulator/src/load/run.rs
+++ b/crates/emulator/src/load/run.rs
@@ -47,12 +47,12 @@
     /// Originating requests sent.
     pub sent: u64,
     /// Requests with a complete response in time.
-    pub whole: u64,
+    pub complete: u64,
     /// Requests refused without being executed.
     pub refused: u64,
     /// Requests that were late, failed or have an unknown outcome.
     pub other: u64,
-    /// Originating requests that are completed, with any outcome.
+    /// Originating requests that are no longer in flight, with any outcome.
     pub completed: u64,
 }
 
@@ -134,7 +134,7 @@
         for tally in &self.state.tallies {
             let tally = lock(tally);
             progress.sent += tally.sent;
-            progress.whole += tally.complete;
+            progress.complete += tally.complete;
             progress.refused += tally.refused;
             progress.other += tally.late + tally.unknown + tally.failed;
         }
--- a/crates/emulator/src/simulator/call_path/engine/retries.rs
+++ b/crates/emulator/src/simulator/call_path/engine/retries.rs
@@ -5,7 +5,7 @@
 
 use wharfquay_core::call::RetryAllowance;
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
-use wharfquay_core::retry::{Backoff, FailureLocation, RetryDecision, RetryQuestion, authorize};
+use wharfquay_core::retry::{Backoff, FailureLocation, RetryDecision, RetryInput, authorize};
 use wharfquay_core::routing::PickRequest;
 
 use super::Engine;
@@ -74,7 +74,7 @@
         let repeatability = self.layout.kinds[request.kind].repeatability;
         let deadline = request.deadline;
         let backoff = Backoff::default().delay(retries, &mut self.routing_rng);
-        let retry_request = RetryQuestion {
+        let retry_request = RetryInput {
             now: self.now,
             deadline,
             code,
@@ -88,7 +88,7 @@
         };
         let mut budget = self.nodes[node].budgets[service].clone();
         let decision =
-            self.with_ledger(id, |ledger| authorize(&retry_request, ledger, &mut budget));
+            self.with_retry_ledger(id, |ledger| authorize(&retry_request, ledger, &mut budget));
         self.nodes[node].budgets[service] = budget;
         Some(decision)
     }
--- a/crates/emulator/tests/directory_start.rs
+++ b/crates/emulator/tests/directory_start.rs
@@ -3,7 +3,7 @@
 
 use wharfquay_emulator::experiment::propagation::ControlOptions;
 use wharfquay_emulator::experiment::start::{self, PhaseMeasurements, StrategyMeasurements};
-use wharfquay_membership::directory::{DirectorySettings, ENTRIES};
+use wharfquay_membership::directory::{DIRECTORY_ENTRIES, DirectorySettings};
 
 /// Several times the number of entries that the directory keeps.
 const DAEMONS: usize = 320;
@@ -35,7 +35,7 @@
 fn the_directory_does_not_grow_with_the_deployment() {
     let strategy = bounded_strategy(DAEMONS, 3);
     for phase in &strategy.phases {
-        let most = ENTRIES + DAEMONS / 4;
+        let most = DIRECTORY_ENTRIES + DAEMONS / 4;
         assert!(phase.entries <= most, "{phase:?}");
     }
     let first = phase(&strategy, "first start");
--- a/crates/resources/src/validate/references.rs
+++ b/crates/resources/src/validate/references.rs
@@ -3,7 +3,7 @@
 use crate::kinds::{DrainTarget, RequestKind, ResourceId, ResourceKind};
 use crate::nearest::suggestion;
 use crate::problem::{Finding, ProblemCode};
-use crate::snapshot::{CLAIM_GROUP_IN_USE, Snapshot};
+use crate::snapshot::{CLAIM_GROUP_NAME, Snapshot};
 use crate::validate::KnownResources;
 
 /// Returns every error between the resources of a snapshot.
@@ -55,11 +55,11 @@
     kind: &RequestKind,
 ) -> Option<Finding> {
     let needs_group = kind.idempotency_key_required && !kind.repeatable;
-    if !needs_group || known.contains(ResourceKind::ClaimGroup, CLAIM_GROUP_IN_USE) {
+    if !needs_group || known.contains(ResourceKind::ClaimGroup, CLAIM_GROUP_NAME) {
         return None;
     }
-    let message = format!("true, and there is no claim group \"{CLAIM_GROUP_IN_USE}\"");
-    let allowed = format!("false, or true with a claim_group named \"{CLAIM_GROUP_IN_USE}\"");
+    let message = format!("true, and there is no claim group \"{CLAIM_GROUP_NAME}\"");
+    let allowed = format!("false, or true with a claim_group named \"{CLAIM_GROUP_NAME}\"");
     let finding = Finding::new(
         ProblemCode::ClaimGroupMissing,
         "idempotency_key_required",
@@ -103,16 +103,16 @@
 }
 
 /// Maximum number of names that a message lists.
-const MAXIMUM_LISTED_NAMES: usize = 12;
+const MAX_LISTED_NAMES: usize = 12;
 
 fn describe_known(known: &KnownResources, kind: ResourceKind) -> String {
     let names: Vec<&str> = known.names(kind).collect();
     if names.is_empty() {
         return format!("the name of a {kind}; there is none");
     }
-    let listed = names[..names.len().min(MAXIMUM_LISTED_NAMES)].join(", ");
-    if names.len() > MAXIMUM_LISTED_NAMES {
-        return format!("{listed} and {} more", names.len() - MAXIMUM_LISTED_NAMES);
+    let listed = names[..names.len().min(MAX_LISTED_NAMES)].join(", ");
+    if names.len() > MAX_LISTED_NAMES {
+        return format!("{listed} and {} more", names.len() - MAX_LISTED_NAMES);
     }
     listed
 }
--- a/crates/resources/tests/decision.rs
+++ b/crates/resources/tests/decision.rs
@@ -3,7 +3,7 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::{AdmissionLevel, Rank};
 use wharfquay_resources::decision::{
-    ChosenEndpoint, Circumstances, Decision, DecisionRecord, RequestFacts, decide, replay,
+    ChosenEndpoint, Decision, DecisionContext, DecisionRecord, RequestProperties, decide, replay,
 };
 use wharfquay_resources::parse::{SourceFile, parse};
 use wharfquay_resources::snapshot::{Revision, Snapshot};
@@ -49,8 +49,8 @@
     parsed.snapshot()
 }
 
-fn request(method: &str, path: &str) -> RequestFacts {
-    RequestFacts {
+fn request(method: &str, path: &str) -> RequestProperties {
+    RequestProperties {
         service: "front".to_owned(),
         method: method.to_owned(),
         path: path.to_owned(),
@@ -60,8 +60,8 @@
     }
 }
 
-fn circumstances(level: u16) -> Circumstances {
-    Circumstances {
+fn circumstances(level: u16) -> DecisionContext {
+    DecisionContext {
         level: AdmissionLevel::new(level),
         endpoint: Some(ChosenEndpoint {
             id: "front-1".to_owned(),
@@ -71,8 +71,8 @@
 }
 
 fn kind_of(decision: &Decision) -> Option<&str> {
-    let treatment = decision.treatment.as_ref();
-    treatment.map(|treatment| treatment.request_kind.as_str())
+    let policy = decision.treatment.as_ref();
+    policy.map(|policy| policy.request_kind.as_str())
 }
 
 #[test]
@@ -128,12 +128,12 @@
         let mut request = request("GET", "/items");
         request.deadline_ms = requested;
         let decision = decide(&snapshot, &request, &circumstances(32_768));
-        let treatment = decision.treatment.expect("a match");
-        assert_eq!(treatment.deadline_ms, expected);
+        let policy = decision.treatment.expect("a match");
+        assert_eq!(policy.deadline_ms, expected);
     }
 }
 
-fn record(snapshot: &Snapshot, request: RequestFacts, level: u16) -> DecisionRecord {
+fn record(snapshot: &Snapshot, request: RequestProperties, level: u16) -> DecisionRecord {
     let circumstances = circumstances(level);
     DecisionRecord {
         at_unix_ms: 1,
--- a/crates/resources/tests/parse_errors.rs
+++ b/crates/resources/tests/parse_errors.rs
@@ -2,7 +2,7 @@
 
 use wharfquay_resources::fields::{FieldDefault, fields_of};
 use wharfquay_resources::kinds::ResourceKind;
-use wharfquay_resources::parse::{Parsed, SourceFile, parse, parse_over};
+use wharfquay_resources::parse::{Parsed, SourceFile, parse, parse_with_base};
 use wharfquay_resources::spec::{read_spec, to_spec};
 
 const VALID: &str = r#"
@@ -184,7 +184,7 @@
     },
     Case {
         text: "[[drain]]\nname = \"d\"\ntarget = { service = \"back\" }\n",
-        message: "f:24: drain.d.target: warning: no back end of \"back\" is left, which front need (allowed: a drain of some back ends or of a zone) [5203]",
+        message: "f:24: drain.d.target: warning: no backend of \"back\" is left, which front need (allowed: a drain of some backends or of a zone) [5203]",
     },
     Case {
         text: "[[request_kind]]\nname = \"pay\"\nservice = \"front\"\npriority = 0\ndeadline_ms = 900\nrepeatable = false\n",
@@ -357,7 +357,7 @@
     };
     let base = parse(&[group(3, "'a', 'b', 'c'", "")]).snapshot();
     for (epoch, replicas, previous, expected) in FOLLOWING_GROUPS {
-        let parsed = parse_over(&[group(*epoch, replicas, previous)], &base);
+        let parsed = parse_with_base(&[group(*epoch, replicas, previous)], &base);
         let expected: Vec<String> = expected.iter().map(|&text| text.to_owned()).collect();
         assert_eq!(messages(&parsed), expected);
     }
--- a/crates/sidecar/src/inbound/backend.rs
+++ b/crates/sidecar/src/inbound/backend.rs
@@ -40,9 +40,9 @@
 const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 /// Time for which a backend that refused a connection receives no calls.
 const UNREACHABLE_HOLD: Duration = Duration::from_millis(100);
-/// Calls that may wait at the gate per slot.
+/// Maximum number of calls that wait for admission to the backend, per slot of the backend.
 const QUEUE_PER_SLOT: u32 = 4;
-/// Maximum wait at the gate.
+/// Maximum time for which a call waits for admission to the backend if it sets no limit itself.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(100);
 
 /// Returns the admission settings for an instance with this many slots.
@@ -163,7 +163,7 @@
     /// Number of repeats that the backend may still receive in the current window.
     #[must_use]
     pub fn repeats_left(&self) -> u64 {
-        lock(&self.repeats).left(self.clock.now())
+        lock(&self.repeats).remaining(self.clock.now())
     }
 
     /// Applies the service's settings from the configuration.
@@ -185,14 +185,15 @@
     }
 
     fn matching_instance(&self, id: &InstanceId) -> Option<Arc<OpenInstance>> {
-        self.instance().filter(|instance| instance.id.may_be(id))
+        self.instance()
+            .filter(|instance| instance.id.may_be_same(id))
     }
 
     /// Starts sending work to an instance, or updates its slots if it already receives work.
     pub fn open(&self, id: &InstanceId, slots: Option<u32>) {
         let mut current = lock(&self.instance);
         if let Some(instance) = current.as_ref()
-            && instance.id.may_be(id)
+            && instance.id.may_be_same(id)
             && !instance.is_leaving()
         {
             instance.set_slots(slots.unwrap_or_default());
@@ -203,7 +204,7 @@
         let timed = Arc::clone(&gate);
         let timer = tokio::spawn(async move { timed.run_timer().await });
         let connections = lock(&self.configured).connections as usize;
-        let pool = BackendPool::with_longest_rest(
+        let pool = BackendPool::with_max_idle_time(
             self.address,
             connections,
             CONNECT_TIMEOUT,
--- a/crates/sidecar/src/instance/departures.rs
+++ b/crates/sidecar/src/instance/departures.rs
@@ -3,8 +3,8 @@
 //! A restarted sidecar sends its backend no work until it knows that no earlier process
 //! acknowledged its departure. After all sidecars of a large deployment terminated together, one
 //! store lookup each would cause as many calls as there are sidecars. A few sidecars, the first by
-//! rendezvous score, therefore read all departure records on behalf of those that ask. In a small
-//! deployment they do so for sidecars that the store refuses. A sidecar that acknowledges a
+//! rendezvous score, therefore read all departure records on behalf of those that query them. In a
+//! small deployment they do so for sidecars that the store refuses. A sidecar that acknowledges a
 //! departure also announces it to these readers, which makes it known even if a restored store
 //! lacks its record.
 
@@ -17,7 +17,7 @@
 use wharfquay_core::time::Timestamp;
 use wharfquay_daemon::clock::Clock;
 use wharfquay_daemon::sync::lock;
-use wharfquay_membership::directory::ENTRIES;
+use wharfquay_membership::directory::DIRECTORY_ENTRIES;
 use wharfquay_membership::member::{MemberId, MemberState, rendezvous_score_for};
 use wharfquay_membership::table::MemberTable;
 
@@ -28,7 +28,7 @@
 
 /// Number of sidecars that read the departure records for all others.
 const READER_COUNT: usize = 8;
-/// Number of requests to one reader before the next one is asked. The reader may have to read the
+/// Number of requests to one reader before the next one is queried. The reader may have to read the
 /// records first, and another one would read them as well.
 pub(super) const REQUESTS_PER_READER: usize = 4;
 /// Rendezvous key by which the readers are chosen.
@@ -37,17 +37,19 @@
 const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 /// Timeout of a listing of the departure records.
 const LISTING_TIMEOUT: Duration = Duration::from_millis(800);
-/// Delay between the first request that needs a listing and the listing, which then serves all
-/// sidecars that started by that time.
+/// Delay from the first request that needs a listing until the departure records are listed. A
+/// listing serves the requests of every sidecar that started before it, so the delay lets sidecars
+/// that start together share one.
 const LISTING_DELAY: Duration = Duration::from_millis(40);
-/// Pause after a listing. Requests are repeated every 50 ms, and each listing costs a platform call.
+/// Pause after a listing. Requests are repeated every 50 ms, and each listing costs a platform
+/// call.
 const LISTING_PAUSE: Duration = Duration::from_millis(60);
 /// Uptime up to which a sidecar chooses readers among the entries of the directory. Sidecars that
 /// start together read the same entries, and thus choose the same readers while gossip still
 /// discovers the others.
 const DISCOVERY_TIME: Duration = Duration::from_secs(10);
-/// The same for a sidecar that the directory refuses. By then nearly all sidecars have discovered
-/// nearly all others.
+/// Uptime up to which a sidecar that the directory refuses chooses readers among the entries of the
+/// directory. By then nearly all sidecars have discovered nearly all others.
 const UNLISTED_DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// Maximum number of announced departures that are remembered; beyond it the oldest is dropped.
 /// Backends terminate some seconds after the acknowledgement of their departure.
@@ -84,7 +86,7 @@
         })
     }
 
-    /// Returns the reply to a sidecar with this uptime that asks whether an earlier process
+    /// Returns the reply to the query of a sidecar with this uptime whether an earlier process
     /// acknowledged the departure of an instance. Only a listing that was requested after that
     /// process terminated can prove that none did. If there is none yet and `read_records` is true,
     /// one is requested.
@@ -190,9 +192,9 @@
 }
 
 impl DepartureReaders {
-    /// Asks a reader whether the departure of an instance was acknowledged; `None` if it does not
-    /// know yet. `requests_sent` is the number of earlier requests; `read_records` asks the reader
-    /// to list the departure records for this sidecar.
+    /// Queries a reader for whether the departure of an instance was acknowledged; `None` if it
+    /// does not know yet. `requests_sent` is the number of earlier requests; `read_records`
+    /// requests the reader to list the departure records for this sidecar.
     pub(crate) async fn query(
         &self,
         instance: &InstanceId,
@@ -203,7 +205,9 @@
         let uptime_ms = u64::try_from(uptime.as_millis()).unwrap_or(u64::MAX);
         let request = ExchangeRequest::Departed {
             name: instance.name().to_owned(),
-            started_at_ms: instance.born().map(|born| born.as_millis()),
+            started_at_ms: instance
+                .started_at()
+                .map(|started_at| started_at.as_millis()),
             uptime_ms,
             read_records,
         };
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Index of the first reader that this sidecar asks. It differs between sidecars, which
+    /// Index of the first reader that this sidecar queries. It differs between sidecars, which
     /// distributes the requests evenly.
     fn first_reader_index(&self) -> usize {
         let own_id = MemberId::from(self.exchange.own_id());
@@ -233,7 +237,7 @@
         let listed = self.listed.borrow();
         listed
             .as_ref()
-            .is_some_and(|listed| listed.len() >= ENTRIES)
+            .is_some_and(|listed| listed.len() >= DIRECTORY_ENTRIES)
     }
 
     fn has_other_readers(&self, readers: &[Peer]) -> bool {
@@ -242,12 +246,15 @@
             .any(|reader| reader.id != self.exchange.own_id())
     }
 
-    /// Announces to the readers that a departure was acknowledged.
+    /// Announces to the sidecars that read the departure records that the departure of `instance`
+    /// was acknowledged.
     pub(crate) fn announce(&self, instance: &InstanceId) {
         for reader in self.all_readers() {
             let notice = Notice::Departed {
                 name: instance.name().to_owned(),
-                started_at_ms: instance.born().map(|born| born.as_millis()),
+                started_at_ms: instance
+                    .started_at()
+                    .map(|started_at| started_at.as_millis()),
             };
             self.exchange.notify(&reader, notice);
         }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -110,15 +110,16 @@
 /// Values that are sampled when the metrics are rendered.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
-    /// Calls in execution, concurrency limit, and calls waiting for admission.
+    /// Load of the local backend: number of calls in execution, maximum number of calls that it may
+    /// execute concurrently, and number of calls waiting for admission.
     pub load: (u32, u32, u32),
-    /// Admission level of the local backend.
+    /// Admission level of the local backend, from 0 (admits no call) to 32768 (admits every call).
     pub level: u16,
     /// Version of the configuration in force; zero if there is none.
     pub version: u64,
     /// Time since the configuration came into force.
     pub configuration_age: Duration,
-    /// Numbers of sidecars by the name of their state.
+    /// Number of known sidecars in each member state, with the name of the state.
     pub members: Vec<(&'static str, i64)>,
     /// True if callers may be sent to this sidecar.
     pub is_ready: bool,
@@ -128,7 +129,8 @@
     pub repeats_left: u64,
     /// Time since the last confirmation of the configuration; `None` if it was never confirmed.
     pub confirmed_age: Option<Duration>,
-    /// Numbers of suspects and of quarantined requests.
+    /// Number of suspects (requests executed one at a time after a backend terminated while
+    /// executing them) and number of quarantined requests that are known here.
     pub quarantine: (usize, usize),
 }
 
@@ -154,7 +156,7 @@
     tenant_requests: IntCounterVec,
     named_tenants: Mutex<HashSet<String>>,
     confirmed_age: IntGauge,
-    instances_ended: IntCounter,
+    instances_terminated: IntCounter,
     quarantine: IntGaugeVec,
 }
 
@@ -244,14 +246,14 @@
                 .counters("wharfquay_tenant_requests_total", &["tenant", "result"])?,
             named_tenants: Mutex::default(),
             confirmed_age: registrar.gauge("wharfquay_configuration_confirmed_age_seconds")?,
-            instances_ended: registrar.counter("wharfquay_instances_ended_total")?,
+            instances_terminated: registrar.counter("wharfquay_instances_ended_total")?,
             quarantine: registrar.gauges("wharfquay_quarantine_requests", &["standing"])?,
             registry: registrar.0,
         })
     }
 
     /// Counts a request that received its final response.
-    pub fn request_ended(&self, route: &str, result: ResultCode, took: Duration) {
+    pub fn request_completed(&self, route: &str, result: ResultCode, took: Duration) {
         self.requests
             .with_label_values(&[route, result.name()])
             .inc();
@@ -260,7 +262,7 @@
     }
 
     /// Counts a request of a tenant that received its final response.
-    pub fn tenant_request_ended(&self, tenant: &str, result: ResultCode) {
+    pub fn tenant_request_completed(&self, tenant: &str, result: ResultCode) {
         let mut named = lock(&self.named_tenants);
         let is_named = named.contains(tenant)
             || (named.len() < MAX_NAMED_TENANTS && named.insert(tenant.to_owned()));
@@ -271,7 +273,7 @@
     }
 
     /// Counts a completed attempt.
-    pub fn attempt_ended(&self, target: &str, result: ResultCode) {
+    pub fn attempt_completed(&self, target: &str, result: ResultCode) {
         self.attempts
             .with_label_values(&[target, result.name()])
             .inc();
@@ -282,21 +284,21 @@
         self.retries.with_label_values(&[service]).inc();
     }
 
-    /// Counts a failed attempt that is not followed by another.
-    pub fn gave_up(&self, service: &str, reason: &str) {
+    /// Counts a failed attempt that is not followed by another, by the reason for it.
+    pub fn record_no_retry(&self, service: &str, reason: &str) {
         self.given_up.with_label_values(&[service, reason]).inc();
     }
 
     /// Counts a completed call for the local backend.
-    pub fn call_ended(&self, result: ResultCode, queued: Duration, took: Duration) {
+    pub fn call_completed(&self, result: ResultCode, queued: Duration, took: Duration) {
         self.calls.with_label_values(&[result.name()]).inc();
         self.queue_seconds.observe(queued.as_secs_f64());
         self.call_seconds.observe(took.as_secs_f64());
     }
 
     /// Counts an instance of the local backend that terminated without announcing it.
-    pub fn instance_ended(&self) {
-        self.instances_ended.inc();
+    pub fn count_unannounced_termination(&self) {
+        self.instances_terminated.inc();
     }
 
     /// Counts a call to the platform.
--- a/crates/sidecar/src/outbound/forward.rs
+++ b/crates/sidecar/src/outbound/forward.rs
@@ -11,13 +11,13 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::priority::{AdmissionKey, AdmissionLevel};
 use wharfquay_core::retry::{
-    Backoff, FailureLocation, GiveUpReason, Grant, Ledger, RetryDecision, RetryQuestion, decide,
+    Backoff, FailureLocation, GiveUpReason, Grant, Ledger, RetryDecision, RetryInput, decide,
 };
 use wharfquay_core::routing::EndpointId;
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::{AnswerBody, RequestBody};
+use wharfquay_daemon::body::{RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 use wharfquay_protocol::context::Callee;
 
@@ -40,17 +40,18 @@
 /// State of a call in progress, for the result that its caller receives at the deadline.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
-    may_run: AtomicBool,
+    may_have_executed: AtomicBool,
 }
 
 impl Progress {
-    /// True if a backend may have executed the call or may still be executing it.
-    pub(crate) fn may_run(&self) -> bool {
-        self.may_run.load(Ordering::Relaxed)
+    /// Returns true if a backend may have executed the call or may still be executing it.
+    pub(crate) fn may_have_executed(&self) -> bool {
+        self.may_have_executed.load(Ordering::Relaxed)
     }
 
-    fn set(&self, may_run: bool) {
-        self.may_run.store(may_run, Ordering::Relaxed);
+    fn set(&self, may_have_executed: bool) {
+        self.may_have_executed
+            .store(may_have_executed, Ordering::Relaxed);
     }
 }
 
@@ -115,9 +116,9 @@
     attempted: Vec<EndpointId>,
     offers: usize,
     arrivals: u32,
-    /// Backends that terminated while they executed the call.
-    ended_backends: u8,
-    /// Result of an attempt that may have been executed.
+    /// Number of backends that terminated while they executed the call.
+    terminated_backends: u8,
+    /// Failure of an attempt that may have been executed; `None` if there was none.
     uncertain: Option<Failure>,
 }
 
@@ -128,7 +129,7 @@
             attempted: Vec::new(),
             offers: 0,
             arrivals: 0,
-            ended_backends: 0,
+            terminated_backends: 0,
             uncertain: None,
         }
     }
@@ -143,7 +144,7 @@
         CallContext {
             admitted_below: self.admitted_below,
             is_repeat: call.is_repeat || self.arrivals > 0,
-            ended_backends: self.ended_backends,
+            terminated_backends: self.terminated_backends,
             ..attempt_context(call, now, allowance)
         }
     }
@@ -154,7 +155,7 @@
             self.uncertain = Some(failure);
         }
         if failure.code == ResultCode::BackendEnded {
-            self.ended_backends = self.ended_backends.saturating_add(1);
+            self.terminated_backends = self.terminated_backends.saturating_add(1);
         }
         if reached_backend(failure.code) {
             self.arrivals += 1;
@@ -234,7 +235,7 @@
         &self,
         call: &OutgoingCall,
         body: CallBody,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let router = self.routing.service(&call.service).ok_or_else(|| {
             Failure::with_retry_after(ResultCode::NoBackend, NO_SIDECAR_RETRY_AFTER)
         })?;
@@ -267,7 +268,7 @@
         mut body: CallBody,
         router: &Arc<ServiceRouter>,
         admitted_below: AdmissionLevel,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let mut attempts = Attempts::new(admitted_below);
         loop {
             let target = self
@@ -285,8 +286,9 @@
             let after = match self.retry_delay(call, &body, router, &attempts, failure) {
                 Ok(after) => after,
                 Err(reason) => {
-                    self.metrics.gave_up(&call.service, &reason.to_string());
-                    call.report.gave_up(reason);
+                    self.metrics
+                        .record_no_retry(&call.service, &reason.to_string());
+                    call.report.record_no_retry(reason);
                     return Err(attempts.conclude(failure));
                 }
             };
@@ -345,7 +347,7 @@
         router: &Arc<ServiceRouter>,
         target: &Target,
         attempts: &Attempts,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let flight = InFlightAttempt::new(router, target, self.clock);
         let started = self.clock.now();
         let sent = body
@@ -374,7 +376,7 @@
         let code = outcome.result.as_ref().err().map(|failure| failure.code);
         let code = code.unwrap_or(ResultCode::Answered);
         call.report.attempted(&target.id, started, code);
-        self.metrics.attempt_ended(target.id.as_str(), code);
+        self.metrics.attempt_completed(target.id.as_str(), code);
         if let Some(unsent) = outcome.unsent {
             body.restore(unsent);
         }
@@ -390,7 +392,7 @@
         let executed = self.local.execute(context, &call.head, body).await;
         AttemptOutcome {
             result: executed.result,
-            returned: Some(executed.metadata.returned),
+            returned: Some(executed.metadata.unused_retries),
             metadata: Some(executed.metadata),
             unsent: None,
         }
@@ -426,7 +428,7 @@
             return Err(NoRetry::AttemptsSpent);
         }
         let mut ledger = lock(&call.ledger);
-        let question = RetryQuestion {
+        let input = RetryInput {
             now,
             deadline: call.context.deadline,
             code: failure.code,
@@ -439,7 +441,7 @@
             backoff: Backoff::default().delay(attempts.arrivals, &mut rand::rng()),
             expected_latency: Duration::ZERO,
         };
-        match decide(&question) {
+        match decide(&input) {
             RetryDecision::Retry { after } if ledger.try_spend_retry() => Ok(after),
             RetryDecision::Retry { .. } => Err(NoRetry::GivenUp(GiveUpReason::AllowanceSpent)),
             RetryDecision::GiveUp(reason) => Err(NoRetry::GivenUp(reason)),
@@ -451,7 +453,7 @@
     let mut ledger = lock(ledger);
     match outcome.returned {
         Some(returned) => ledger.settle(grant, returned),
-        None => ledger.lose(grant),
+        None => ledger.settle_lost(grant),
     };
 }
 
--- a/crates/sidecar/src/outbound/handler.rs
+++ b/crates/sidecar/src/outbound/handler.rs
@@ -11,10 +11,10 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::{AdmissionLevel, Priority};
 use wharfquay_core::retry::Ledger;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::{AnswerBody, RequestBody};
+use wharfquay_daemon::body::{RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
-use wharfquay_daemon::headers::remove_internal_request;
+use wharfquay_daemon::headers::remove_internal_request_headers;
+use wharfquay_daemon::response::Failure;
 
 use super::forward::{CallBody, Forwarder, OutgoingCall, Progress};
 use super::identity::identify_tenant;
@@ -61,7 +61,7 @@
 
 impl OutboundHandler {
     /// Returns the final response to a request.
-    pub(crate) async fn handle(&self, request: Request<RequestBody>) -> Response<AnswerBody> {
+    pub(crate) async fn handle(&self, request: Request<RequestBody>) -> Response<ResponseBody> {
         let request_id = request.headers().get(&self.dialect.request_id).cloned();
         let response = match self.respond(request).await {
             Ok(response) => response,
@@ -73,9 +73,9 @@
     /// Copies the request id into the sidecar's own responses, as backends do in theirs.
     fn set_request_id(
         &self,
-        mut response: Response<AnswerBody>,
+        mut response: Response<ResponseBody>,
         request_id: Option<HeaderValue>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         if let Some(id) = request_id {
             let name = self.dialect.request_id.clone();
             response.headers_mut().entry(name).or_insert(id);
@@ -86,7 +86,7 @@
     async fn respond(
         &self,
         request: Request<RequestBody>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let index = self.configuration.borrow().clone();
         if index.configuration.version == 0 {
             let code = ResultCode::NotReady;
@@ -99,9 +99,9 @@
         let code = code.unwrap_or(ResultCode::Answered);
         let report = prepared.call.report;
         let metrics = &self.forwarder.metrics;
-        metrics.request_ended(report.route(), code, report.elapsed());
+        metrics.request_completed(report.route(), code, report.elapsed());
         if let Some(tenant) = report.tenant() {
-            metrics.tenant_request_ended(tenant, code);
+            metrics.tenant_request_completed(tenant, code);
         }
         write_report(report, &result);
         result
@@ -112,18 +112,18 @@
         &self,
         call: &OutgoingCall,
         body: RequestBody,
-    ) -> Result<Response<AnswerBody>, Failure> {
+    ) -> Result<Response<ResponseBody>, Failure> {
         let forwarding = self.forwarder.forward(call, CallBody::new(body));
         match self
             .clock
             .timeout_at(call.context.deadline, forwarding)
             .await
         {
-            Ok(Err(failure)) if is_timeout(failure.code) && !call.progress.may_run() => {
+            Ok(Err(failure)) if is_timeout(failure.code) && !call.progress.may_have_executed() => {
                 Err(not_dispatched_in_time())
             }
             Ok(result) => result,
-            Err(_) if call.progress.may_run() => {
+            Err(_) if call.progress.may_have_executed() => {
                 Err(Failure::new(ResultCode::DeadlineAfterDispatch))
             }
             Err(_) => Err(not_dispatched_in_time()),
@@ -251,7 +251,7 @@
     /// Sets the headers that identify the sender, replacing values that the sender wrote. API keys
     /// are not forwarded to backends.
     fn set_identity(&self, headers: &mut HeaderMap, index: &RouteIndex, tenant: Option<&Tenant>) {
-        remove_internal_request(headers);
+        remove_internal_request_headers(headers);
         headers.remove(&self.dialect.target_instance);
         let caller = self.dialect.caller_service.clone();
         headers.insert(caller, self.caller_service.clone());
@@ -287,7 +287,7 @@
                 deadline: deadline.min(scope.context.deadline),
                 allowance: RetryAllowance::NONE,
                 repeatability,
-                ended_backends: 0,
+                terminated_backends: 0,
                 ..scope.context.clone()
             },
             None => {
@@ -305,7 +305,7 @@
                     admitted_below: AdmissionLevel::OPEN,
                     is_repeat: false,
                     fingerprint: None,
-                    ended_backends: 0,
+                    terminated_backends: 0,
                 }
             }
         }
@@ -322,7 +322,7 @@
     authority.or(named).map(str::to_owned)
 }
 
-/// Derives the origin of a request: the 128-bit FNV-1a hash of the id that its user assigned.
+/// Derives the origin of a request: the 128-bit FNV-1a hash of the id that its client assigned.
 fn origin(root: &str) -> OriginId {
     const OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
     const PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013B;
@@ -333,9 +333,9 @@
 }
 
 /// Logs the result of a request.
-fn write_report(report: RequestReport, result: &Result<Response<AnswerBody>, Failure>) {
+fn write_report(report: RequestReport, result: &Result<Response<ResponseBody>, Failure>) {
     match result {
-        Ok(response) => report.answered(response.status()),
+        Ok(response) => report.responded(response.status()),
         Err(failure) => report.failed(*failure, status_of(failure.code)),
     }
 }
@@ -359,7 +359,7 @@
 
 impl DownstreamWait {
     fn start(scope: &Arc<Scope>) -> Self {
-        scope.gate.downstream_started(scope.ticket);
+        scope.gate.downstream_call_started(scope.ticket);
         Self {
             scope: Arc::clone(scope),
         }
@@ -368,6 +368,6 @@
 
 impl Drop for DownstreamWait {
     fn drop(&mut self) {
-        self.scope.gate.downstream_ended(self.scope.ticket);
+        self.scope.gate.downstream_call_completed(self.scope.ticket);
     }
 }
--- a/crates/sidecar/src/outbound/routing.rs
+++ b/crates/sidecar/src/outbound/routing.rs
@@ -13,19 +13,20 @@
     Zone,
 };
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 use wharfquay_membership::member::{Member, MemberProfile, MemberState};
 use wharfquay_membership::table::MemberTable;
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_protocol::response::ResponseMetadata;
 
 /// Number of concurrent executions assumed for an endpoint that has not reported its limit.
 const ASSUMED_SLOTS: u32 = 16;
 /// Time for which an endpoint that refused a call as leaving receives no calls.
 const LEAVING_HOLD: Duration = Duration::from_millis(700);
-/// Lifetime of reported path levels. An edge that admits few requests of a kind receives few
-/// responses that could update the level; a level that reopened between two responses would admit a
+/// Times for which the admission levels that services further down the call path report are used.
+/// They are longer than the default: a sidecar that admits few requests of a kind receives few
+/// responses that update the level, and a level that reopened between two of them would admit a
 /// burst.
 const PATH_TIMING: PathTiming = PathTiming {
     fresh_for: Duration::from_millis(500),
@@ -143,7 +144,9 @@
         lock(&self.state).router.can_pick(now, &request)
     }
 
-    /// Returns the level of the most open endpoint.
+    /// Returns the common admission level of the service's endpoints ([`AdmissionLevel::common`]).
+    /// Endpoints that receive no calls for a while after a refusal or a termination are not
+    /// counted. Open if there are no others.
     pub fn level(&self, now: Timestamp) -> AdmissionLevel {
         lock(&self.state).router.level(now)
     }
@@ -154,8 +157,8 @@
     }
 
     /// Records the end of an attempt that provides no information about the endpoint.
-    pub fn abandoned(&self, endpoint: &EndpointId) {
-        lock(&self.state).router.abandoned(endpoint);
+    pub fn discard_attempt(&self, endpoint: &EndpointId) {
+        lock(&self.state).router.discard_attempt(endpoint);
     }
 
     /// Stops calls to an endpoint for a while after it refused one because it can't take any.
@@ -278,7 +281,7 @@
         service: &str,
         request_kind: &str,
         from: &EndpointId,
-        metadata: &WireAnswer,
+        metadata: &ResponseMetadata,
     ) {
         let Some(below) = level_below(metadata.level, metadata.folded_level) else {
             return;
