--- a/crates/core/src/idempotency/claim/interface.rs
+++ b/crates/core/src/idempotency/claim/interface.rs
@@ -4,7 +4,7 @@
 
 use crate::call::IdempotencyKey;
 use crate::idempotency::claim::group::ReplicaId;
-use crate::idempotency::claim::message::{Fingerprint, RecordedAnswer, ReplicaRequest};
+use crate::idempotency::claim::message::{Fingerprint, RecordedResponse, ReplicaRequest};
 use crate::outcome::ResultCode;
 use crate::time::Timestamp;
 
@@ -13,9 +13,10 @@
 pub struct CoordinatorSettings {
     /// Time to wait for a majority of replies before the request is refused.
     pub claim_timeout: Duration,
-    /// Shortest time after which a vote that was not granted is requested again.
+    /// Time, before jitter, after which a vote that was not granted is first requested again. It
+    /// doubles with each further request.
     pub retransmit_after: Duration,
-    /// Longest time after which a vote is requested again.
+    /// Maximum time, before jitter, after which a vote that was not granted is requested again.
     pub maximum_retransmit_after: Duration,
     /// Time for which withdrawals and outcomes are retransmitted until every replica acknowledged
     /// them.
@@ -41,7 +42,7 @@
 pub struct ClaimedRequest {
     /// Key chosen by the caller.
     pub key: IdempotencyKey,
-    /// Digest of the request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Time after which the request must neither wait nor be dispatched.
     pub give_up_at: Timestamp,
@@ -55,7 +56,7 @@
     /// It is not known whether the request was executed.
     Unknown,
     /// Executed, with this response.
-    Run(RecordedAnswer),
+    Run(RecordedResponse),
 }
 
 /// An action that the driver of a coordinator has to perform.
@@ -71,7 +72,7 @@
     /// Dispatch the request immediately, then call [`Coordinator::complete`].
     Dispatch,
     /// Respond to the caller with the recorded response of the request's earlier execution.
-    Replay(RecordedAnswer),
+    Replay(RecordedResponse),
     /// Respond to the caller with this code.
     Refuse {
         /// Reason of the refusal.
--- a/crates/core/src/retry/ledger.rs
+++ b/crates/core/src/retry/ledger.rs
@@ -28,7 +28,7 @@
 /// Result of settling a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// The grant is closed and this part of it is available again.
+    /// The grant is closed. This many of its units were unused and are available again.
     Settled(RetryAllowance),
     /// The grant was already settled, or the ledger is closed; nothing changed.
     Ignored,
@@ -110,7 +110,7 @@
     }
 
     /// Closes a grant whose response is lost: all of it counts as spent.
-    pub fn lose(&mut self, grant: Grant) -> Settlement {
+    pub fn settle_lost(&mut self, grant: Grant) -> Settlement {
         self.settle(grant, RetryAllowance::NONE)
     }
 
--- a/crates/core/tests/retry_support/call_tree.rs
+++ b/crates/core/tests/retry_support/call_tree.rs
@@ -8,12 +8,12 @@
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::retry::{
     AllowanceSplit, BudgetSettings, DestinationBudget, FailureLocation, Grant, Ledger,
-    RetryDecision, RetryQuestion, authorize,
+    RetryDecision, RetryInput, authorize,
 };
 use wharfquay_core::time::Timestamp;
 
 /// Steps after which a run is aborted; a tree that is still running then is a fault.
-const MAXIMUM_STEPS: usize = 20_000;
+const MAX_STEPS: usize = 20_000;
 
 /// Shape and faults of one tree.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
 pub(crate) struct TreeReport {
     pub(crate) attempts: usize,
     pub(crate) retries: usize,
-    /// Largest number of units that existed at any time: spent on retries, held by ledgers or in
+    /// Maximum number of units that existed at any time: spent on retries, held by ledgers or in
     /// flight in responses.
     pub(crate) most_units: usize,
 }
@@ -95,16 +95,13 @@
 
     /// Runs the tree until no call runs and no response is in flight.
     pub(crate) fn run(mut self) -> TreeReport {
-        for _ in 0..MAXIMUM_STEPS {
+        for _ in 0..MAX_STEPS {
             self.check_units();
             if !self.step() {
                 return self.report;
             }
         }
-        panic!(
-            "still running after {MAXIMUM_STEPS} steps: {:?}",
-            self.report
-        );
+        panic!("still running after {MAX_STEPS} steps: {:?}", self.report);
     }
 
     fn step(&mut self) -> bool {
@@ -235,7 +232,7 @@
         let call = &mut self.calls[caller];
         let chosen = self.rng.random_range(0..call.waiting.len());
         let grant = call.waiting.swap_remove(chosen);
-        call.ledger.lose(grant);
+        call.ledger.settle_lost(grant);
         self.consider_retry(caller, ResultCode::ConnectionLost);
     }
 
@@ -246,7 +243,7 @@
     }
 
     fn consider_retry(&mut self, caller: usize, code: ResultCode) {
-        let question = RetryQuestion {
+        let input = RetryInput {
             now: Timestamp::ZERO,
             deadline: Timestamp::from_millis(1_000_000),
             code,
@@ -259,7 +256,7 @@
             expected_latency: Duration::ZERO,
         };
         let ledger = &mut self.calls[caller].ledger;
-        if let RetryDecision::Retry { .. } = authorize(&question, ledger, &mut self.budget) {
+        if let RetryDecision::Retry { .. } = authorize(&input, ledger, &mut self.budget) {
             self.report.retries += 1;
             self.attempt_child(caller);
         }
--- a/crates/daemon/src/control/readers.rs
+++ b/crates/daemon/src/control/readers.rs
@@ -84,13 +84,16 @@
                 log_event!(Event::ConfigurationReadFailed, "error={}", Quoted(error));
                 ReadResult::Unavailable
             }
-            SourceEvent::OlderStore { seen, answered } => {
-                let (seen, answered) = (seen.number(), answered.number());
+            SourceEvent::OlderStore {
+                seen,
+                replied_revision,
+            } => {
+                let (seen, replied_revision) = (seen.number(), replied_revision.number());
                 log_event!(
                     Event::ConfigurationOlderIgnored,
-                    "found={answered} in_force={seen}"
+                    "found={replied_revision} in_force={seen}"
                 );
-                ReadResult::Report(StoreReport::Revision(answered))
+                ReadResult::Report(StoreReport::Revision(replied_revision))
             }
             SourceEvent::DivergedStore { revision } => {
                 log_event!(Event::StoreDiverged, "revision={}", revision.number());
@@ -149,9 +152,10 @@
         self.objects.insert(id, object);
     }
 
-    /// Creates the report of a revision: a delta to the configuration in force, which spares the
-    /// peers a full snapshot. A full snapshot is reported if the relay requested one or nothing is
-    /// in force.
+    /// Validates the objects that were read and creates the report to the configuration relay, which
+    /// passes the revision on to the other daemons. The report has a delta to `in_force`, which spares
+    /// them a full snapshot, or a full snapshot if the relay requested one or nothing is in force
+    /// yet. For a revision that is not newer than `in_force` it has only the revision's number.
     fn report(&mut self, revision: Revision, in_force: &Snapshot) -> ReadResult {
         if revision <= in_force.revision {
             return ReadResult::Report(StoreReport::Revision(revision.number()));
--- a/crates/daemon/src/edge/mod.rs
+++ b/crates/daemon/src/edge/mod.rs
@@ -15,18 +15,18 @@
 use wharfquay_core::priority::{AdmissionLevel, Priority, Rank};
 use wharfquay_core::retry::Ledger;
 use wharfquay_protocol::headers as names;
-use wharfquay_resources::decision::{RequestFacts, Treatment};
+use wharfquay_resources::decision::{RequestPolicy, RequestProperties};
 use wharfquay_resources::kinds::RequestKind;
 use wharfquay_resources::snapshot::Snapshot;
 
-use crate::answer::Failure;
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::decisions::DecisionTrace;
 use crate::events::{Event, log_event};
 use crate::metrics::{Admission, Side};
 use crate::node::Node;
 use crate::outbound::call::{OutgoingCall, RequestHead, RetryAccount, backoff_for};
 use crate::request::{check_head_size, service_name};
+use crate::response::Failure;
 
 /// Retry-After of refusals while this edge is stopping.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -46,7 +46,7 @@
         Self { node }
     }
 
-    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let call = self.node.begin_call();
         let method = request.method().clone();
         let cancellation = self.node.cancellation_guard(Side::Edge);
@@ -57,7 +57,7 @@
         response
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<ResponseBody>, Failure> {
         check_head_size(&request, self.node.settings.limits.header_bytes)?;
         let snapshot = self.open_configuration().map_err(|failure| {
             let keyed = request.headers().contains_key(names::IDEMPOTENCY_KEY);
@@ -70,8 +70,8 @@
         let service = service_name(&request)?;
         let origin = OriginId::from_u128(Uuid::now_v7().as_u128());
         let decisions = &self.node.decisions;
-        let facts = || request_facts(&service, &request, origin);
-        let trace = decisions.trace(origin, snapshot.revision, facts);
+        let properties = || request_properties(&service, &request, origin);
+        let trace = decisions.trace(origin, snapshot.revision, properties);
         let kind = snapshot
             .match_request(&service, request.method().as_str(), request.uri().path())
             .ok_or_else(|| refuse(&trace, ResultCode::UnknownService))?;
@@ -104,7 +104,11 @@
         result
     }
 
-    fn count_admission(&self, priority: Priority, result: &Result<Response<AnswerBody>, Failure>) {
+    fn count_admission(
+        &self,
+        priority: Priority,
+        result: &Result<Response<ResponseBody>, Failure>,
+    ) {
         let is_refused = result
             .as_ref()
             .is_err_and(|failure| failure.code.outcome() == OutcomeClass::NotRun);
@@ -156,7 +160,7 @@
         let time_to_deadline_ms = time_to_deadline_ms(kind, headers)?;
         let budget = snapshot.retry_budget_for(kind);
         let retries = budget.map_or(0, |budget| budget.retries_per_request);
-        trace.record_treatment(|| Treatment {
+        trace.record_policy(|| RequestPolicy {
             request_kind: kind.name.clone(),
             priority: kind.priority,
             deadline_ms: time_to_deadline_ms,
@@ -183,7 +187,7 @@
             admitted_below: AdmissionLevel::OPEN,
             is_repeat: false,
             fingerprint: None,
-            ended_backends: 0,
+            terminated_backends: 0,
         })
     }
 }
@@ -195,9 +199,13 @@
 }
 
 /// Returns the properties of a request that its decision record contains.
-fn request_facts<B>(service: &str, request: &Request<B>, origin: OriginId) -> RequestFacts {
+fn request_properties<B>(
+    service: &str,
+    request: &Request<B>,
+    origin: OriginId,
+) -> RequestProperties {
     let headers = request.headers();
-    RequestFacts {
+    RequestProperties {
         service: service.to_owned(),
         method: request.method().as_str().to_owned(),
         path: request.uri().path().to_owned(),
--- a/crates/emulator/src/simulator/call_path/engine/execution.rs
+++ b/crates/emulator/src/simulator/call_path/engine/execution.rs
@@ -125,7 +125,7 @@
             execution.next_call += count;
         }
         for _ in &callees {
-            self.downstream_started(id);
+            self.downstream_call_started(id);
         }
         for callee in callees {
             if self.executions.get(id).is_none() {
@@ -135,13 +135,13 @@
         }
     }
 
-    fn downstream_started(&mut self, id: ExecutionId) {
+    fn downstream_call_started(&mut self, id: ExecutionId) {
         let now = self.now;
         let Some(execution) = self.executions.get(id) else {
             return;
         };
         if let Some(admission) = &mut self.nodes[execution.node].admission {
-            admission.downstream_started(now, CallTicket(id.as_u64()));
+            admission.downstream_call_started(now, CallTicket(id.as_u64()));
         }
     }
 
@@ -162,7 +162,7 @@
         let failed = execution.failed;
         let node = execution.node;
         if let Some(admission) = &mut self.nodes[node].admission {
-            admission.downstream_ended(now, CallTicket(id.as_u64()));
+            admission.downstream_call_completed(now, CallTicket(id.as_u64()));
         }
         if failed {
             self.finish_execution(id, Some(call_result));
--- a/crates/emulator/src/simulator/control/daemon.rs
+++ b/crates/emulator/src/simulator/control/daemon.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 use wharfquay_core::time::Timestamp;
 use wharfquay_membership::counters::Counters;
-use wharfquay_membership::directory::Enrolment;
+use wharfquay_membership::directory::DirectoryRegistration;
 use wharfquay_membership::node::Node;
 
 /// Number of messages that are buffered for a frozen process, as in a socket's receive buffer.
@@ -56,7 +56,7 @@
     /// True if the relay has requested a whole configuration from this reader.
     pub(super) snapshot_requested: bool,
     /// State of the process's registration in the platform's directory.
-    pub(super) registration: Option<Enrolment>,
+    pub(super) registration: Option<DirectoryRegistration>,
     /// Random source of the daemon.
     pub(super) random: Pcg64Mcg,
     /// Sender and content of the messages that arrived while the process was frozen.
--- a/crates/emulator/src/simulator/control/directory.rs
+++ b/crates/emulator/src/simulator/control/directory.rs
@@ -7,7 +7,7 @@
 use rand::seq::SliceRandom;
 use wharfquay_core::time::Timestamp;
 use wharfquay_membership::directory::{
-    DirectorySettings, DirectoryStep, Enrolment, ListingAge, OwnEntry,
+    DirectoryRegistration, DirectorySettings, DirectoryStep, EntryState, ListingFreshness,
 };
 use wharfquay_membership::gossip::Seed;
 
@@ -27,11 +27,12 @@
 #[derive(Clone, Debug)]
 pub struct Directory {
     settings: DirectorySettings,
-    /// Age of a listing that may be stale: it lacks the entries written more recently.
+    /// Age of the listings for which the caller accepts stale data: such a listing lacks the entries written
+    /// more recently.
     pub staleness: Duration,
     /// Percentage of the daemons whose calls are refused until `refused_until`.
     pub refused_percent: usize,
-    /// End of the refusals.
+    /// Time until which the directory refuses calls of `refused_percent` of the daemons.
     pub refused_until: Timestamp,
     /// True while processes that start belong to the first start of the deployment.
     pub is_first_start: bool,
@@ -87,10 +88,10 @@
         now < self.refused_until && daemon * STEP % 100 < self.refused_percent
     }
 
-    fn list(&mut self, now: Timestamp, age: ListingAge) -> Vec<usize> {
+    fn list(&mut self, now: Timestamp, age: ListingFreshness) -> Vec<usize> {
         let (min_age, cost) = match age {
-            ListingAge::MayBeStale => (self.staleness, STALE_LISTING_COST),
-            ListingAge::Latest => (Duration::ZERO, 1.0),
+            ListingFreshness::MayBeStale => (self.staleness, STALE_LISTING_COST),
+            ListingFreshness::Latest => (Duration::ZERO, 1.0),
         };
         let entries = self.entries.iter();
         let shown = entries.filter(|(_, written_at)| **written_at + min_age <= now);
@@ -121,7 +122,7 @@
         };
         let daemon = &mut self.daemons[index];
         let id = self.topology.profile(index).id;
-        let registration = Enrolment::new(
+        let registration = DirectoryRegistration::new(
             directory.settings.clone(),
             id,
             directory.is_first_start,
@@ -146,7 +147,7 @@
             let daemon = &mut self.daemons[index];
             let notified_at = now + super::random_delay(delay, &mut daemon.random);
             if let Some(registration) = daemon.registration.as_mut() {
-                registration.store_restored(notified_at, &mut daemon.random);
+                registration.on_store_restored(notified_at, &mut daemon.random);
                 let process = daemon.process;
                 let daemon = index;
                 self.schedule(notified_at, Event::Directory { daemon, process });
@@ -170,15 +171,15 @@
         let random = &mut daemon.random;
         let next_at = match registration.next(now, node.table()) {
             DirectoryStep::WaitUntil(at) => at,
-            DirectoryStep::Enter => {
+            DirectoryStep::Register => {
                 let is_written = directory.write_entry(now, index);
-                registration.entered(now, is_written, random);
+                registration.on_registration_result(now, is_written, random);
                 now + REPLY_TIME
             }
-            DirectoryStep::Look(age) => {
+            DirectoryStep::List(age) => {
                 let shown = directory.list(now, age);
                 if directory.refuses(now, index) {
-                    registration.look_failed(now, random);
+                    registration.on_listing_failed(now, random);
                 } else {
                     self.apply_listing(index, shown);
                 }
@@ -193,12 +194,12 @@
         let now = self.now;
         let daemon = &mut self.daemons[index];
         let own = match shown.contains(&index) {
-            true => OwnEntry::Current,
-            false => OwnEntry::Missing,
+            true => EntryState::Current,
+            false => EntryState::Missing,
         };
         shown.retain(|other| *other != index);
         if let Some(registration) = daemon.registration.as_mut() {
-            registration.listed(now, own, shown.len(), &mut daemon.random);
+            registration.on_listing(now, own, shown.len(), &mut daemon.random);
         }
         shown.shuffle(&mut daemon.random);
         let seeds = shown.iter().take(MAX_SEEDS).map(|other| Seed {
--- a/crates/emulator/src/simulator/control/mod.rs
+++ b/crates/emulator/src/simulator/control/mod.rs
@@ -312,12 +312,12 @@
             Effect::AdoptSnapshot(snapshot) => self.put_in_force(index, snapshot.revision),
             Effect::AdoptDelta(delta) => self.put_in_force(index, delta.revision),
             Effect::Ready(revision) => self.record_ready(index, revision),
-            Effect::Read(true) => self.request_list(index),
+            Effect::SetReader(true) => self.request_list(index),
             Effect::ReadSnapshot => {
                 self.daemons[index].snapshot_requested = true;
                 self.request_list(index);
             }
-            Effect::Read(false) => self.store.unwatch(index),
+            Effect::SetReader(false) => self.store.unwatch(index),
             Effect::StoreOlder { .. } => self.observations.older_store_reports += 1,
             Effect::Compact(revision) => self.compact(index, revision),
             Effect::Dropped { .. } => {}
@@ -384,7 +384,7 @@
     fn compact(&mut self, index: usize, revision: u64) {
         let payload = self.store.snapshot_at(revision).payload;
         if let Some(node) = self.daemons[index].node.as_mut() {
-            node.compacted(revision, payload);
+            node.provide_snapshot(revision, payload);
         }
     }
 
--- a/crates/emulator/tests/control_experiments.rs
+++ b/crates/emulator/tests/control_experiments.rs
@@ -30,7 +30,7 @@
         report
     };
     for name in ["propagation", "drain", "churn"] {
-        let experiment = ControlExperiment::named(name).expect("a known experiment");
+        let experiment = ControlExperiment::from_name(name).expect("a known experiment");
         assert_eq!(run(experiment), run(experiment), "{name}");
     }
 }
--- a/crates/emulator/tests/platform_contract/reader_lease.rs
+++ b/crates/emulator/tests/platform_contract/reader_lease.rs
@@ -8,7 +8,7 @@
 use wharfquay_emulator::platform::leases::Leases;
 use wharfquay_platform::client::LeaseOutcome;
 use wharfquay_platform::lease::LeaseRequest;
-use wharfquay_platform::wire::LeaseAnswer;
+use wharfquay_platform::wire::LeaseReply;
 use wharfquay_platform::{ReaderLease, ReaderLeaseSettings};
 
 const SEED: u64 = 7;
@@ -132,7 +132,7 @@
     fn run_candidate(&mut self, number: usize) {
         if let Some(request) = self.candidates[number].advance(self.now) {
             let reply = self.reply_to(&request);
-            self.candidates[number].answered(self.now, reply.as_ref(), &mut self.random);
+            self.candidates[number].handle_result(self.now, reply.as_ref(), &mut self.random);
         }
     }
 
@@ -149,7 +149,7 @@
         }
         Some(match result {
             Ok(lease) => LeaseOutcome::Granted(lease.expires_at.saturating_since(now)),
-            Err(held) => LeaseOutcome::HeldBy(LeaseAnswer {
+            Err(held) => LeaseOutcome::HeldBy(LeaseReply {
                 expires_in_ms: held.expires_at.saturating_since(now).as_millis() as u64,
                 holder: held.holder,
             }),
@@ -225,7 +225,7 @@
         .advance(Timestamp::ZERO)
         .expect("the first request is immediate");
     let late = Timestamp::ZERO + ttl;
-    lease.answered(late, Some(&LeaseOutcome::Granted(ttl)), &mut random);
+    lease.handle_result(late, Some(&LeaseOutcome::Granted(ttl)), &mut random);
     assert!(!lease.may_read(late));
     assert!(
         lease.advance(late).is_some(),
--- a/crates/emulator/tests/platform_contract/source_model.rs
+++ b/crates/emulator/tests/platform_contract/source_model.rs
@@ -264,9 +264,12 @@
                     "seed {seed}: current revision was not delivered"
                 );
             }
-            SourceEvent::OlderStore { seen, answered } => {
+            SourceEvent::OlderStore {
+                seen,
+                replied_revision,
+            } => {
                 assert!(
-                    answered < seen,
+                    replied_revision < seen,
                     "seed {seed}: the reported store version is not older"
                 );
                 self.older_reports += 1;
@@ -295,7 +298,7 @@
     fn check_recovery(&mut self) {
         const HEALTHY_STEPS: u32 = 1_000;
         self.served = None;
-        while self.store.version() <= self.source.seen() {
+        while self.store.version() <= self.source.highest_seen_revision() {
             self.write();
         }
         let expected = Some((self.store.version(), configuration_of(&self.store)));
--- a/crates/emulator/tests/platform_contract/write_faults.rs
+++ b/crates/emulator/tests/platform_contract/write_faults.rs
@@ -348,12 +348,12 @@
 
 fn outcome(result: &Result<WriteReceipt, PlatformError>) -> Option<Expected> {
     match result {
-        Ok(receipt) if receipt.recognised => Some(Expected::Recognised),
+        Ok(receipt) if receipt.recognised_after_lost_reply => Some(Expected::Recognised),
         Ok(_) => Some(Expected::Confirmed),
         Err(PlatformError::WriteUnresolved { .. }) => Some(Expected::Unresolved),
         Err(PlatformError::Conflict(conflict)) => {
             let current = conflict.current.as_ref()?;
-            let is_known = conflict.earlier_attempt_open && current.author == OTHER_AUTHOR;
+            let is_known = conflict.earlier_attempt_unresolved && current.author == OTHER_AUTHOR;
             is_known.then_some(Expected::ConflictAfterOpenAttempt)
         }
         Err(_) => None,
--- a/crates/platform/src/source/event.rs
+++ b/crates/platform/src/source/event.rs
@@ -74,7 +74,7 @@
         /// Highest revision in any earlier reply of the store.
         seen: Revision,
         /// Revision of this reply.
-        answered: Revision,
+        replied_revision: Revision,
     },
     /// The store replied with other content for a revision that the consumer already has. Replies are
     /// ignored until the store has a higher revision.
@@ -151,9 +151,9 @@
     pub key: ObjectKey,
     /// Store version of its last write.
     pub version: Revision,
-    /// Id of its last write.
+    /// Id of the last write to the object.
     pub operation: OperationId,
-    /// Author of its last write.
+    /// Author of the last write to the object; empty if the platform sent none.
     pub author: String,
     /// Error of the conversion.
     pub error: ConversionError,
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -69,7 +69,7 @@
     pub version: Revision,
     /// Id of the last write to the object.
     pub operation: OperationId,
-    /// Author of that write.
+    /// Author of the last write to the object; empty if the platform sent none.
     #[serde(default)]
     pub author: String,
     /// Content of the object.
@@ -92,7 +92,7 @@
     pub expected_version: Revision,
     /// Id of this write.
     pub operation: OperationId,
-    /// Author of the write.
+    /// Author of the write; empty if the sender specified none.
     #[serde(default)]
     pub author: String,
     /// New content.
@@ -101,14 +101,14 @@
 
 /// Reply to a deletion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DeleteAnswer {
+pub struct DeleteReply {
     /// Version of the store after the deletion.
     pub version: Revision,
 }
 
 /// Reply to a write whose expected version is not the current one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConflictAnswer {
+pub struct ConflictReply {
     /// Current state of the object, or `None` when it doesn't exist.
     pub current: Option<Object>,
 }
@@ -164,7 +164,7 @@
 
 /// Reply to a request for a lease, whether it was granted or not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseReply {
     /// Id of the process that holds the lease.
     pub holder: String,
     /// Time after which the lease expires unless it is renewed, in milliseconds.
@@ -193,9 +193,9 @@
     pub service: Option<String>,
     /// State of the machine.
     pub state: MachineState,
-    /// Address at which its daemon accepts calls of other daemons.
+    /// Address at which the daemon on the machine accepts calls of other daemons.
     pub call_address: SocketAddr,
-    /// Address at which its daemon accepts control messages.
+    /// Address at which the daemon on the machine accepts control messages.
     pub control_address: SocketAddr,
 }
 
@@ -210,7 +210,7 @@
 
 /// Body of a reply that reports a failure.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FailureAnswer {
+pub struct FailureReply {
     /// Description of the failure for operators.
     pub error: String,
 }
--- a/crates/resources/src/acceptance.rs
+++ b/crates/resources/src/acceptance.rs
@@ -10,7 +10,7 @@
 
 use crate::kinds::{DrainTarget, RequestKind, Resource, ResourceId, ResourceKind};
 use crate::problem::{Finding, ProblemCode};
-use crate::snapshot::{CLAIM_GROUP_IN_USE, Revision, Snapshot};
+use crate::snapshot::{CLAIM_GROUP_NAME, Revision, Snapshot};
 use crate::spec::read_object;
 use crate::validate::{KnownResources, ambiguous_match, find_errors};
 
@@ -103,7 +103,8 @@
 struct Selection<'a> {
     /// The snapshot in force before, whose versions are restored in place of rejected ones.
     last_accepted: &'a Snapshot,
-    /// The resources that would come into force.
+    /// The resources chosen so far. Once all errors are resolved, they are those of the resulting
+    /// snapshot.
     chosen: Snapshot,
     rejected: BTreeMap<ResourceId, Vec<Finding>>,
     /// Resources that were already reset to their last good version.
@@ -308,7 +309,7 @@
                 targets.push(ResourceId::new(ResourceKind::RetryBudget, budget));
             }
             if kind.idempotency_key_required && !kind.repeatable {
-                let group = ResourceId::new(ResourceKind::ClaimGroup, CLAIM_GROUP_IN_USE);
+                let group = ResourceId::new(ResourceKind::ClaimGroup, CLAIM_GROUP_NAME);
                 targets.push(group);
             }
             targets
--- a/crates/sidecar/src/small_server.rs
+++ b/crates/sidecar/src/admin_server.rs
@@ -36,8 +36,8 @@
             let _ = stream.set_nodelay(true);
             let handle = handle.clone();
             let service = service_fn(move |request| {
-                let answer = handle(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handle(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             tokio::spawn(async move {
                 let connection =
@@ -52,7 +52,7 @@
 
 /// Builds a response with this status and JSON body.
 #[must_use]
-pub fn json_answer(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
+pub fn json_response(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
--- a/crates/sidecar/src/exchange.rs
+++ b/crates/sidecar/src/exchange.rs
@@ -13,7 +13,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
-use wharfquay_core::quarantine::{EndedInstance, QuarantineReport, RequestEnd, RequestFingerprint};
+use wharfquay_core::quarantine::{
+    QuarantineReport, RequestFingerprint, RequestTermination, TerminatedInstance,
+};
 use wharfquay_daemon::sync::lock;
 
 use crate::events::Event;
@@ -42,10 +44,10 @@
     /// Requests tokens of a tenant's rate limit.
     #[serde(rename = "t")]
     Tokens {
-        /// Name of the tenant.
+        /// Name of the tenant whose tokens are requested.
         #[serde(rename = "n")]
         tenant: String,
-        /// Number of tokens.
+        /// Number of requested tokens.
         #[serde(rename = "w")]
         wanted: u32,
     },
@@ -55,9 +57,10 @@
     Terminations {
         /// The terminated instance.
         #[serde(rename = "i")]
-        instance: EndedInstance,
-        /// Fingerprints of the requests, each with a flag that is true if it was the only suspect
-        /// in execution.
+        instance: TerminatedInstance,
+        /// Fingerprints of the requests that the instance was executing when it terminated. The
+        /// flag is true if the request was a suspect and the instance was executing no other
+        /// suspect.
         #[serde(rename = "r")]
         requests: Vec<(RequestFingerprint, bool)>,
     },
@@ -71,7 +74,7 @@
         #[serde(rename = "d")]
         digest: u64,
     },
-    /// Asks whether the departure of an instance was acknowledged before the sender's process
+    /// Queries whether the departure of an instance was acknowledged before the sender's process
     /// started.
     #[serde(rename = "d")]
     Departed {
@@ -92,10 +95,12 @@
 
 impl ExchangeRequest {
     /// Creates a report of terminations of one instance.
-    pub(crate) fn terminations(terminations: &[RequestEnd]) -> Self {
+    pub(crate) fn terminations(terminations: &[RequestTermination]) -> Self {
         let instance = terminations
             .first()
-            .map_or(EndedInstance::new(0), |termination| termination.instance);
+            .map_or(TerminatedInstance::new(0), |termination| {
+                termination.instance
+            });
         let requests = terminations
             .iter()
             .map(|termination| (termination.fingerprint, termination.was_isolated));
@@ -154,7 +159,7 @@
     /// The report was recorded, or there is nothing to record.
     #[serde(rename = "n")]
     Recorded,
-    /// The quarantined requests; empty if the requester knows the same ones.
+    /// The newest quarantined requests; empty if the requester knows the same ones.
     #[serde(rename = "q")]
     Quarantined {
         /// Reports of the requests.
--- a/crates/sidecar/src/inbound/execution.rs
+++ b/crates/sidecar/src/inbound/execution.rs
@@ -9,15 +9,15 @@
 use http::{Request, Response};
 use hyper::body::Incoming;
 use tokio::time::Instant;
-use wharfquay_core::admission::{Completion, Load, Standing};
+use wharfquay_core::admission::{Completion, Load, RequestProgress};
 use wharfquay_core::call::{CallContext, RetryAllowance};
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::priority::AdmissionLevel;
-use wharfquay_daemon::answer::Failure;
-use wharfquay_daemon::body::{AnswerBody, BodyEnd, BodyObserver, RequestBody};
+use wharfquay_daemon::body::{BodyEnd, BodyObserver, RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
-use wharfquay_daemon::inbound::gate::{Entry, Permit};
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_daemon::inbound::gate::{AdmissionRequest, Permit};
+use wharfquay_daemon::response::Failure;
+use wharfquay_protocol::response::ResponseMetadata;
 
 use super::backend::{LocalBackend, OpenInstance};
 use super::dispatch::{AdmittedCall, BackendResponse};
@@ -33,9 +33,9 @@
 
 /// Depth of a request at the backend that its client sent it to.
 const CLIENT_REQUEST_DEPTH: u8 = 1;
-/// Maximum wait at the gate. A longer one for calls on behalf of requests in execution brought no
-/// benefit (docs/design/decisions.md).
-const MAX_GATE_WAIT: Duration = Duration::from_millis(100);
+/// Maximum time for which a call may wait for admission to the backend. A longer one for calls on
+/// behalf of requests in execution brought no benefit (docs/design/decisions.md).
+const MAX_ADMISSION_WAIT: Duration = Duration::from_millis(100);
 /// Retry-After of a refusal because no instance can take work.
 pub(super) const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
@@ -45,8 +45,8 @@
 
 /// Outcome of a call and the metadata to return to its sender.
 pub(crate) struct Executed {
-    pub(crate) result: Result<Response<AnswerBody>, Failure>,
-    pub(crate) metadata: WireAnswer,
+    pub(crate) result: Result<Response<ResponseBody>, Failure>,
+    pub(crate) metadata: ResponseMetadata,
 }
 
 /// Executes calls at the local backend.
@@ -124,13 +124,13 @@
         head: &RequestHead,
         body: RequestBody,
         report: &mut CallReport,
-    ) -> (Result<Response<AnswerBody>, Failure>, RetryAllowance) {
+    ) -> (Result<Response<ResponseBody>, Failure>, RetryAllowance) {
         let allowance = context.allowance;
-        let turn = match self.quarantine.wait_for_turn(&context).await {
-            Ok(turn) => turn,
+        let suspect_permit = match self.quarantine.wait_for_permit(&context).await {
+            Ok(suspect_permit) => suspect_permit,
             Err(failure) => return (Err(failure), allowance),
         };
-        let entering = instance.gate.enter_as(entry(&context));
+        let entering = instance.gate.enter_with(admission_request(&context));
         let permit = match entering.await {
             Ok(permit) => permit,
             Err(failure) => return (Err(failure), allowance),
@@ -150,10 +150,10 @@
             context: &context,
             request_id,
             head,
-            is_isolated: turn.is_some(),
+            is_isolated: suspect_permit.is_some(),
         };
-        let running = self.dispatch(instance, &call, body);
-        let within = self.clock.timeout_at(context.deadline, running);
+        let execution = self.dispatch(instance, &call, body);
+        let within = self.clock.timeout_at(context.deadline, execution);
         let result = match within.await {
             Ok(result) => result,
             Err(_) => Err(Failure::new(ResultCode::DeadlineAfterDispatch)),
@@ -169,8 +169,8 @@
         &self,
         instance: Option<&Arc<OpenInstance>>,
         request_kind: &str,
-        returned: RetryAllowance,
-    ) -> WireAnswer {
+        unused_retries: RetryAllowance,
+    ) -> ResponseMetadata {
         let below = self.routing.level_below(request_kind);
         let (level, load) = match instance {
             Some(instance) => {
@@ -179,8 +179,8 @@
             }
             None => (AdmissionLevel::OPEN, Load::default()),
         };
-        WireAnswer {
-            returned,
+        ResponseMetadata {
+            unused_retries,
             level,
             folded_level: level.fold(below),
             incarnation: self.clock.started_at().as_millis(),
@@ -192,17 +192,17 @@
 }
 
 /// Returns the admission parameters of a call.
-fn entry(context: &CallContext) -> Entry {
-    let standing = if context.depth > CLIENT_REQUEST_DEPTH {
-        Standing::InProgress
+fn admission_request(context: &CallContext) -> AdmissionRequest {
+    let progress = if context.depth > CLIENT_REQUEST_DEPTH {
+        RequestProgress::InProgress
     } else {
-        Standing::New
+        RequestProgress::New
     };
-    Entry {
+    AdmissionRequest {
         key: context.admission_key(),
         deadline: context.deadline,
-        patience: Some(MAX_GATE_WAIT),
-        standing,
+        max_queue_wait: Some(MAX_ADMISSION_WAIT),
+        progress,
         admitted_below: context.admitted_below,
     }
 }
@@ -213,17 +213,17 @@
     scope: OpenScope,
     permit: Permit,
     deadline: Instant,
-) -> Result<Response<AnswerBody>, Failure> {
-    let answered = match result {
-        Ok(answered) => answered,
+) -> Result<Response<ResponseBody>, Failure> {
+    let backend_response = match result {
+        Ok(backend_response) => backend_response,
         Err(failure) => {
             permit.complete(completion_for(failure.code));
             return Err(failure);
         }
     };
-    let is_complete = matches!(answered.collected, Collected::Complete(_));
-    let mut body = answered.collected.into_body(deadline);
-    let lease: Box<dyn BodyObserver> = Box::new(answered.lease);
+    let is_complete = matches!(backend_response.collected, Collected::Complete(_));
+    let mut body = backend_response.collected.into_body(deadline);
+    let lease: Box<dyn BodyObserver> = Box::new(backend_response.lease);
     if is_complete {
         lease.ended(BodyEnd::Complete);
         permit.complete(Completion::Succeeded);
@@ -234,7 +234,7 @@
             permit,
         }));
     }
-    Ok(Response::from_parts(answered.parts, body))
+    Ok(Response::from_parts(backend_response.parts, body))
 }
 
 const fn completion_for(code: ResultCode) -> Completion {
@@ -277,7 +277,8 @@
     }
 }
 
-/// Splits the body off a request: none, or the stream of one.
+/// Separates a request from its body. The body is `Held(None)` if the request has none, and
+/// otherwise a stream that has not been read yet.
 pub(crate) fn split_body(request: Request<Incoming>) -> (Request<()>, RequestBody) {
     use http_body::Body;
     let (parts, incoming) = request.into_parts();
--- a/crates/sidecar/src/outbound/attempt.rs
+++ b/crates/sidecar/src/outbound/attempt.rs
@@ -10,14 +10,14 @@
 use wharfquay_core::outcome::{OutcomeClass, ResultCode};
 use wharfquay_core::routing::{Observation, ReportedLoad};
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::{self, Failure};
 use wharfquay_daemon::backend_pool::{BackendPool, Lease, SendError};
-use wharfquay_daemon::body::{AnswerBody, BodyEnd, BodyObserver, RequestBody};
+use wharfquay_daemon::body::{BodyEnd, BodyObserver, RequestBody, ResponseBody};
 use wharfquay_daemon::clock::Clock;
-use wharfquay_daemon::headers::{remove_hop_by_hop, remove_internal_answer};
-use wharfquay_protocol::answer::WireAnswer;
+use wharfquay_daemon::headers::{remove_hop_by_hop, remove_internal_response_headers};
+use wharfquay_daemon::response::{self, Failure};
 use wharfquay_protocol::context::{Callee, WireContext};
 use wharfquay_protocol::headers as names;
+use wharfquay_protocol::response::ResponseMetadata;
 
 use crate::body::{Collected, collect, remove_length};
 use crate::message::RequestHead;
@@ -26,7 +26,7 @@
 /// Part of the remaining time that each hop keeps back. The hop nearer to the backend then responds
 /// first, and its more exact result reaches the caller.
 const HOP_MARGIN: Duration = Duration::from_millis(3);
-/// Divisor that bounds the margin: at most one in this many parts of the remaining time.
+/// Limits the hop margin to this fraction (one in 16) of the time remaining until the deadline.
 const HOP_MARGIN_DIVISOR: u32 = 16;
 /// Attempts to find an open connection. A pooled connection may turn out closed before a byte is
 /// written.
@@ -35,10 +35,11 @@
 /// Outcome of an attempt.
 pub(crate) struct AttemptOutcome {
     /// The backend's response, or the failure that replaces it.
-    pub(crate) result: Result<Response<AnswerBody>, Failure>,
+    pub(crate) result: Result<Response<ResponseBody>, Failure>,
     /// Metadata that the responding sidecar attached.
-    pub(crate) metadata: Option<WireAnswer>,
-    /// Retries of the attempt's allowance that were returned; `None` if the allowance is lost.
+    pub(crate) metadata: Option<ResponseMetadata>,
+    /// Unused retries that the responding hop returned; `None` if no response included them, in
+    /// which case all retries granted to the attempt count as spent.
     pub(crate) returned: Option<RetryAllowance>,
     /// The body, if none of it was sent.
     pub(crate) unsent: Option<RequestBody>,
@@ -131,12 +132,12 @@
     lease: Lease,
     deadline: Instant,
 ) -> AttemptOutcome {
-    let metadata = answer::take_metadata(response.headers_mut());
-    let returned = metadata.map(|metadata| metadata.returned);
-    let result = match answer::result(response.headers()) {
+    let metadata = response::take_metadata(response.headers_mut());
+    let returned = metadata.map(|metadata| metadata.unused_retries);
+    let result = match response::result(response.headers()) {
         Some(ResultCode::Answered) => read_response(method, response, lease, deadline).await,
         Some(code) => {
-            let retry_after = answer::retry_after(response.headers());
+            let retry_after = response::retry_after(response.headers());
             finish_refusal(response, lease).await;
             Err(Failure::with_retry_after(code, retry_after))
         }
@@ -155,10 +156,10 @@
     response: Response<Incoming>,
     lease: Lease,
     deadline: Instant,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let (mut parts, incoming) = response.into_parts();
     remove_hop_by_hop(&mut parts.headers);
-    remove_internal_answer(&mut parts.headers);
+    remove_internal_response_headers(&mut parts.headers);
     remove_length(method, &mut parts.headers);
     let collected = collect(incoming).await;
     let collected = collected.map_err(|_| Failure::new(ResultCode::ConnectionLost))?;
@@ -252,7 +253,7 @@
         let seen = Observation {
             latency: now.saturating_since(self.started),
             outcome,
-            error_answer: status.is_server_error(),
+            error_response: status.is_server_error(),
             overloaded,
             load: load.filter(|load| load.limit > 0),
             level: completed.metadata.map(|metadata| metadata.level),
@@ -264,7 +265,7 @@
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         if !self.is_observed {
-            self.router.abandoned(&self.target.id);
+            self.router.discard_attempt(&self.target.id);
         }
     }
 }
--- a/crates/sidecar/src/platform.rs
+++ b/crates/sidecar/src/platform.rs
@@ -68,7 +68,7 @@
     MayBeStale,
 }
 
-/// Directory entry by which other sidecars discover this one.
+/// Entry of a sidecar in the platform's directory, by which other sidecars discover it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryEntry {
     /// Identity of the sidecar.
@@ -83,7 +83,7 @@
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Time at which it was quarantined.
-    pub found_at: UnixMillis,
+    pub quarantined_at: UnixMillis,
 }
 
 /// Operations that a sidecar needs from its platform. Implementations translate calls and hold no
--- a/crates/sidecar/src/quarantine/mod.rs
+++ b/crates/sidecar/src/quarantine/mod.rs
@@ -18,12 +18,12 @@
 use wharfquay_core::call::CallContext;
 use wharfquay_core::outcome::ResultCode;
 use wharfquay_core::quarantine::{
-    EndLedger, EndedInstance, QUARANTINE_TIME, QuarantineReport, QuarantineTable, ReportedStanding,
-    RequestEnd, RequestFingerprint, Standing,
+    QUARANTINE_TIME, QuarantineReport, QuarantineState, QuarantineTable, ReportedQuarantineState,
+    RequestFingerprint, RequestTermination, TerminatedInstance, TerminationLedger,
 };
 use wharfquay_core::time::Timestamp;
-use wharfquay_daemon::answer::Failure;
 use wharfquay_daemon::clock::Clock;
+use wharfquay_daemon::response::Failure;
 use wharfquay_daemon::sync::lock;
 use wharfquay_membership::hash::hash_bytes;
 
@@ -36,14 +36,15 @@
 pub(crate) use disseminator::{Disseminator, Outbox, Outgoing};
 pub(crate) use record_store::RecordStore;
 
-/// Maximum wait of a suspect for its turn at a backend, if its deadline allows as much. It covers
-/// about six executions of the users' workload, which lets the twenty to thirty requests in
-/// execution at a termination have their turns at the remaining backends.
-const MAX_TURN_WAIT: Duration = Duration::from_secs(1);
-/// Divisor of a suspect's remaining time that bounds its wait for a turn.
-const TURN_WAIT_DIVISOR: u32 = 3;
-/// Retry-After of a suspect that did not have its turn in time.
-const TURN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum time for which a suspect waits for the permit of the backend, if its deadline allows as
+/// much. It covers about six executions of the specified workload, so that the twenty to thirty
+/// requests in execution at a termination can be executed one by one at the remaining backends.
+const MAX_PERMIT_WAIT: Duration = Duration::from_secs(1);
+/// Limits the wait of a suspect for the permit to this fraction (one in 3) of the time remaining
+/// until its deadline.
+const PERMIT_WAIT_DIVISOR: u32 = 3;
+/// Retry-After of a suspect that did not receive the permit in time.
+const PERMIT_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Offset added to the process clock, which allows a process that has just started to represent
 /// times before its start.
 const CLOCK_OFFSET: Duration = QUARANTINE_TIME.saturating_mul(2);
@@ -56,20 +57,21 @@
 pub(crate) struct Quarantine {
     clock: Clock,
     table: Mutex<QuarantineTable>,
-    ledger: Mutex<EndLedger>,
+    ledger: Mutex<TerminationLedger>,
     /// Notified when the state of a request changes.
     changed: Notify,
-    /// Held by the suspect that has its turn at the local backend.
-    turn: Arc<Semaphore>,
+    /// Holds the one [`SuspectPermit`] of the local backend.
+    suspect_permit: Arc<Semaphore>,
     outbox: Outbox,
     /// True if the requests quarantined before this process started are known.
     is_initialized: AtomicBool,
 }
 
-/// Turn of a suspect at the backend, which executes no other suspect meanwhile.
+/// Permit to execute a suspect (a request during whose execution backends terminated) at the local
+/// backend. There is one such permit, so the backend executes one suspect at a time.
 #[derive(Debug)]
-pub(crate) struct Turn(
-    #[expect(dead_code, reason = "held for as long as the turn lasts")] OwnedSemaphorePermit,
+pub(crate) struct SuspectPermit(
+    #[expect(dead_code, reason = "held until the suspect completes")] OwnedSemaphorePermit,
 );
 
 impl Quarantine {
@@ -82,7 +84,7 @@
             table: Mutex::default(),
             ledger: Mutex::default(),
             changed: Notify::new(),
-            turn: Arc::new(Semaphore::new(1)),
+            suspect_permit: Arc::new(Semaphore::new(1)),
             outbox,
             is_initialized: AtomicBool::new(is_first_start),
         };
@@ -103,31 +105,36 @@
         };
         let now = self.now();
         let table = lock(&self.table);
-        match table.standing(now, fingerprint) {
-            Standing::Quarantined => Err(Failure::with_retry_after(
+        match table.state(now, fingerprint) {
+            QuarantineState::Quarantined => Err(Failure::with_retry_after(
                 ResultCode::Quarantined,
                 table.time_left(now, fingerprint),
             )),
-            Standing::Suspect | Standing::Unsuspected => Ok(()),
+            QuarantineState::Suspect | QuarantineState::Unsuspected => Ok(()),
         }
     }
 
-    /// Waits for the turn of a suspect. Other calls need no turn and return immediately.
+    /// Waits for the permit that a suspect needs. Returns `None` immediately for other calls, which
+    /// need none.
     ///
     /// # Errors
-    /// The refusal of a call that is quarantined meanwhile, or whose turn does not come in time.
-    pub(crate) async fn wait_for_turn(
+    /// The refusal of a call that is quarantined meanwhile, or that does not receive the permit in
+    /// time.
+    pub(crate) async fn wait_for_permit(
         &self,
         context: &CallContext,
-    ) -> Result<Option<Turn>, Failure> {
+    ) -> Result<Option<SuspectPermit>, Failure> {
         let remaining = context.remaining(self.clock.now());
-        let wait = MAX_TURN_WAIT.min(remaining / TURN_WAIT_DIVISOR);
-        let waiting = tokio::time::timeout(wait, self.turn_of(context));
-        let too_late = Failure::with_retry_after(ResultCode::SuspectWaited, TURN_RETRY_AFTER);
+        let wait = MAX_PERMIT_WAIT.min(remaining / PERMIT_WAIT_DIVISOR);
+        let waiting = tokio::time::timeout(wait, self.acquire_permit(context));
+        let too_late = Failure::with_retry_after(ResultCode::SuspectWaited, PERMIT_RETRY_AFTER);
         waiting.await.unwrap_or(Err(too_late))
     }
 
-    async fn turn_of(&self, context: &CallContext) -> Result<Option<Turn>, Failure> {
+    async fn acquire_permit(
+        &self,
+        context: &CallContext,
+    ) -> Result<Option<SuspectPermit>, Failure> {
         loop {
             let changed = self.changed.notified();
             self.check(context)?;
@@ -135,9 +142,9 @@
                 return Ok(None);
             }
             tokio::select! {
-                permit = Arc::clone(&self.turn).acquire_owned() => {
+                permit = Arc::clone(&self.suspect_permit).acquire_owned() => {
                     // The semaphore is never closed.
-                    return Ok(permit.ok().map(Turn));
+                    return Ok(permit.ok().map(SuspectPermit));
                 }
                 () = changed => {}
             }
@@ -145,16 +152,20 @@
     }
 
     fn is_suspect(&self, context: &CallContext) -> bool {
-        context.ended_backends > 0
+        context.terminated_backends > 0
             || context.fingerprint.is_some_and(|fingerprint| {
-                lock(&self.table).standing(self.now(), fingerprint) == Standing::Suspect
+                lock(&self.table).state(self.now(), fingerprint) == QuarantineState::Suspect
             })
     }
 
     /// Reports that an instance of the local backend terminated while it executed these requests.
-    pub(crate) fn instance_ended(&self, instance: &InstanceId, running: &[ExecutingRequest]) {
-        let instance = EndedInstance::new(hash_bytes(instance.to_string().as_bytes()));
-        let terminations = running.iter().map(|request| RequestEnd {
+    pub(crate) fn record_instance_termination(
+        &self,
+        instance: &InstanceId,
+        executing: &[ExecutingRequest],
+    ) {
+        let instance = TerminatedInstance::new(hash_bytes(instance.to_string().as_bytes()));
+        let terminations = executing.iter().map(|request| RequestTermination {
             fingerprint: request.fingerprint,
             instance,
             was_isolated: request.is_isolated,
@@ -169,17 +180,17 @@
         let Some(fingerprint) = context.fingerprint else {
             return;
         };
-        let standing = lock(&self.table).standing(self.now(), fingerprint);
-        if standing == Standing::Quarantined {
+        let state = lock(&self.table).state(self.now(), fingerprint);
+        if state == QuarantineState::Quarantined {
             self.outbox.send(Outgoing::RemoveRecord(fingerprint));
         }
-        if standing != Standing::Unsuspected {
+        if state != QuarantineState::Unsuspected {
             self.apply_reports(&[QuarantineReport {
                 fingerprint,
-                standing: ReportedStanding::Cleared,
+                state: ReportedQuarantineState::Cleared,
                 age_ms: 0,
             }]);
-        } else if context.ended_backends > 0 {
+        } else if context.terminated_backends > 0 {
             self.outbox.send(Outgoing::ResponseReceived(fingerprint));
         }
     }
@@ -188,19 +199,19 @@
     pub(crate) fn apply_reports(&self, reports: &[QuarantineReport]) {
         let now = self.now();
         for report in reports {
-            if !lock(&self.table).learn(now, *report) {
+            if !lock(&self.table).merge(now, *report) {
                 continue;
             }
             let fingerprint = report.fingerprint;
-            match report.standing {
-                ReportedStanding::Cleared => {
-                    lock(&self.ledger).answered(fingerprint);
+            match report.state {
+                ReportedQuarantineState::Cleared => {
+                    lock(&self.ledger).clear(fingerprint);
                     log_event!(Event::RequestCleared, "fingerprint={fingerprint}");
                 }
-                ReportedStanding::Suspect => {
+                ReportedQuarantineState::Suspect => {
                     log_event!(Event::RequestSuspected, "fingerprint={fingerprint}");
                 }
-                ReportedStanding::Quarantined => {
+                ReportedQuarantineState::Quarantined => {
                     let age_ms = report.age_ms;
                     log_event!(
                         Event::RequestQuarantined,
@@ -214,24 +225,25 @@
     }
 
     /// Counts terminations as an owner of these requests and decides on their state.
-    pub(crate) fn count_terminations(&self, terminations: &[RequestEnd]) {
+    pub(crate) fn count_terminations(&self, terminations: &[RequestTermination]) {
         let now = self.now();
-        let decide = |termination: &RequestEnd| {
-            let standing = match lock(&self.ledger).note(now, *termination) {
-                Standing::Unsuspected => return None,
-                Standing::Suspect => ReportedStanding::Suspect,
-                Standing::Quarantined => ReportedStanding::Quarantined,
+        let decide = |termination: &RequestTermination| {
+            let state = match lock(&self.ledger).record(now, *termination) {
+                QuarantineState::Unsuspected => return None,
+                QuarantineState::Suspect => ReportedQuarantineState::Suspect,
+                QuarantineState::Quarantined => ReportedQuarantineState::Quarantined,
             };
             Some(QuarantineReport {
                 fingerprint: termination.fingerprint,
-                standing,
+                state,
                 age_ms: 0,
             })
         };
         let decisions: Vec<QuarantineReport> = terminations.iter().filter_map(decide).collect();
         let newly_quarantined = |report: &&QuarantineReport| {
-            let standing = lock(&self.table).standing(now, report.fingerprint);
-            report.standing == ReportedStanding::Quarantined && standing != Standing::Quarantined
+            let state = lock(&self.table).state(now, report.fingerprint);
+            report.state == ReportedQuarantineState::Quarantined
+                && state != QuarantineState::Quarantined
         };
         for report in decisions.iter().filter(newly_quarantined) {
             self.outbox.send(Outgoing::WriteRecord(report.fingerprint));
@@ -241,7 +253,7 @@
 
     /// Discards the terminations counted for a request that received a response.
     pub(crate) fn clear_terminations(&self, fingerprint: RequestFingerprint) {
-        lock(&self.ledger).answered(fingerprint);
+        lock(&self.ledger).clear(fingerprint);
     }
 
     /// Returns every quarantined request that is known here.
@@ -249,8 +261,8 @@
         lock(&self.table).quarantined(self.now())
     }
 
-    /// Returns the reply to a sidecar that requests the quarantined requests. It contains none if
-    /// `digest` matches the local state.
+    /// Returns the reply to a sidecar that requests a list of the quarantined requests: the newest
+    /// ones, at most [`REPORTS_PER_MESSAGE`], or none if `digest` matches the local state.
     pub(crate) fn reply(&self, digest: u64) -> Reply {
         let now = self.now();
         let table = lock(&self.table);
--- a/crates/sidecar/tests/instance_restarts.rs
+++ b/crates/sidecar/tests/instance_restarts.rs
@@ -28,7 +28,7 @@
         state,
         sequence,
         slots: 4,
-        cold_left: Duration::ZERO,
+        warm_up_left: Duration::ZERO,
     }
 }
 
@@ -135,10 +135,10 @@
     let observed = InstanceId::from("i-1");
     let mut tracker = InstanceTracker::default();
     assert!(tracker.observe_healthy(NOW, &observed));
-    assert!(!tracker.lacks_start_time(&observed));
+    assert!(!tracker.lacks_known_start_time(&observed));
     tracker.heartbeat(NOW, &ready(&start(2_000), 1));
-    assert!(tracker.lacks_start_time(&observed));
-    assert!(!tracker.lacks_start_time(&start(2_000)));
+    assert!(tracker.lacks_known_start_time(&observed));
+    assert!(!tracker.lacks_known_start_time(&start(2_000)));
 }
 
 #[tokio::test]
@@ -153,12 +153,15 @@
     }
     machine.ready().await;
     let leaving = heartbeat(&id(1_000), ReportedState::Draining, 4);
-    assert_eq!(sidecar.heartbeat(&leaving).await, Acknowledgement::Given);
+    assert_eq!(
+        sidecar.heartbeat(&leaving).await,
+        Acknowledgement::Acknowledged
+    );
     let refused = call(machine.outbound, &request("GET", "/reads/1", "id-1", "")).await;
     assert_eq!(refused.status, 503);
 
     let acknowledgement = sidecar.heartbeat(&ready(&id(2_000), 1)).await;
-    assert_eq!(acknowledgement, Acknowledgement::Given);
+    assert_eq!(acknowledgement, Acknowledgement::Acknowledged);
     let end = std::time::Instant::now() + support::MAX_WAIT;
     let mut number = 1;
     loop {
